--- a/crates/dapplecroft-sched/src/amounts.rs
+++ b/crates/dapplecroft-sched/src/amounts.rs
@@ -59,27 +59,35 @@
 
 impl Add for Amounts {
     type Output = Amounts;
-    fn add(self, o: Amounts) -> Amounts {
-        Amounts { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
+    fn add(self, other: Amounts) -> Amounts {
+        Amounts {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory: self.memory + other.memory,
+        }
     }
 }
 
 impl Sub for Amounts {
     type Output = Amounts;
-    fn sub(self, o: Amounts) -> Amounts {
-        Amounts { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory: self.memory - o.memory }
+    fn sub(self, other: Amounts) -> Amounts {
+        Amounts {
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory: self.memory - other.memory,
+        }
     }
 }
 
 impl AddAssign for Amounts {
-    fn add_assign(&mut self, o: Amounts) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Amounts) {
+        *self = *self + other;
     }
 }
 
 impl SubAssign for Amounts {
-    fn sub_assign(&mut self, o: Amounts) {
-        *self = *self - o;
+    fn sub_assign(&mut self, other: Amounts) {
+        *self = *self - other;
     }
 }
 
--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -41,9 +41,9 @@
     pub count: u32,
 }
 
-/// The offer for `count` tasks of this need: the cheapest per task if thrift is
-/// asked for, else the one that is up soonest and serves most.
-pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, thrift: bool) -> Option<usize> {
+/// The offer for `count` tasks of this need: the cheapest per task if
+/// `prefer_cheapest`, else the one that is up soonest and serves most.
+pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, prefer_cheapest: bool) -> Option<usize> {
     let mut best: Option<(usize, (f64, f64))> = None;
     for (index, offer) in offers.iter().enumerate() {
         if !need.allows(&offer.machine_type, &offer.zone, offer.spot) {
@@ -54,7 +54,7 @@
             continue;
         }
         let per_task = offer.price / fit as f64;
-        let key = if thrift { (per_task, offer.boot_s) } else { (offer.boot_s, per_task) };
+        let key = if prefer_cheapest { (per_task, offer.boot_s) } else { (offer.boot_s, per_task) };
         if best.as_ref().is_none_or(|(_, b)| key < *b) {
             best = Some((index, key));
         }
@@ -77,40 +77,42 @@
     pub count: i64,
 }
 
-/// Packs the demands onto the machines that are still coming, and returns what
-/// to rent for the rest, up to `most` machines. `offers` are those not backed
+/// Packs the demands onto the machines that are still booting, and returns what
+/// to rent for the rest, up to `max_machines` machines. `offers` are those not backed
 /// off from. Equal machines are counted, not listed, so that the work grows
 /// with the demands and not with the fleet.
 pub fn plan_rentals(
     demands: &[Demand],
-    coming: Vec<Rooms>,
+    booting: Vec<Rooms>,
     offers: &[Offer],
-    thrift: bool,
-    most: u32,
+    prefer_cheapest: bool,
+    max_machines: u32,
 ) -> Vec<Rental> {
-    let mut rooms = coming;
+    let mut pending = booting;
     let mut order: Vec<&Demand> = demands.iter().collect();
     order.sort_by_key(|d| {
         std::cmp::Reverse((d.need.amounts.cpus, d.need.amounts.gpus, d.need.amounts.memory))
     });
     let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-    let mut total = 0;
+    let mut planned = 0;
     for demand in order {
         let need = &demand.need;
-        let mut left = pack(&mut rooms, need, demand.count);
-        while left > 0 && total < most {
-            let Some(index) = cheapest_offer(offers, need, left, thrift && !demand.fastest) else { break };
+        let mut left = pack_onto_pending_machines(&mut pending, need, demand.count);
+        while left > 0 && planned < max_machines {
+            let Some(index) = cheapest_offer(offers, need, left, prefer_cheapest && !demand.fastest) else {
+                break;
+            };
             let offer = &offers[index];
             let each = need.amounts.times_in(&offer.capacity).max(1);
             // A last machine that would stay partly empty is chosen by itself.
-            let full = (left / each).max(1).min(i64::from(most - total));
+            let full = (left / each).max(1).min(i64::from(max_machines - planned));
             let here = (full * each).min(left);
             *counts.entry(index).or_default() += full as u32;
-            total += full as u32;
+            planned += full as u32;
             left -= here;
             let rest = full * each - here;
             if rest > 0 || need.amounts.times(each) != offer.capacity {
-                rooms.push(Rooms {
+                pending.push(Rooms {
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -125,30 +127,30 @@
 
 /// Takes room for up to `count` tasks, the tightest room first, and returns how
 /// many found none.
-fn pack(rooms: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
-    let mut order: Vec<usize> = (0..rooms.len())
+fn pack_onto_pending_machines(pending: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
+    let mut order: Vec<usize> = (0..pending.len())
         .filter(|&i| {
-            let r = &rooms[i];
+            let r = &pending[i];
             r.count > 0 && need.allows(&r.machine_type, &r.zone, r.spot) && need.amounts.fits(&r.room)
         })
         .collect();
-    order.sort_by_key(|&i| (rooms[i].room.cpus, rooms[i].room.memory, i));
+    order.sort_by_key(|&i| (pending[i].room.cpus, pending[i].room.memory, i));
     let mut left = count;
     for i in order {
         if left <= 0 {
             break;
         }
-        let each = need.amounts.times_in(&rooms[i].room).max(1);
-        let full = (left / each).min(rooms[i].count);
-        let part = if full < rooms[i].count { left - full * each } else { 0 };
-        let (room, old) = (rooms[i].room, rooms[i].clone());
-        rooms[i].count -= full + i64::from(part > 0);
+        let each = need.amounts.times_in(&pending[i].room).max(1);
+        let full = (left / each).min(pending[i].count);
+        let part = if full < pending[i].count { left - full * each } else { 0 };
+        let (room, old) = (pending[i].room, pending[i].clone());
+        pending[i].count -= full + i64::from(part > 0);
         left -= full * each + part;
         if full > 0 {
-            rooms.push(Rooms { room: room - need.amounts.times(each), count: full, ..old.clone() });
+            pending.push(Rooms { room: room - need.amounts.times(each), count: full, ..old.clone() });
         }
         if part > 0 {
-            rooms.push(Rooms { room: room - need.amounts.times(part), count: 1, ..old });
+            pending.push(Rooms { room: room - need.amounts.times(part), count: 1, ..old });
         }
     }
     left
--- a/crates/dapplecroft-sched/src/fleet/tests.rs
+++ b/crates/dapplecroft-sched/src/fleet/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn booting_machines_are_filled_before_more_are_rented() {
+fn booting_machines_are_filled_before_scaling_out() {
     let demands = [Demand { need: need(4.0), count: 6, fastest: false }];
     let offers = [offer("small", 16.0, 1.0, 50.0), offer("big", 32.0, 2.5, 20.0)];
     let boots = |cpus: f64, count| {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_thousand_machines_are_planned_by_kinds() {
+fn a_thousand_machines_are_planned_by_machine_type() {
     let many = [
         Demand { need: need(4.0), count: 4001, fastest: false },
         Demand { need: need(2.0), count: 2, fastest: false },
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn without_thrift_the_machine_that_is_up_first_is_taken() {
+fn without_cost_preference_the_machine_that_boots_first_is_taken() {
     let demands = [Demand { need: need(4.0), count: 6, fastest: false }];
     let offers = [offer("small", 16.0, 1.0, 50.0), offer("big", 32.0, 2.5, 20.0)];
     assert_eq!(plan_rentals(&demands, vec![], &offers, false, 50), [Rental { offer: 1, count: 1 }]);
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -15,5 +15,5 @@
 pub use place::{Candidate, HasImage, Need, Slot, best_fit, best_fit_of};
 pub use preempt::{Claim, Victims, pick_victims};
 pub use progress::{Checkpoints, Progress};
-pub use repack::{DrainPlan, DrainRules, Move, Resident, plan_drain};
+pub use repack::{DrainRules, RepackPlan, Resident, TaskMove, plan_drain};
 pub use teams::{TeamBook, Teams};
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -150,34 +150,40 @@
 
 /// The same with no more than so many tasks on each machine, for what should
 /// not all be lost with one.
-pub fn best_fit_of(candidates: &[Candidate], need: &Amounts, count: i64, each: i64) -> Vec<(usize, i64)> {
+pub fn best_fit_of(
+    candidates: &[Candidate],
+    need: &Amounts,
+    count: i64,
+    max_per_machine: i64,
+) -> Vec<(usize, i64)> {
     let mut order: Vec<FitScore> = candidates
         .iter()
         .enumerate()
-        .filter(|(_, c)| need.fits(&(c.capacity - c.booked)))
-        .map(|(index, c)| FitScore::new(index, c, need))
+        .filter(|(_, candidate)| need.fits(&(candidate.capacity - candidate.booked)))
+        .map(|(index, candidate)| FitScore::new(index, candidate, need))
         .collect();
     let best_first = |a: &FitScore, b: &FitScore| b.compare(a);
     // Only as many machines as there are tasks can be needed.
-    let most = usize::try_from(count.max(0)).unwrap_or(usize::MAX);
-    if most == 0 {
+    let max_machines = usize::try_from(count.max(0)).unwrap_or(usize::MAX);
+    if max_machines == 0 {
         return Vec::new();
     }
-    if order.len() > most {
-        order.select_nth_unstable_by(most - 1, best_first);
-        order.truncate(most);
+    if order.len() > max_machines {
+        order.select_nth_unstable_by(max_machines - 1, best_first);
+        order.truncate(max_machines);
     }
     order.sort_unstable_by(best_first);
-    let mut left = count;
+    let mut remaining = count;
     let mut chosen = Vec::new();
     for FitScore { candidate: Reverse(index), .. } in order {
-        if left <= 0 {
+        if remaining <= 0 {
             break;
         }
-        let c = &candidates[index];
-        let n = need.times_in(&(c.capacity - c.booked)).min(each).clamp(1, left);
-        chosen.push((index, n));
-        left -= n;
+        let candidate = &candidates[index];
+        let tasks_here =
+            need.times_in(&(candidate.capacity - candidate.booked)).min(max_per_machine).clamp(1, remaining);
+        chosen.push((index, tasks_here));
+        remaining -= tasks_here;
     }
     chosen
 }
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nothing_more_is_stopped_where_enough_is_leaving() {
+fn nothing_more_is_preempted_where_enough_is_leaving() {
     let mut leaves = ranked(0, 8.0, 2, 10);
     leaves.leaving = true;
     let residents = [leaves, ranked(0, 8.0, 2, 5)];
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_guarantee_displaces_what_another_team_borrowed() {
+fn a_task_within_quota_preempts_one_over_quota() {
     let slot = slot("a", 16.0, 16.0);
     let mut borrowed = ranked(0, 16.0, 0, 50);
     let claim = Claim { rank: 3, within_guarantee: true };
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -41,7 +41,7 @@
 
 /// A task's move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Move {
+pub struct TaskMove {
     /// Index into the residents.
     pub resident: usize,
     /// Index of the slot that it goes to.
@@ -50,13 +50,13 @@
 
 /// A machine to drain.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DrainPlan {
+pub struct RepackPlan {
     /// Index of the slot that is emptied.
     pub slot: usize,
     /// Index of the waiting task that takes it.
     pub waiting: usize,
     /// Where its tasks go.
-    pub moves: Vec<Move>,
+    pub moves: Vec<TaskMove>,
 }
 
 /// Looks for a machine to drain for the first of the waiting tasks that one can
@@ -67,10 +67,10 @@
     slots: &[Slot],
     residents: &[Resident],
     rules: DrainRules,
-) -> Option<DrainPlan> {
+) -> Option<RepackPlan> {
     // The machine whose tasks lose least goes first: without checkpoints, the one
     // whose tasks have run least.
-    let mut victims: Vec<(Duration, usize)> = slots
+    let mut candidate_machines: Vec<(Duration, usize)> = slots
         .iter()
         .enumerate()
         .filter(|(_, s)| s.open && s.booked != Default::default() && s.share() <= rules.trigger)
@@ -85,9 +85,9 @@
             Some((total, index))
         })
         .collect();
-    victims.sort();
+    candidate_machines.sort();
     for (position, need) in waiting.iter().enumerate() {
-        for &(_, index) in &victims {
+        for &(_, index) in &candidate_machines {
             let slot = &slots[index];
             let helps = need.allows(&slot.machine_type, &slot.zone, slot.spot)
                 && need.amounts.fits(&slot.capacity)
@@ -95,8 +95,8 @@
             if !helps {
                 continue;
             }
-            if let Some(moves) = pack_elsewhere(index, slots, residents, rules.cap) {
-                return Some(DrainPlan { slot: index, waiting: position, moves });
+            if let Some(moves) = pack_onto_other_machines(index, slots, residents, rules.cap) {
+                return Some(RepackPlan { slot: index, waiting: position, moves });
             }
         }
     }
@@ -105,7 +105,12 @@
 
 /// Moves all tasks of a slot, largest first, each onto the fullest other slot
 /// that takes it within the cap.
-fn pack_elsewhere(from: usize, slots: &[Slot], residents: &[Resident], cap: f64) -> Option<Vec<Move>> {
+fn pack_onto_other_machines(
+    from: usize,
+    slots: &[Slot],
+    residents: &[Resident],
+    cap: f64,
+) -> Option<Vec<TaskMove>> {
     let mut booked: Vec<_> = slots.iter().map(|s| s.booked).collect();
     let mut tasks: Vec<usize> = (0..residents.len()).filter(|&r| residents[r].slot == from).collect();
     let size = |r: usize| residents[r].need.amounts.share_of(&slots[from].capacity);
@@ -132,7 +137,7 @@
         }
         let (_, to) = best?;
         booked[to] += need.amounts;
-        moves.push(Move { resident: r, to });
+        moves.push(TaskMove { resident: r, to });
     }
     Some(moves)
 }
--- a/crates/dapplecroft-sched/src/repack/tests.rs
+++ b/crates/dapplecroft-sched/src/repack/tests.rs
@@ -24,11 +24,11 @@
     let plan = plan_drain(&[need(16.0)], &slots, &residents, RULES).unwrap();
     assert_eq!((plan.slot, plan.waiting), (0, 0));
     // Largest first onto the fullest, both onto "c".
-    assert_eq!(plan.moves, [Move { resident: 1, to: 2 }, Move { resident: 0, to: 2 }]);
+    assert_eq!(plan.moves, [TaskMove { resident: 1, to: 2 }, TaskMove { resident: 0, to: 2 }]);
 }
 
 #[test]
-fn nothing_is_drained_in_vain() {
+fn no_machine_is_evicted_in_vain() {
     let slots = [slot("a", 16.0, 6.0), slot("b", 16.0, 12.0)];
     let young = [resident(0, 6.0, 3), resident(1, 12.0, 3)];
     // The task would not fit elsewhere.
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -44,37 +44,37 @@
 /// All teams.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Teams {
-    books: BTreeMap<String, TeamBook>,
+    by_name: BTreeMap<String, TeamBook>,
 }
 
 impl Teams {
     /// Teams with nothing used.
     pub fn new(teams: impl IntoIterator<Item = (String, Amounts, Amounts)>) -> Self {
-        let books = teams
+        let by_name = teams
             .into_iter()
             .map(|(name, guarantee, limit)| (name, TeamBook { guarantee, limit, used: Amounts::default() }))
             .collect();
-        Teams { books }
+        Teams { by_name }
     }
 
     /// A team's book.
     pub fn get(&self, name: &str) -> Option<&TeamBook> {
-        self.books.get(name)
+        self.by_name.get(name)
     }
 
     /// Counts a task in. A team that the settings no longer name is kept too,
     /// without a guarantee, so that its running work stays counted.
     pub fn book(&mut self, name: &str, task: Amounts) {
-        if let Some(book) = self.books.get_mut(name) {
+        if let Some(book) = self.by_name.get_mut(name) {
             book.used += task;
         } else {
-            self.books.insert(name.to_string(), TeamBook { used: task, ..TeamBook::default() });
+            self.by_name.insert(name.to_string(), TeamBook { used: task, ..TeamBook::default() });
         }
     }
 
     /// Counts a task out.
     pub fn unbook(&mut self, name: &str, task: Amounts) {
-        if let Some(book) = self.books.get_mut(name) {
+        if let Some(book) = self.by_name.get_mut(name) {
             book.used -= task;
         }
     }
--- a/crates/dapplecroft-sched/src/teams/tests.rs
+++ b/crates/dapplecroft-sched/src/teams/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn zero_means_no_limit_and_no_guarantee() {
+fn zero_means_no_quota_limit_and_no_guarantee() {
     let mut teams = Teams::new([
         ("free".to_string(), Amounts::default(), Amounts::default()),
         ("tight".to_string(), Amounts::new(4.0, 0.0, 0.0), Amounts::new(8.0, 0.0, 0.0)),
