--- a/crates/dapplecroft-sched/src/amounts.rs
+++ b/crates/dapplecroft-sched/src/amounts.rs
@@ -15,8 +15,11 @@
     pub memory: i64,
 }
 
+/// Amounts are kept in thousandths of a unit.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
+
 fn thousandths(x: f64) -> i64 {
-    (x * 1000.0).round() as i64
+    (x * THOUSANDTHS_PER_UNIT).round() as i64
 }
 
 impl Amounts {
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -67,6 +67,9 @@
 /// image decides between them.
 const SHARE_STEPS: f64 = 4.0;
 
+/// The per-machine cap of [`best_fit`]: none.
+const NO_PER_MACHINE_CAP: i64 = i64::MAX;
+
 /// Whether a machine has an image.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HasImage {
@@ -145,7 +148,7 @@
 /// it fuller, so it stays the best until nothing more fits: one pass over the
 /// candidates serves all tasks. Returns candidates with numbers of tasks.
 pub fn best_fit(candidates: &[Candidate], need: &Amounts, count: i64) -> Vec<(usize, i64)> {
-    best_fit_of(candidates, need, count, i64::MAX)
+    best_fit_of(candidates, need, count, NO_PER_MACHINE_CAP)
 }
 
 /// The same with no more than so many tasks on each machine, for what should
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -5,6 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Slack on the share cap, so that a machine filled exactly to the cap is not
+/// refused for a rounding error of the float division.
+const SHARE_CAP_TOLERANCE: f64 = 1e-9;
+
 /// A task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resident {
@@ -127,7 +131,7 @@
             }
             let after = booked[index] + need.amounts;
             let share = after.share_of(&slot.capacity);
-            if !after.fits(&slot.capacity) || share > cap + 1e-9 {
+            if !after.fits(&slot.capacity) || share > cap + SHARE_CAP_TOLERANCE {
                 continue;
             }
             let fullness = booked[index].share_of(&slot.capacity);
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -3,6 +3,12 @@
 use crate::Amounts;
 use std::collections::BTreeMap;
 
+/// A limit of this value means that there is none.
+const NO_LIMIT: i64 = 0;
+
+/// The headroom under no limit.
+const UNLIMITED_HEADROOM: i64 = i64::MAX;
+
 /// One team's guarantee, limit and use.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TeamBook {
@@ -17,14 +23,14 @@
 impl TeamBook {
     /// Whether a task may start without exceeding the limit.
     pub fn allocates(&self, task: &Amounts) -> bool {
-        let ok = |used: i64, more: i64, limit: i64| limit == 0 || more == 0 || used + more <= limit;
+        let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
         ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
     }
 
     /// How many tasks of this size the limit still lets start.
     pub fn headroom(&self, task: &Amounts) -> i64 {
         let part = |used: i64, more: i64, limit: i64| {
-            if limit == 0 || more == 0 { i64::MAX } else { ((limit - used) / more).max(0) }
+            if limit == NO_LIMIT || more == 0 { UNLIMITED_HEADROOM } else { ((limit - used) / more).max(0) }
         };
         part(self.used.cpus, task.cpus, self.limit.cpus).min(part(self.used.gpus, task.gpus, self.limit.gpus))
     }
