--- a/crates/dapplecroft-sched/src/amounts.rs
+++ b/crates/dapplecroft-sched/src/amounts.rs
@@ -1,4 +1,5 @@
-//! What tasks take and machines have.
+//! Resource vectors: the CPUs, GPUs and memory that a task needs or a machine
+//! has, in whole thousandths.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
@@ -23,18 +24,20 @@
 }
 
 impl Amounts {
-    /// Amounts from decimal numbers.
+    /// Converts decimal CPUs, GPUs and gigabytes of memory to thousandths,
+    /// rounded to the nearest.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Amounts { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
     }
 
-    /// Whether `self` fits into `room`.
+    /// Whether `self` fits into `room` in every resource.
     pub fn fits(&self, room: &Amounts) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
-    /// The dominant share: the largest part that `self` takes of any of the
-    /// resources of `whole`.
+    /// The dominant share: the largest fraction that `self` takes of any of the
+    /// resources of `whole`. A resource that `self` does not use counts 0.0; one
+    /// that it uses and `whole` lacks counts infinity.
     pub fn share_of(&self, whole: &Amounts) -> f64 {
         let part = |a: i64, b: i64| match (a, b) {
             (0, _) => 0.0,
@@ -44,7 +47,8 @@
         part(self.cpus, whole.cpus).max(part(self.gpus, whole.gpus)).max(part(self.memory, whole.memory))
     }
 
-    /// How many times `self` fits into `room`.
+    /// How many times `self` fits into `room`: at least 0, and 0 if `self` is
+    /// empty.
     pub fn times_in(&self, room: &Amounts) -> i64 {
         [(self.cpus, room.cpus), (self.gpus, room.gpus), (self.memory, room.memory)]
             .into_iter()
@@ -54,7 +58,7 @@
             .unwrap_or(0)
     }
 
-    /// `self` taken `n` times.
+    /// `self` multiplied by `n` in every resource.
     pub fn times(&self, n: i64) -> Amounts {
         Amounts { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -1,4 +1,5 @@
-//! How many machines of which kind to rent for work that fits nowhere.
+//! Fleet sizing: how many machines of which kind to scale out by, spot
+//! instances included, for tasks that fit on no machine.
 
 use crate::{Amounts, Need};
 use std::collections::BTreeMap;
@@ -8,41 +9,43 @@
 pub struct Demand {
     /// What each needs.
     pub need: Need,
-    /// How many.
+    /// How many tasks.
     pub count: i64,
     /// Whether they can't wait for the cheapest machine: the one that is up
     /// soonest is taken.
     pub fastest: bool,
 }
 
-/// A kind of machine that can be asked for.
+/// A kind of machine that the cloud can start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot or preemptible instance.
     pub spot: bool,
     /// What it has.
     pub capacity: Amounts,
-    /// Price per hour now.
+    /// Current price per machine and hour.
     pub price: f64,
-    /// Usual boot time in seconds.
+    /// Usual boot time, in seconds.
     pub boot_s: f64,
 }
 
-/// Machines to rent.
+/// A scale-out request: machines of one offer to start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
-    /// Index of the offer.
+    /// Index into the offers given to [`plan_rentals`].
     pub offer: usize,
-    /// How many.
+    /// How many machines.
     pub count: u32,
 }
 
 /// The offer for `count` tasks of this need: the cheapest per task if
 /// `prefer_cheapest`, else the one that is up soonest and serves most.
+/// Returns an index into `offers`; `None` if no offer is allowed for the need
+/// or has room for one of its tasks.
 pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, prefer_cheapest: bool) -> Option<usize> {
     let mut best: Option<(usize, (f64, f64))> = None;
     for (index, offer) in offers.iter().enumerate() {
@@ -62,25 +65,27 @@
     best.map(|(index, _)| index)
 }
 
-/// Equal machines that are not taking work yet, with the room on each.
+/// Equal machines that are still booting and so take no work yet, with the room
+/// left on each.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rooms {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether they are spot or preemptible instances.
     pub spot: bool,
-    /// Room on each.
+    /// Room left on each.
     pub room: Amounts,
-    /// How many there are.
+    /// How many machines there are.
     pub count: i64,
 }
 
-/// Packs the demands onto the machines that are still booting, and returns what
-/// to rent for the rest, up to `max_machines` machines. `offers` are those not backed
-/// off from. Equal machines are counted, not listed, so that the work grows
-/// with the demands and not with the fleet.
+/// Packs the demands, largest first, onto the machines that are still booting,
+/// and plans a scale-out for the rest: no more than `max_machines` machines in
+/// all, one [`Rental`] per offer, in the order of the offers. `offers` are those
+/// not backed off from. Equal machines are counted, not listed, so that the work
+/// grows with the demands and not with the fleet.
 pub fn plan_rentals(
     demands: &[Demand],
     booting: Vec<Rooms>,
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -1,5 +1,7 @@
-//! The decisions of dapplecroft, without any input or output: dominant shares,
-//! best fit decreasing, team limits, preemption, repacking and fleet sizing.
+//! The scheduling decisions of dapplecroft, without any input or output:
+//! dominant resource shares, bin packing by best fit decreasing, team quotas,
+//! preemption, repacking by graceful eviction, fleet sizing (scale out, spot
+//! instances) and the progress that checkpoints keep.
 //! Everything is deterministic: the same arguments give the same decision.
 
 mod amounts;
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -1,63 +1,66 @@
-//! Best fit on the dominant share.
+//! Bin packing: best fit on the dominant resource share.
 
 use crate::Amounts;
 use std::cmp::{Ordering, Reverse};
 
-/// A machine as placement sees it.
+/// A machine as placement, preemption and repacking see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Slot {
     /// The machine's name.
     pub machine: String,
-    /// Its type.
+    /// Its machine type.
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot or preemptible instance.
     pub spot: bool,
     /// What it has.
     pub capacity: Amounts,
-    /// What is booked on it.
+    /// What the tasks placed on it have booked.
     pub booked: Amounts,
-    /// Whether tasks may be placed on it.
+    /// Whether new tasks may be placed on it.
     pub open: bool,
 }
 
 impl Slot {
-    /// What is left.
+    /// What is left: the capacity less what is booked; negative in a resource
+    /// that is overbooked.
     pub fn room(&self) -> Amounts {
         self.capacity - self.booked
     }
 
-    /// The dominant booked share.
+    /// The dominant share of the capacity that is booked, as a fraction.
     pub fn share(&self) -> f64 {
         self.booked.share_of(&self.capacity)
     }
 }
 
-/// What a task needs of its machine.
+/// What a task requires of its machine: resources, and which kinds of machine
+/// are allowed.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Need {
-    /// Resources.
+    /// Resources that it books.
     pub amounts: Amounts,
-    /// Allowed machine types.
+    /// Allowed machine types; `None`: any.
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None`: any.
     pub zone: Option<String>,
-    /// Whether a spot machine will do.
+    /// Whether a spot or preemptible instance will do.
     pub spot: bool,
-    /// Image.
+    /// The image that the task runs, if any.
     pub image: Option<String>,
 }
 
 impl Need {
-    /// Whether the kind of machine is allowed at all.
+    /// Whether a machine of this type, zone and kind is allowed at all, whatever
+    /// it has free.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self.types.as_ref().is_none_or(|t| t.iter().any(|n| n == machine_type))
     }
 
-    /// Whether a task fits on a slot now.
+    /// Whether the task is allowed on `slot` and fits into what is left there now.
     pub fn fits(&self, slot: &Slot) -> bool {
         self.allows(&slot.machine_type, &slot.zone, slot.spot) && self.amounts.fits(&slot.room())
     }
@@ -70,7 +73,8 @@
 /// The per-machine cap of [`best_fit`]: none.
 const NO_PER_MACHINE_CAP: i64 = i64::MAX;
 
-/// Whether a machine has an image.
+/// Whether a machine holds an image. The greater value is the better one for
+/// placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HasImage {
     /// No.
@@ -94,7 +98,7 @@
     pub doubtful: bool,
     /// For replicas: whether one of the same service is there.
     pub sibling: bool,
-    /// For replicas: how quickly it fetches images; else 0.
+    /// For replicas: how quickly it fetches images, the greater the faster; else 0.
     pub fetch: u32,
 }
 
@@ -146,13 +150,17 @@
 /// machine whose share becomes the highest. Among about equally full ones, one
 /// that has the image is taken, or fetches it already. Filling a machine makes
 /// it fuller, so it stays the best until nothing more fits: one pass over the
-/// candidates serves all tasks. Returns candidates with numbers of tasks.
+/// candidates serves all tasks.
+///
+/// Returns `(index into candidates, number of tasks)` pairs, best machine first,
+/// with no more than `count` tasks in all; fewer if room runs out, and none if
+/// `count` is 0 or the task fits nowhere.
 pub fn best_fit(candidates: &[Candidate], need: &Amounts, count: i64) -> Vec<(usize, i64)> {
     best_fit_of(candidates, need, count, NO_PER_MACHINE_CAP)
 }
 
-/// The same with no more than so many tasks on each machine, for what should
-/// not all be lost with one.
+/// As [`best_fit`], with no more than `max_per_machine` tasks (and at least one)
+/// on each machine, so that the loss of one machine does not take all of them.
 pub fn best_fit_of(
     candidates: &[Candidate],
     need: &Amounts,
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -1,32 +1,39 @@
-//! Which running work gives way to work that may displace it.
+//! Preemption: which running tasks of one machine give way so that a waiting
+//! task fits there.
 
 use crate::{Amounts, Need, Resident, Slot};
 use std::time::Duration;
 
-/// What entitles a waiting task to displace others.
+/// What entitles a waiting task to preempt running ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
     /// The waiting job's rank; lower numbers go first.
     pub rank: u8,
-    /// Whether it lies within its team's guarantee.
+    /// Whether it lies within its team's guaranteed quota.
     pub within_guarantee: bool,
 }
 
-/// Tasks to stop on a machine so that a waiting task fits there.
+/// The tasks to preempt on one machine so that a waiting task fits there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Victims {
-    /// Indices into the residents.
+    /// Indices into the residents given to [`pick_victims`].
     pub residents: Vec<usize>,
-    /// Machine time that is lost.
+    /// Machine time that is lost with them, summed.
     pub lost: Duration,
-    /// How long it takes until the room is free.
+    /// How long until their room is free: the longest time that any of them
+    /// takes to save a checkpoint.
     pub delay: Duration,
 }
 
 /// What has to give way on one machine so that a waiting task fits, losing as
 /// little work as can be, and no more than `limit` with any one task. A resident
-/// may be displaced by a higher rank, or if its team is beyond its guarantee and
-/// the waiting task within its own. What is leaving counts as room already.
+/// may be preempted by a higher rank, or if its team is beyond its guaranteed
+/// quota and the waiting task within its own. What is leaving counts as room
+/// already.
+///
+/// Returns `None` if the machine is not open, the task is not allowed there or
+/// larger than its capacity, the task fits without preempting anything, or no
+/// choice within these rules makes room.
 pub fn pick_victims(
     slot: &Slot,
     residents: &[Resident],
--- a/crates/dapplecroft-sched/src/progress.rs
+++ b/crates/dapplecroft-sched/src/progress.rs
@@ -1,13 +1,13 @@
-//! What stopping a task would lose.
+//! Checkpoint progress: how much machine time stopping a task would lose.
 
 use std::time::Duration;
 
-/// How a task saves its progress.
+/// How a task saves checkpoints of its progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Checkpoints {
-    /// Interval of progress after which it saves by itself.
+    /// Run time after which it saves a checkpoint by itself.
     pub interval: Duration,
-    /// Time that it takes to save when it is stopped.
+    /// Time that it takes to save a checkpoint when it is stopped.
     pub save_time: Duration,
 }
 
@@ -18,7 +18,7 @@
     pub age: Duration,
     /// Time since it was first seen running; none: it has still no image.
     pub running: Option<Duration>,
-    /// How it saves, if it does.
+    /// How it saves checkpoints; `None`: it does not.
     pub checkpoints: Option<Checkpoints>,
     /// Whether it began anew there, rather than from an earlier checkpoint.
     pub first_attempt: bool,
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -1,5 +1,6 @@
-//! Adaptive repacking: one underfilled machine of young tasks is drained into
-//! fuller ones so that a waiting task, which fits nowhere, can start there.
+//! Repacking: the young tasks of one underfilled machine are moved onto fuller
+//! machines by graceful eviction, so that a waiting task that fits nowhere can
+//! start there.
 
 use crate::{Need, Slot};
 use std::sync::Arc;
@@ -9,10 +10,10 @@
 /// refused for a rounding error of the float division.
 const SHARE_CAP_TOLERANCE: f64 = 1e-9;
 
-/// A task on a machine.
+/// A task running on a machine, as preemption and repacking see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resident {
-    /// Index of its slot.
+    /// Index of its machine in the slots.
     pub slot: usize,
     /// What it needs.
     pub need: Arc<Need>,
@@ -28,44 +29,46 @@
     pub leaving: bool,
     /// Its job's rank; lower numbers go first.
     pub rank: u8,
-    /// Whether its team runs beyond its guarantee.
+    /// Whether its team uses more than its guaranteed quota.
     pub beyond_guarantee: bool,
 }
 
-/// The rules of a drain.
+/// The bounds of a repack.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainRules {
-    /// Machines up to this share may be drained.
+    /// Machines whose dominant booked share is at most this fraction may be
+    /// emptied.
     pub trigger: f64,
-    /// No machine is filled beyond this share: min{theta, Umax}.
+    /// No machine is filled beyond this dominant share: min{theta, Umax}.
     pub cap: f64,
-    /// No task that has been there longer is moved.
+    /// No task that has been on its machine longer than this is moved.
     pub oldest: Duration,
 }
 
-/// A task's move.
+/// One task's move onto another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskMove {
     /// Index into the residents.
     pub resident: usize,
-    /// Index of the slot that it goes to.
+    /// Index of the machine in the slots that it goes to.
     pub to: usize,
 }
 
-/// A machine to drain.
+/// A machine to empty by graceful eviction, and where its tasks go.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RepackPlan {
-    /// Index of the slot that is emptied.
+    /// Index of the machine in the slots that is emptied.
     pub slot: usize,
-    /// Index of the waiting task that takes it.
+    /// Index into the waiting tasks of the one that takes it.
     pub waiting: usize,
     /// Where its tasks go.
     pub moves: Vec<TaskMove>,
 }
 
-/// Looks for a machine to drain for the first of the waiting tasks that one can
+/// Looks for a machine to empty for the first of the waiting tasks that one can
 /// help. Waiting tasks are given in the order in which they should start; all
-/// of them fit nowhere now.
+/// of them fit nowhere now. Returns `None` if no machine can be emptied for any
+/// of them within `rules`.
 pub fn plan_drain(
     waiting: &[Need],
     slots: &[Slot],
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -1,4 +1,4 @@
-//! Team guarantees and limits.
+//! Team quotas: each team's guarantee and limit, and what its tasks use.
 
 use crate::Amounts;
 use std::collections::BTreeMap;
@@ -9,25 +9,26 @@
 /// The headroom under no limit.
 const UNLIMITED_HEADROOM: i64 = i64::MAX;
 
-/// One team's guarantee, limit and use.
+/// One team's quota: its guarantee, its limit and its use.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TeamBook {
-    /// Guaranteed amounts (memory is not counted).
+    /// Guaranteed CPUs and GPUs; memory is not counted.
     pub guarantee: Amounts,
-    /// Limits; 0 means none.
+    /// Limits on CPUs and GPUs; 0 in a resource means none there.
     pub limit: Amounts,
     /// What its tasks take now, those not proven gone included.
     pub used: Amounts,
 }
 
 impl TeamBook {
-    /// Whether a task may start without exceeding the limit.
+    /// Whether a task of this size may start without exceeding a limit.
     pub fn allocates(&self, task: &Amounts) -> bool {
         let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
         ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
     }
 
-    /// How many tasks of this size the limit still lets start.
+    /// How many more tasks of this size the limits let start; `i64::MAX` if
+    /// none binds.
     pub fn headroom(&self, task: &Amounts) -> i64 {
         let part = |used: i64, more: i64, limit: i64| {
             if limit == NO_LIMIT || more == 0 { UNLIMITED_HEADROOM } else { ((limit - used) / more).max(0) }
@@ -35,7 +36,7 @@
         part(self.used.cpus, task.cpus, self.limit.cpus).min(part(self.used.gpus, task.gpus, self.limit.gpus))
     }
 
-    /// Whether `total` lies within the guarantee.
+    /// Whether `total` lies within the guarantee; false for a team without one.
     pub fn guarantees(&self, total: &Amounts) -> bool {
         let any = self.guarantee.cpus > 0 || self.guarantee.gpus > 0;
         any && total.cpus <= self.guarantee.cpus && total.gpus <= self.guarantee.gpus
@@ -47,14 +48,14 @@
     }
 }
 
-/// All teams.
+/// The quotas and use of all teams, by name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Teams {
     by_name: BTreeMap<String, TeamBook>,
 }
 
 impl Teams {
-    /// Teams with nothing used.
+    /// Teams from `(name, guarantee, limit)`, with nothing used.
     pub fn new(teams: impl IntoIterator<Item = (String, Amounts, Amounts)>) -> Self {
         let by_name = teams
             .into_iter()
@@ -63,7 +64,7 @@
         Teams { by_name }
     }
 
-    /// A team's book.
+    /// A team's quota and use; `None` for a team that is not known.
     pub fn get(&self, name: &str) -> Option<&TeamBook> {
         self.by_name.get(name)
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Counts a task out.
+    /// Counts a task out; a team that is not known is left alone.
     pub fn unbook(&mut self, name: &str, task: Amounts) {
         if let Some(book) = self.by_name.get_mut(name) {
             book.used -= task;
