--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -134,31 +134,38 @@
 /// many found none.
 fn pack_onto_pending_machines(pending: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
     let mut order: Vec<usize> = (0..pending.len())
-        .filter(|&i| {
-            let r = &pending[i];
-            r.count > 0 && need.allows(&r.machine_type, &r.zone, r.spot) && need.amounts.fits(&r.room)
+        .filter(|&group| {
+            let machines = &pending[group];
+            machines.count > 0
+                && need.allows(&machines.machine_type, &machines.zone, machines.spot)
+                && need.amounts.fits(&machines.room)
         })
         .collect();
-    order.sort_by_key(|&i| (pending[i].room.cpus, pending[i].room.memory, i));
-    let mut left = count;
-    for i in order {
-        if left <= 0 {
+    order.sort_by_key(|&group| (pending[group].room.cpus, pending[group].room.memory, group));
+    let mut remaining = count;
+    for group in order {
+        if remaining <= 0 {
             break;
         }
-        let each = need.amounts.times_in(&pending[i].room).max(1);
-        let full = (left / each).min(pending[i].count);
-        let part = if full < pending[i].count { left - full * each } else { 0 };
-        let (room, old) = (pending[i].room, pending[i].clone());
-        pending[i].count -= full + i64::from(part > 0);
-        left -= full * each + part;
-        if full > 0 {
-            pending.push(Rooms { room: room - need.amounts.times(each), count: full, ..old.clone() });
+        let per_machine = need.amounts.times_in(&pending[group].room).max(1);
+        let full_machines = (remaining / per_machine).min(pending[group].count);
+        let on_partial_machine =
+            if full_machines < pending[group].count { remaining - full_machines * per_machine } else { 0 };
+        let (room, original) = (pending[group].room, pending[group].clone());
+        pending[group].count -= full_machines + i64::from(on_partial_machine > 0);
+        remaining -= full_machines * per_machine + on_partial_machine;
+        if full_machines > 0 {
+            pending.push(Rooms {
+                room: room - need.amounts.times(per_machine),
+                count: full_machines,
+                ..original.clone()
+            });
         }
-        if part > 0 {
-            pending.push(Rooms { room: room - need.amounts.times(part), count: 1, ..old });
+        if on_partial_machine > 0 {
+            pending.push(Rooms { room: room - need.amounts.times(on_partial_machine), count: 1, ..original });
         }
     }
-    left
+    remaining
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -46,42 +46,43 @@
         return None;
     }
     let mut candidates: Vec<usize> = (0..residents.len())
-        .filter(|&r| {
-            let resident = &residents[r];
+        .filter(|&index| {
+            let resident = &residents[index];
             !resident.leaving
                 && resident.loss <= limit
                 && (claim.rank < resident.rank || (claim.within_guarantee && resident.beyond_guarantee))
         })
         .collect();
     // The waiting task has to wait while one that gives way saves.
-    candidates.sort_by_key(|&r| (residents[r].loss + residents[r].save_time, r));
-    let leaving: Amounts = residents.iter().filter(|r| r.leaving).map(|r| r.need.amounts).sum();
+    candidates.sort_by_key(|&index| (residents[index].loss + residents[index].save_time, index));
+    let leaving: Amounts =
+        residents.iter().filter(|resident| resident.leaving).map(|resident| resident.need.amounts).sum();
     let mut room = slot.room() + leaving;
     let mut chosen = Vec::new();
     let mut lost = Duration::ZERO;
-    for r in candidates {
+    for index in candidates {
         if need.amounts.fits(&room) {
             break;
         }
-        room += residents[r].need.amounts;
-        lost += residents[r].loss;
-        chosen.push(r);
+        room += residents[index].need.amounts;
+        lost += residents[index].loss;
+        chosen.push(index);
     }
     if chosen.is_empty() || !need.amounts.fits(&room) {
         return None;
     }
     // What turned out not to be needed stays.
     let mut kept = Vec::new();
-    for &r in chosen.iter().rev() {
-        let without: Amounts = room - residents[r].need.amounts;
+    for &index in chosen.iter().rev() {
+        let without: Amounts = room - residents[index].need.amounts;
         if need.amounts.fits(&without) {
             room = without;
-            lost = lost.saturating_sub(residents[r].loss);
+            lost = lost.saturating_sub(residents[index].loss);
         } else {
-            kept.push(r);
+            kept.push(index);
         }
     }
-    let delay = kept.iter().map(|&r| residents[r].save_time).max().unwrap_or_default();
+    let delay = kept.iter().map(|&index| residents[index].save_time).max().unwrap_or_default();
     Some(Victims { residents: kept, lost, delay })
 }
 
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -33,13 +33,13 @@
 #[test]
 fn a_task_within_quota_preempts_one_over_quota() {
     let slot = slot("a", 16.0, 16.0);
-    let mut borrowed = ranked(0, 16.0, 0, 50);
+    let mut over_quota_task = ranked(0, 16.0, 0, 50);
     let claim = Claim { rank: 3, within_guarantee: true };
     let hour = Duration::from_secs(3600);
     let find = |r: &Resident| pick_victims(&slot, std::slice::from_ref(r), &need(4.0), claim, hour);
-    assert_eq!(find(&borrowed), None);
-    borrowed.beyond_guarantee = true;
-    assert!(find(&borrowed).is_some());
+    assert_eq!(find(&over_quota_task), None);
+    over_quota_task.beyond_guarantee = true;
+    assert!(find(&over_quota_task).is_some());
 }
 
 // What a stop loses was taken for the time since the start: a task that saves every
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -80,14 +80,14 @@
     let mut candidate_machines: Vec<(Duration, usize)> = slots
         .iter()
         .enumerate()
-        .filter(|(_, s)| s.open && s.booked != Default::default() && s.share() <= rules.trigger)
+        .filter(|(_, slot)| slot.open && slot.booked != Default::default() && slot.share() <= rules.trigger)
         .filter_map(|(index, _)| {
             let mut total = Duration::ZERO;
-            for r in residents.iter().filter(|r| r.slot == index) {
-                if !r.movable || r.leaving || r.age > rules.oldest {
+            for resident in residents.iter().filter(|resident| resident.slot == index) {
+                if !resident.movable || resident.leaving || resident.age > rules.oldest {
                     return None;
                 }
-                total += r.loss;
+                total += resident.loss;
             }
             Some((total, index))
         })
@@ -118,13 +118,13 @@
     residents: &[Resident],
     cap: f64,
 ) -> Option<Vec<TaskMove>> {
-    let mut booked: Vec<_> = slots.iter().map(|s| s.booked).collect();
-    let mut tasks: Vec<usize> = (0..residents.len()).filter(|&r| residents[r].slot == from).collect();
-    let size = |r: usize| residents[r].need.amounts.share_of(&slots[from].capacity);
+    let mut booked: Vec<_> = slots.iter().map(|slot| slot.booked).collect();
+    let mut tasks: Vec<usize> = (0..residents.len()).filter(|&task| residents[task].slot == from).collect();
+    let size = |task: usize| residents[task].need.amounts.share_of(&slots[from].capacity);
     tasks.sort_by(|&a, &b| size(b).total_cmp(&size(a)).then(a.cmp(&b)));
     let mut moves = Vec::new();
-    for r in tasks {
-        let need = &residents[r].need;
+    for task in tasks {
+        let need = &residents[task].need;
         let mut best: Option<(f64, usize)> = None;
         for (index, slot) in slots.iter().enumerate() {
             let allowed = need.allows(&slot.machine_type, &slot.zone, slot.spot);
@@ -138,13 +138,13 @@
                 continue;
             }
             let fullness = booked[index].share_of(&slot.capacity);
-            if best.is_none_or(|(b, _)| fullness > b) {
+            if best.is_none_or(|(best_fullness, _)| fullness > best_fullness) {
                 best = Some((fullness, index));
             }
         }
         let (_, to) = best?;
         booked[to] += need.amounts;
-        moves.push(TaskMove { resident: r, to });
+        moves.push(TaskMove { resident: task, to });
     }
     Some(moves)
 }
