--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -109,7 +109,8 @@
             };
             let offer = &offers[index];
             let each = need.amounts.times_in(&offer.capacity).max(1);
-            // A last machine that would stay partly empty is chosen by itself.
+            // A last machine that would stay partly empty is planned by itself, so
+            // that its leftover room is kept for the smaller demands that follow.
             let full = (left / each).max(1).min(i64::from(max_machines - planned));
             let here = (full * each).min(left);
             *counts.entry(index).or_default() += full as u32;
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -174,7 +174,8 @@
         .map(|(index, candidate)| FitScore::new(index, candidate, need))
         .collect();
     let best_first = |a: &FitScore, b: &FitScore| b.compare(a);
-    // Only as many machines as there are tasks can be needed.
+    // Only as many machines as there are tasks can be needed, so selecting the
+    // best `count` spares sorting all candidates of a large fleet.
     let max_machines = usize::try_from(count.max(0)).unwrap_or(usize::MAX);
     if max_machines == 0 {
         return Vec::new();
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -53,7 +53,8 @@
                 && (claim.rank < resident.rank || (claim.within_guarantee && resident.beyond_guarantee))
         })
         .collect();
-    // The waiting task has to wait while one that gives way saves.
+    // A preempted task saves its checkpoint before its room is free, and the
+    // waiting task waits for that, so the save time counts with the loss.
     candidates.sort_by_key(|&index| (residents[index].loss + residents[index].save_time, index));
     let leaving: Amounts =
         residents.iter().filter(|resident| resident.leaving).map(|resident| resident.need.amounts).sum();
@@ -71,7 +72,8 @@
     if chosen.is_empty() || !need.amounts.fits(&room) {
         return None;
     }
-    // What turned out not to be needed stays.
+    // A task chosen early may have become unneeded once larger ones were added;
+    // it keeps running, so that no more work is lost than the fit requires.
     let mut kept = Vec::new();
     for &index in chosen.iter().rev() {
         let without: Amounts = room - residents[index].need.amounts;
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -43,7 +43,7 @@
 }
 
 // What a stop loses was taken for the time since the start: a task that saves every
-// 20 s could not be displaced after a minute, and younger ones that lost all were.
+// 20 s could not be preempted after a minute, and younger ones that lost all were.
 #[test]
 fn an_old_task_that_saves_gives_way_before_a_younger_one_that_does_not() {
     let slot = slot("b", 16.0, 16.0);
