--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -1,4 +1,5 @@
-//! How many machines of which kind to rent for work that fits nowhere.
+//! Fleet sizing: how many machines of which kind to scale out by, spot
+//! instances included, for tasks that fit on no machine.
 
 use crate::{Amounts, Need};
 use std::collections::BTreeMap;
@@ -8,42 +9,44 @@
 pub struct Demand {
     /// What each needs.
     pub need: Need,
-    /// How many.
+    /// How many tasks.
     pub count: i64,
     /// Whether they can't wait for the cheapest machine: the one that is up
     /// soonest is taken.
     pub fastest: bool,
 }
 
-/// A kind of machine that can be asked for.
+/// A kind of machine that the cloud can start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot or preemptible instance.
     pub spot: bool,
     /// What it has.
     pub capacity: Amounts,
-    /// Price per hour now.
+    /// Current price per machine and hour.
     pub price: f64,
-    /// Usual boot time in seconds.
+    /// Usual boot time, in seconds.
     pub boot_s: f64,
 }
 
-/// Machines to rent.
+/// A scale-out request: machines of one offer to start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
-    /// Index of the offer.
+    /// Index into the offers given to [`plan_rentals`].
     pub offer: usize,
-    /// How many.
+    /// How many machines.
     pub count: u32,
 }
 
-/// The offer for `count` tasks of this need: the cheapest per task if thrift is
-/// asked for, else the one that is up soonest and serves most.
-pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, thrift: bool) -> Option<usize> {
+/// The offer for `count` tasks of this need: the cheapest per task if
+/// `prefer_cheapest`, else the one that is up soonest and serves most.
+/// Returns an index into `offers`; `None` if no offer is allowed for the need
+/// or has room for one of its tasks.
+pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, prefer_cheapest: bool) -> Option<usize> {
     let mut best: Option<(usize, (f64, f64))> = None;
     for (index, offer) in offers.iter().enumerate() {
         if !need.allows(&offer.machine_type, &offer.zone, offer.spot) {
@@ -54,7 +57,7 @@
             continue;
         }
         let per_task = offer.price / fit as f64;
-        let key = if thrift { (per_task, offer.boot_s) } else { (offer.boot_s, per_task) };
+        let key = if prefer_cheapest { (per_task, offer.boot_s) } else { (offer.boot_s, per_task) };
         if best.as_ref().is_none_or(|(_, b)| key < *b) {
             best = Some((index, key));
         }
@@ -62,55 +65,60 @@
     best.map(|(index, _)| index)
 }
 
-/// Equal machines that are not taking work yet, with the room on each.
+/// Equal machines that are still booting and so take no work yet, with the room
+/// left on each.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rooms {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether they are spot or preemptible instances.
     pub spot: bool,
-    /// Room on each.
+    /// Room left on each.
     pub room: Amounts,
-    /// How many there are.
+    /// How many machines there are.
     pub count: i64,
 }
 
-/// Packs the demands onto the machines that are still coming, and returns what
-/// to rent for the rest, up to `most` machines. `offers` are those not backed
-/// off from. Equal machines are counted, not listed, so that the work grows
-/// with the demands and not with the fleet.
+/// Packs the demands, largest first, onto the machines that are still booting,
+/// and plans a scale-out for the rest: no more than `max_machines` machines in
+/// all, one [`Rental`] per offer, in the order of the offers. `offers` are those
+/// not backed off from. Equal machines are counted, not listed, so that the work
+/// grows with the demands and not with the fleet.
 pub fn plan_rentals(
     demands: &[Demand],
-    coming: Vec<Rooms>,
+    booting: Vec<Rooms>,
     offers: &[Offer],
-    thrift: bool,
-    most: u32,
+    prefer_cheapest: bool,
+    max_machines: u32,
 ) -> Vec<Rental> {
-    let mut rooms = coming;
+    let mut pending = booting;
     let mut order: Vec<&Demand> = demands.iter().collect();
     order.sort_by_key(|d| {
         std::cmp::Reverse((d.need.amounts.cpus, d.need.amounts.gpus, d.need.amounts.memory))
     });
     let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-    let mut total = 0;
+    let mut planned = 0;
     for demand in order {
         let need = &demand.need;
-        let mut left = pack(&mut rooms, need, demand.count);
-        while left > 0 && total < most {
-            let Some(index) = cheapest_offer(offers, need, left, thrift && !demand.fastest) else { break };
+        let mut left = pack_onto_pending_machines(&mut pending, need, demand.count);
+        while left > 0 && planned < max_machines {
+            let Some(index) = cheapest_offer(offers, need, left, prefer_cheapest && !demand.fastest) else {
+                break;
+            };
             let offer = &offers[index];
             let each = need.amounts.times_in(&offer.capacity).max(1);
-            // A last machine that would stay partly empty is chosen by itself.
-            let full = (left / each).max(1).min(i64::from(most - total));
+            // A last machine that would stay partly empty is planned by itself, so
+            // that its leftover room is kept for the smaller demands that follow.
+            let full = (left / each).max(1).min(i64::from(max_machines - planned));
             let here = (full * each).min(left);
             *counts.entry(index).or_default() += full as u32;
-            total += full as u32;
+            planned += full as u32;
             left -= here;
             let rest = full * each - here;
             if rest > 0 || need.amounts.times(each) != offer.capacity {
-                rooms.push(Rooms {
+                pending.push(Rooms {
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -125,33 +133,40 @@
 
 /// Takes room for up to `count` tasks, the tightest room first, and returns how
 /// many found none.
-fn pack(rooms: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
-    let mut order: Vec<usize> = (0..rooms.len())
-        .filter(|&i| {
-            let r = &rooms[i];
-            r.count > 0 && need.allows(&r.machine_type, &r.zone, r.spot) && need.amounts.fits(&r.room)
+fn pack_onto_pending_machines(pending: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
+    let mut order: Vec<usize> = (0..pending.len())
+        .filter(|&group| {
+            let machines = &pending[group];
+            machines.count > 0
+                && need.allows(&machines.machine_type, &machines.zone, machines.spot)
+                && need.amounts.fits(&machines.room)
         })
         .collect();
-    order.sort_by_key(|&i| (rooms[i].room.cpus, rooms[i].room.memory, i));
-    let mut left = count;
-    for i in order {
-        if left <= 0 {
+    order.sort_by_key(|&group| (pending[group].room.cpus, pending[group].room.memory, group));
+    let mut remaining = count;
+    for group in order {
+        if remaining <= 0 {
             break;
         }
-        let each = need.amounts.times_in(&rooms[i].room).max(1);
-        let full = (left / each).min(rooms[i].count);
-        let part = if full < rooms[i].count { left - full * each } else { 0 };
-        let (room, old) = (rooms[i].room, rooms[i].clone());
-        rooms[i].count -= full + i64::from(part > 0);
-        left -= full * each + part;
-        if full > 0 {
-            rooms.push(Rooms { room: room - need.amounts.times(each), count: full, ..old.clone() });
+        let per_machine = need.amounts.times_in(&pending[group].room).max(1);
+        let full_machines = (remaining / per_machine).min(pending[group].count);
+        let on_partial_machine =
+            if full_machines < pending[group].count { remaining - full_machines * per_machine } else { 0 };
+        let (room, original) = (pending[group].room, pending[group].clone());
+        pending[group].count -= full_machines + i64::from(on_partial_machine > 0);
+        remaining -= full_machines * per_machine + on_partial_machine;
+        if full_machines > 0 {
+            pending.push(Rooms {
+                room: room - need.amounts.times(per_machine),
+                count: full_machines,
+                ..original.clone()
+            });
         }
-        if part > 0 {
-            rooms.push(Rooms { room: room - need.amounts.times(part), count: 1, ..old });
+        if on_partial_machine > 0 {
+            pending.push(Rooms { room: room - need.amounts.times(on_partial_machine), count: 1, ..original });
         }
     }
-    left
+    remaining
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -1,5 +1,7 @@
-//! The decisions of dapplecroft, without any input or output: dominant shares,
-//! best fit decreasing, team limits, preemption, repacking and fleet sizing.
+//! The scheduling decisions of dapplecroft, without any input or output:
+//! dominant resource shares, bin packing by best fit decreasing, team quotas,
+//! preemption, repacking by graceful eviction, fleet sizing (scale out, spot
+//! instances) and the progress that checkpoints keep.
 //! Everything is deterministic: the same arguments give the same decision.
 
 mod amounts;
@@ -15,5 +17,5 @@
 pub use place::{Candidate, HasImage, Need, Slot, best_fit, best_fit_of};
 pub use preempt::{Claim, Victims, pick_victims};
 pub use progress::{Checkpoints, Progress};
-pub use repack::{DrainPlan, DrainRules, Move, Resident, plan_drain};
+pub use repack::{DrainRules, RepackPlan, Resident, TaskMove, plan_drain};
 pub use teams::{TeamBook, Teams};
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -1,32 +1,39 @@
-//! Which running work gives way to work that may displace it.
+//! Preemption: which running tasks of one machine give way so that a waiting
+//! task fits there.
 
 use crate::{Amounts, Need, Resident, Slot};
 use std::time::Duration;
 
-/// What entitles a waiting task to displace others.
+/// What entitles a waiting task to preempt running ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
     /// The waiting job's rank; lower numbers go first.
     pub rank: u8,
-    /// Whether it lies within its team's guarantee.
+    /// Whether it lies within its team's guaranteed quota.
     pub within_guarantee: bool,
 }
 
-/// Tasks to stop on a machine so that a waiting task fits there.
+/// The tasks to preempt on one machine so that a waiting task fits there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Victims {
-    /// Indices into the residents.
+    /// Indices into the residents given to [`pick_victims`].
     pub residents: Vec<usize>,
-    /// Machine time that is lost.
+    /// Machine time that is lost with them, summed.
     pub lost: Duration,
-    /// How long it takes until the room is free.
+    /// How long until their room is free: the longest time that any of them
+    /// takes to save a checkpoint.
     pub delay: Duration,
 }
 
 /// What has to give way on one machine so that a waiting task fits, losing as
 /// little work as can be, and no more than `limit` with any one task. A resident
-/// may be displaced by a higher rank, or if its team is beyond its guarantee and
-/// the waiting task within its own. What is leaving counts as room already.
+/// may be preempted by a higher rank, or if its team is beyond its guaranteed
+/// quota and the waiting task within its own. What is leaving counts as room
+/// already.
+///
+/// Returns `None` if the machine is not open, the task is not allowed there or
+/// larger than its capacity, the task fits without preempting anything, or no
+/// choice within these rules makes room.
 pub fn pick_victims(
     slot: &Slot,
     residents: &[Resident],
@@ -39,42 +46,45 @@
         return None;
     }
     let mut candidates: Vec<usize> = (0..residents.len())
-        .filter(|&r| {
-            let resident = &residents[r];
+        .filter(|&index| {
+            let resident = &residents[index];
             !resident.leaving
                 && resident.loss <= limit
                 && (claim.rank < resident.rank || (claim.within_guarantee && resident.beyond_guarantee))
         })
         .collect();
-    // The waiting task has to wait while one that gives way saves.
-    candidates.sort_by_key(|&r| (residents[r].loss + residents[r].save_time, r));
-    let leaving: Amounts = residents.iter().filter(|r| r.leaving).map(|r| r.need.amounts).sum();
+    // A preempted task saves its checkpoint before its room is free, and the
+    // waiting task waits for that, so the save time counts with the loss.
+    candidates.sort_by_key(|&index| (residents[index].loss + residents[index].save_time, index));
+    let leaving: Amounts =
+        residents.iter().filter(|resident| resident.leaving).map(|resident| resident.need.amounts).sum();
     let mut room = slot.room() + leaving;
     let mut chosen = Vec::new();
     let mut lost = Duration::ZERO;
-    for r in candidates {
+    for index in candidates {
         if need.amounts.fits(&room) {
             break;
         }
-        room += residents[r].need.amounts;
-        lost += residents[r].loss;
-        chosen.push(r);
+        room += residents[index].need.amounts;
+        lost += residents[index].loss;
+        chosen.push(index);
     }
     if chosen.is_empty() || !need.amounts.fits(&room) {
         return None;
     }
-    // What turned out not to be needed stays.
+    // A task chosen early may have become unneeded once larger ones were added;
+    // it keeps running, so that no more work is lost than the fit requires.
     let mut kept = Vec::new();
-    for &r in chosen.iter().rev() {
-        let without: Amounts = room - residents[r].need.amounts;
+    for &index in chosen.iter().rev() {
+        let without: Amounts = room - residents[index].need.amounts;
         if need.amounts.fits(&without) {
             room = without;
-            lost = lost.saturating_sub(residents[r].loss);
+            lost = lost.saturating_sub(residents[index].loss);
         } else {
-            kept.push(r);
+            kept.push(index);
         }
     }
-    let delay = kept.iter().map(|&r| residents[r].save_time).max().unwrap_or_default();
+    let delay = kept.iter().map(|&index| residents[index].save_time).max().unwrap_or_default();
     Some(Victims { residents: kept, lost, delay })
 }
 
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nothing_more_is_stopped_where_enough_is_leaving() {
+fn nothing_more_is_preempted_where_enough_is_leaving() {
     let mut leaves = ranked(0, 8.0, 2, 10);
     leaves.leaving = true;
     let residents = [leaves, ranked(0, 8.0, 2, 5)];
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn a_guarantee_displaces_what_another_team_borrowed() {
+fn a_task_within_quota_preempts_one_over_quota() {
     let slot = slot("a", 16.0, 16.0);
-    let mut borrowed = ranked(0, 16.0, 0, 50);
+    let mut over_quota_task = ranked(0, 16.0, 0, 50);
     let claim = Claim { rank: 3, within_guarantee: true };
     let hour = Duration::from_secs(3600);
     let find = |r: &Resident| pick_victims(&slot, std::slice::from_ref(r), &need(4.0), claim, hour);
-    assert_eq!(find(&borrowed), None);
-    borrowed.beyond_guarantee = true;
-    assert!(find(&borrowed).is_some());
+    assert_eq!(find(&over_quota_task), None);
+    over_quota_task.beyond_guarantee = true;
+    assert!(find(&over_quota_task).is_some());
 }
 
 // What a stop loses was taken for the time since the start: a task that saves every
-// 20 s could not be displaced after a minute, and younger ones that lost all were.
+// 20 s could not be preempted after a minute, and younger ones that lost all were.
 #[test]
 fn an_old_task_that_saves_gives_way_before_a_younger_one_that_does_not() {
     let slot = slot("b", 16.0, 16.0);
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -1,14 +1,19 @@
-//! Adaptive repacking: one underfilled machine of young tasks is drained into
-//! fuller ones so that a waiting task, which fits nowhere, can start there.
+//! Repacking: the young tasks of one underfilled machine are moved onto fuller
+//! machines by graceful eviction, so that a waiting task that fits nowhere can
+//! start there.
 
 use crate::{Need, Slot};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A task on a machine.
+/// Slack on the share cap, so that a machine filled exactly to the cap is not
+/// refused for a rounding error of the float division.
+const SHARE_CAP_TOLERANCE: f64 = 1e-9;
+
+/// A task running on a machine, as preemption and repacking see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resident {
-    /// Index of its slot.
+    /// Index of its machine in the slots.
     pub slot: usize,
     /// What it needs.
     pub need: Arc<Need>,
@@ -24,70 +29,72 @@
     pub leaving: bool,
     /// Its job's rank; lower numbers go first.
     pub rank: u8,
-    /// Whether its team runs beyond its guarantee.
+    /// Whether its team uses more than its guaranteed quota.
     pub beyond_guarantee: bool,
 }
 
-/// The rules of a drain.
+/// The bounds of a repack.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainRules {
-    /// Machines up to this share may be drained.
+    /// Machines whose dominant booked share is at most this fraction may be
+    /// emptied.
     pub trigger: f64,
-    /// No machine is filled beyond this share: min{theta, Umax}.
+    /// No machine is filled beyond this dominant share: min{theta, Umax}.
     pub cap: f64,
-    /// No task that has been there longer is moved.
+    /// No task that has been on its machine longer than this is moved.
     pub oldest: Duration,
 }
 
-/// A task's move.
+/// One task's move onto another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Move {
+pub struct TaskMove {
     /// Index into the residents.
     pub resident: usize,
-    /// Index of the slot that it goes to.
+    /// Index of the machine in the slots that it goes to.
     pub to: usize,
 }
 
-/// A machine to drain.
+/// A machine to empty by graceful eviction, and where its tasks go.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DrainPlan {
-    /// Index of the slot that is emptied.
+pub struct RepackPlan {
+    /// Index of the machine in the slots that is emptied.
     pub slot: usize,
-    /// Index of the waiting task that takes it.
+    /// Index into the waiting tasks of the one that takes it.
     pub waiting: usize,
     /// Where its tasks go.
-    pub moves: Vec<Move>,
+    pub moves: Vec<TaskMove>,
 }
 
-/// Looks for a machine to drain for the first of the waiting tasks that one can
+/// Looks for a machine to empty for the first of the waiting tasks that one can
 /// help. Waiting tasks are given in the order in which they should start; all
-/// of them fit nowhere now.
+/// of them fit nowhere now. Returns `None` if no machine can be emptied for any
+/// of them within `rules`.
 pub fn plan_drain(
     waiting: &[Need],
     slots: &[Slot],
     residents: &[Resident],
     rules: DrainRules,
-) -> Option<DrainPlan> {
+) -> Option<RepackPlan> {
     // The machine whose tasks lose least goes first: without checkpoints, the one
     // whose tasks have run least.
-    let mut victims: Vec<(Duration, usize)> = slots
+    let mut candidate_machines: Vec<(Duration, usize)> = slots
         .iter()
         .enumerate()
-        .filter(|(_, s)| s.open && s.booked != Default::default() && s.share() <= rules.trigger)
+        .filter(|(_, slot)| slot.open && slot.booked != Default::default() && slot.share() <= rules.trigger)
         .filter_map(|(index, _)| {
             let mut total = Duration::ZERO;
-            for r in residents.iter().filter(|r| r.slot == index) {
-                if !r.movable || r.leaving || r.age > rules.oldest {
+            for resident in residents.iter().filter(|resident| resident.slot == index) {
+                if !resident.movable || resident.leaving || resident.age > rules.oldest {
                     return None;
                 }
-                total += r.loss;
+                total += resident.loss;
             }
             Some((total, index))
         })
         .collect();
-    victims.sort();
+    candidate_machines.sort();
     for (position, need) in waiting.iter().enumerate() {
-        for &(_, index) in &victims {
+        for &(_, index) in &candidate_machines {
             let slot = &slots[index];
             let helps = need.allows(&slot.machine_type, &slot.zone, slot.spot)
                 && need.amounts.fits(&slot.capacity)
@@ -95,8 +102,8 @@
             if !helps {
                 continue;
             }
-            if let Some(moves) = pack_elsewhere(index, slots, residents, rules.cap) {
-                return Some(DrainPlan { slot: index, waiting: position, moves });
+            if let Some(moves) = pack_onto_other_machines(index, slots, residents, rules.cap) {
+                return Some(RepackPlan { slot: index, waiting: position, moves });
             }
         }
     }
@@ -105,14 +112,19 @@
 
 /// Moves all tasks of a slot, largest first, each onto the fullest other slot
 /// that takes it within the cap.
-fn pack_elsewhere(from: usize, slots: &[Slot], residents: &[Resident], cap: f64) -> Option<Vec<Move>> {
-    let mut booked: Vec<_> = slots.iter().map(|s| s.booked).collect();
-    let mut tasks: Vec<usize> = (0..residents.len()).filter(|&r| residents[r].slot == from).collect();
-    let size = |r: usize| residents[r].need.amounts.share_of(&slots[from].capacity);
+fn pack_onto_other_machines(
+    from: usize,
+    slots: &[Slot],
+    residents: &[Resident],
+    cap: f64,
+) -> Option<Vec<TaskMove>> {
+    let mut booked: Vec<_> = slots.iter().map(|slot| slot.booked).collect();
+    let mut tasks: Vec<usize> = (0..residents.len()).filter(|&task| residents[task].slot == from).collect();
+    let size = |task: usize| residents[task].need.amounts.share_of(&slots[from].capacity);
     tasks.sort_by(|&a, &b| size(b).total_cmp(&size(a)).then(a.cmp(&b)));
     let mut moves = Vec::new();
-    for r in tasks {
-        let need = &residents[r].need;
+    for task in tasks {
+        let need = &residents[task].need;
         let mut best: Option<(f64, usize)> = None;
         for (index, slot) in slots.iter().enumerate() {
             let allowed = need.allows(&slot.machine_type, &slot.zone, slot.spot);
@@ -122,17 +134,17 @@
             }
             let after = booked[index] + need.amounts;
             let share = after.share_of(&slot.capacity);
-            if !after.fits(&slot.capacity) || share > cap + 1e-9 {
+            if !after.fits(&slot.capacity) || share > cap + SHARE_CAP_TOLERANCE {
                 continue;
             }
             let fullness = booked[index].share_of(&slot.capacity);
-            if best.is_none_or(|(b, _)| fullness > b) {
+            if best.is_none_or(|(best_fullness, _)| fullness > best_fullness) {
                 best = Some((fullness, index));
             }
         }
         let (_, to) = best?;
         booked[to] += need.amounts;
-        moves.push(Move { resident: r, to });
+        moves.push(TaskMove { resident: task, to });
     }
     Some(moves)
 }
