--- /dev/null
+++ b/crates/dapplecroft-fakes/src/referee/answers.rs
@@ -0,0 +1,104 @@
+//! What users are told of their jobs, and the checks at the end of a day.
+
+use super::{Referee, Told};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A job about which no question is answered for so long after the end of all
+/// troubles is forgotten.
+const FORGOTTEN_AFTER: Duration = Duration::from_secs(75);
+/// Even the largest jobs must begin within this time.
+const BEGIN_WITHIN: Duration = Duration::from_secs(240);
+
+impl Referee {
+    /// What users have been told of a job so far; to be asked before a question
+    /// is sent, and handed to [`Referee::heard`] with its answer.
+    pub fn known(&self, id: &str) -> Told {
+        self.inner.lock().unwrap().told.get(id).cloned().unwrap_or_default()
+    }
+
+    /// A user heard this of a job, in answer to a question that was sent when so
+    /// much was known: nobody may say less, and nothing else once it is final.
+    pub fn heard(&self, id: &str, before: &Told, status: u16, stage: &str) {
+        let now = match (status, stage) {
+            (200 | 201, "done" | "withdrawn") => Told::Final(stage.into()),
+            (200 | 201, _) => Told::Accepted,
+            (404, _) => Told::Nothing,
+            _ => return,
+        };
+        let mut inner = self.inner.lock().unwrap();
+        let older = match before {
+            Told::Nothing => false,
+            Told::Accepted => now == Told::Nothing,
+            Told::Final(_) => now != *before,
+        };
+        if older {
+            inner.broken.push(format!("went_back: {id} is told to be {now:?} after {before:?}"));
+        }
+        let known = inner.told.entry(id.into()).or_default();
+        match (&known, &now) {
+            (Told::Final(old), Told::Final(new)) if old != new => {
+                let what = format!("went_back: {id} is told to be {new} and {old}");
+                inner.broken.push(what);
+            }
+            (Told::Final(_), _) | (Told::Accepted, Told::Nothing) => {}
+            _ => *known = now,
+        }
+    }
+
+    /// A user was told that a job is cancelled.
+    pub fn cancelled(&self, id: &str) {
+        self.inner.lock().unwrap().cancelled.insert(id.into(), Instant::now());
+    }
+
+    /// A user was told that a job is accepted.
+    pub fn accepted(&self, id: &str) {
+        self.inner.lock().unwrap().accepted.entry(id.into()).or_insert_with(Instant::now);
+    }
+
+    /// A user's question about a job was answered with what is known of it.
+    pub fn answered(&self, id: &str) {
+        self.inner.lock().unwrap().answered.insert(id.into(), Instant::now());
+    }
+
+    /// All troubles are over.
+    pub fn calm(&self) {
+        self.inner.lock().unwrap().calm = Some(Instant::now());
+    }
+
+    /// What is checked at the end of a day: jobs about which nothing was
+    /// answered since the troubles ended, jobs that began too late or not at
+    /// all, and teams of which less than half was begun.
+    pub fn day_ends(&self) -> Vec<String> {
+        let inner = self.inner.lock().unwrap();
+        let mut broken = Vec::new();
+        let mut teams: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+        for (id, at) in &inner.accepted {
+            if let Some(calm) = inner.calm
+                && calm.elapsed() > FORGOTTEN_AFTER
+                && inner.answered.get(id).is_none_or(|at| *at < calm)
+            {
+                broken.push(format!("forgotten: {id}"));
+            }
+            if inner.cancelled.contains_key(id) {
+                continue;
+            }
+            let began = inner.began.get(id);
+            if began.map_or(at.elapsed(), |b| *b - *at) > BEGIN_WITHIN {
+                broken.push(format!("late: {id} did not begin in time"));
+            }
+            if let Some((team, _)) = inner.jobs.get(id) {
+                let served = teams.entry(team).or_default();
+                served.0 += usize::from(began.is_some());
+                served.1 += 1;
+            }
+        }
+        for (team, (begun, all)) in teams {
+            if begun * 2 < all {
+                broken.push(format!("unserved: {begun} of {all} jobs of {team}"));
+            }
+        }
+        broken
+    }
+}
--- /dev/null
+++ b/crates/dapplecroft-fakes/src/referee/placement.rs
@@ -0,0 +1,36 @@
+//! Where the tasks of a job may run: zones and spread.
+
+use super::{Bound, Inner, Referee, job_of};
+
+impl Inner {
+    /// What is wrong with where a task starts, given the job's other tasks, those on
+    /// machines that nobody reaches too.
+    pub(super) fn misplaced(&self, task: &str, machine: &str) -> Option<String> {
+        let bound = self.bounds.get(job_of(task))?;
+        let zone_of = |machine: &str| self.zones.get(machine).cloned().unwrap_or_default();
+        let zone = zone_of(machine);
+        let others: Vec<String> = self
+            .on
+            .iter()
+            .filter(|(t, _)| *t != task && job_of(t) == job_of(task))
+            .map(|(_, m)| zone_of(m))
+            .collect();
+        let here = others.iter().filter(|z| **z == zone).count();
+        let wrong = bound.zone.as_ref().is_some_and(|z| *z != zone)
+            || (bound.same_place && here < others.len())
+            || bound.apart.is_some_and(|tasks| here + 1 > tasks.div_ceil(2));
+        wrong.then(|| format!("wrong_place: {task} starts in {zone}, others are in {others:?}"))
+    }
+}
+
+impl Referee {
+    /// A job's tasks may be there alone.
+    pub fn bind(&self, id: &str, bound: Bound) {
+        self.inner.lock().unwrap().bounds.insert(id.into(), bound);
+    }
+
+    /// A machine is in a zone.
+    pub fn zone(&self, machine: &str, zone: &str) {
+        self.inner.lock().unwrap().zones.insert(machine.into(), zone.into());
+    }
+}
--- /dev/null
+++ b/crates/dapplecroft-fakes/src/referee/quota.rs
@@ -0,0 +1,61 @@
+//! Team limits and machines' room: whether waiting jobs are neglected.
+
+use super::{Referee, job_of};
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A job that has not begun waits no longer than this while there is room.
+const NEGLECTED_AFTER: Duration = Duration::from_secs(90);
+
+impl Referee {
+    /// Makes a team's limit known.
+    pub fn limit(&self, team: &str, cpus: f64) {
+        self.inner.lock().unwrap().limits.insert(team.into(), cpus);
+    }
+
+    /// Makes a job known.
+    pub fn job(&self, id: &str, team: &str, cpus: f64) {
+        self.inner.lock().unwrap().jobs.insert(id.into(), (team.into(), cpus));
+    }
+
+    /// A machine is up that has so many processors, or (`None`) is gone.
+    pub fn machine(&self, id: &str, cpus: Option<f64>) {
+        let mut inner = self.inner.lock().unwrap();
+        match cpus {
+            Some(cpus) => inner.machines.insert(id.into(), cpus),
+            None => inner.machines.remove(id),
+        };
+    }
+
+    /// Jobs that have not begun and have waited for too long, all troubles being
+    /// over, while some machine had room for a task all that time and their team
+    /// was under its limit; to be asked again and again.
+    pub fn neglected(&self) -> Vec<String> {
+        let mut inner = self.inner.lock().unwrap();
+        let mut free = inner.machines.clone();
+        let mut used: HashMap<String, f64> = HashMap::new();
+        for (task, machine) in &inner.on {
+            let Some((team, cpus)) = inner.jobs.get(job_of(task)) else { continue };
+            *free.entry(machine.clone()).or_default() -= cpus;
+            *used.entry(team.clone()).or_default() += cpus;
+        }
+        let most = free.into_values().fold(0.0, f64::max);
+        let waits = |id: &&String| {
+            let Some((team, cpus)) = inner.jobs.get(*id) else { return false };
+            let under = inner
+                .limits
+                .get(team)
+                .is_none_or(|limit| used.get(team).copied().unwrap_or(0.0) + cpus <= limit + 1e-9);
+            !inner.began.contains_key(*id) && !inner.cancelled.contains_key(*id) && under && *cpus <= most
+        };
+        let waiting: Vec<String> = inner.accepted.keys().filter(waits).cloned().collect();
+        let Some(calm) = inner.calm else { return Vec::new() };
+        inner.neglected.retain(|id, _| waiting.contains(id));
+        for id in waiting {
+            inner.neglected.entry(id).or_insert_with(Instant::now);
+        }
+        let long = |at: &Instant| (*at).max(calm).elapsed() > NEGLECTED_AFTER;
+        inner.neglected.iter().filter(|(_, at)| long(at)).map(|(id, _)| id.clone()).collect()
+    }
+}
--- /dev/null
+++ b/crates/dapplecroft-fakes/src/state/leases.rs
@@ -0,0 +1,60 @@
+//! Leases: granted, renewed and revoked, and the keys dropped on lease expiry.
+
+use super::{FakeState, Inner, answer};
+use dapplecroft_net::Response;
+use http::Method;
+use serde_json::{Value, json};
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl FakeState {
+    pub(super) fn lease(&self, method: &Method, path: &str, body: &[u8]) -> Response {
+        let mut inner = self.inner.lock().unwrap();
+        if path == "/grants" {
+            let body: Value = serde_json::from_slice(body).unwrap();
+            let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
+            inner.next_lease += 1;
+            let id = inner.next_lease;
+            inner.leases.insert(id, (life, Instant::now() + life));
+            return answer(200, json!({"tenancy": id}));
+        }
+        let rest = path.trim_start_matches("/grants/");
+        let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
+        if *method == Method::DELETE {
+            if let Some((_, end)) = inner.leases.get_mut(&id) {
+                *end = Instant::now();
+            }
+            inner.expire();
+            return answer(200, json!({}));
+        }
+        match inner.leases.get_mut(&id) {
+            Some((life, end)) => {
+                *end = Instant::now() + *life;
+                answer(200, json!({}))
+            }
+            None => answer(404, json!({"error": "no such lease"})),
+        }
+    }
+}
+
+impl Inner {
+    pub(super) fn expire(&mut self) {
+        if self.outage {
+            return;
+        }
+        let now = Instant::now();
+        let ended: Vec<u64> =
+            self.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(id, _)| *id).collect();
+        for id in ended {
+            self.leases.remove(&id);
+            let keys: Vec<String> =
+                self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
+            for key in keys {
+                self.ledger += 1;
+                self.keys.remove(&key);
+                let stamp = self.ledger;
+                self.log.push((stamp, key, None));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/dapplecroft-fakes/src/state/reads.rs
@@ -0,0 +1,76 @@
+//! Reads: single keys, listings in pages, and watches of changes.
+
+use super::{FakeState, answer};
+use crate::net::Query;
+use dapplecroft_net::Response;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// The most keys of one page of a listing.
+const MAX_LISTED: usize = 1000;
+/// The most bytes of one page of a listing.
+const MAX_LISTED_BYTES: usize = 512 * 1024;
+
+impl FakeState {
+    pub(super) fn read(&self, path: &str) -> Response {
+        let inner = self.inner.lock().unwrap();
+        if let Some(key) = path.strip_prefix("/store/") {
+            return match inner.keys.get(key) {
+                Some(e) => {
+                    answer(200, json!({"k": key, "data": e.data, "stamp": e.stamp, "tenancy": e.lease}))
+                }
+                None => answer(404, json!({"ledger": inner.ledger})),
+            };
+        }
+        let query = Query::new(path);
+        let (prefix, from) = (query.text("starts"), query.text("from"));
+        let limit = usize::try_from(query.number("limit")).unwrap_or(MAX_LISTED).clamp(1, MAX_LISTED);
+        let (mut items, mut bytes) = (Vec::new(), 0);
+        let mut truncated = false;
+        for (key, entry) in inner.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > from) {
+            let item = json!({"k": key, "data": entry.data, "stamp": entry.stamp});
+            bytes += item.to_string().len();
+            if items.len() == limit || bytes > MAX_LISTED_BYTES {
+                truncated = true;
+                break;
+            }
+            items.push(item);
+        }
+        answer(200, json!({"items": items, "truncated": truncated, "ledger": inner.ledger}))
+    }
+
+    pub(super) async fn follow(&self, from_host: &str, path: &str) -> Response {
+        let query = Query::new(path);
+        let (prefix, from) = (query.text("starts"), query.number("from"));
+        let end = Instant::now() + Duration::from_millis(query.number("wait_ms"));
+        loop {
+            {
+                let mut inner = self.inner.lock().unwrap();
+                inner.expire();
+                // In no useful order, and of each key only the last change: the
+                // protocol promises no more.
+                let mut last: BTreeMap<&String, &(u64, String, Option<Value>)> = BTreeMap::new();
+                let begin = inner.log.partition_point(|(stamp, _, _)| *stamp <= from);
+                for change in inner.log[begin..].iter().filter(|(_, key, _)| key.starts_with(&prefix)) {
+                    last.insert(&change.1, change);
+                }
+                let log: Vec<Value> = last
+                    .into_values()
+                    .rev()
+                    .map(|(stamp, key, data)| match data {
+                        Some(data) => json!({"set": key, "data": data, "stamp": stamp}),
+                        None => json!({"drop": key, "stamp": stamp}),
+                    })
+                    .collect();
+                // An open watch remains open through an outage.
+                let shut = inner.outage || inner.barred.contains(from_host);
+                if !shut && (!log.is_empty() || Instant::now() >= end) {
+                    return answer(200, json!({"ledger": inner.ledger, "log": log}));
+                }
+            }
+            sleep(Duration::from_millis(10)).await;
+        }
+    }
+}
