--- a/crates/dapplecroft-fakes/src/referee.rs
+++ b/crates/dapplecroft-fakes/src/referee.rs
@@ -7,26 +7,26 @@
 
 #[derive(Default)]
 struct Inner {
-    on: BTreeMap<String, String>,
+    placements: BTreeMap<String, String>,
     jobs: HashMap<String, (String, f64)>,
-    limits: HashMap<String, f64>,
-    cancelled: HashMap<String, Instant>,
+    quotas: HashMap<String, f64>,
+    cancelled_at: HashMap<String, Instant>,
     attempts: HashMap<(String, u64), String>,
-    starts: HashMap<String, usize>,
-    broken: Vec<String>,
-    accepted: BTreeMap<String, Instant>,
-    answered: HashMap<String, Instant>,
-    began: HashMap<String, Instant>,
-    calm: Option<Instant>,
-    services: BTreeMap<String, u32>,
-    missing: HashMap<String, Instant>,
+    start_counts: HashMap<String, usize>,
+    violations: Vec<String>,
+    accepted_at: BTreeMap<String, Instant>,
+    answered_at: HashMap<String, Instant>,
+    began_at: HashMap<String, Instant>,
+    faults_over_at: Option<Instant>,
+    service_replicas: BTreeMap<String, u32>,
+    missing_since: HashMap<String, Instant>,
     late_starts: Vec<String>,
-    told: HashMap<String, Told>,
-    machines: BTreeMap<String, f64>,
-    zones: HashMap<String, String>,
-    bounds: HashMap<String, Bound>,
-    neglected: HashMap<String, Instant>,
-    history: Vec<Stay>,
+    reported: HashMap<String, Told>,
+    machine_cpus: BTreeMap<String, f64>,
+    machine_zones: HashMap<String, String>,
+    constraints: HashMap<String, Bound>,
+    neglected_since: HashMap<String, Instant>,
+    placement_history: Vec<Stay>,
 }
 
 /// A task on a machine, from when it starts until it has left.
@@ -91,53 +91,53 @@
 
     /// Something went wrong.
     pub fn note(&self, what: String) {
-        self.inner.lock().unwrap().broken.push(what);
+        self.inner.lock().unwrap().violations.push(what);
     }
 
     /// A task starts on a machine.
     pub fn started(&self, task: &str, attempt: u64, machine: &str) {
         let mut inner = self.inner.lock().unwrap();
-        if let Some(other) = inner.on.get(task) {
+        if let Some(other) = inner.placements.get(task) {
             let note = format!("ran_twice: {task} starts on {machine} while on {other}");
-            inner.broken.push(note);
+            inner.violations.push(note);
         }
-        if let Some(at) = inner.cancelled.get(job_of(task))
+        if let Some(at) = inner.cancelled_at.get(job_of(task))
             && at.elapsed() > *self.cancel_after.lock().unwrap()
         {
-            inner.broken.push(format!("ran_cancelled: {task} starts on {machine}"));
+            inner.violations.push(format!("ran_cancelled: {task} starts on {machine}"));
         }
-        if inner.cancelled.contains_key(job_of(task)) {
+        if inner.cancelled_at.contains_key(job_of(task)) {
             inner.late_starts.push(format!("{task} starts on {machine}"));
         }
-        if let Some(note) = inner.misplaced(task, machine) {
-            inner.broken.push(note);
+        if let Some(note) = inner.placement_violation(task, machine) {
+            inner.violations.push(note);
         }
         let key = (task.to_string(), attempt);
         if let Some(other) = inner.attempts.insert(key, machine.into()) {
-            inner.broken.push(format!("attempt {attempt} of {task} ran on {other} and on {machine}"));
+            inner.violations.push(format!("attempt {attempt} of {task} ran on {other} and on {machine}"));
         }
-        inner.on.insert(task.into(), machine.into());
+        inner.placements.insert(task.into(), machine.into());
         let (task_name, machine_name) = (task.to_string(), machine.to_string());
-        inner.history.push(Stay {
+        inner.placement_history.push(Stay {
             task: task_name,
             machine: machine_name,
             from: Instant::now(),
             until: None,
         });
-        inner.began.entry(job_of(task).into()).or_insert_with(Instant::now);
-        *inner.starts.entry(task.into()).or_default() += 1;
+        inner.began_at.entry(job_of(task).into()).or_insert_with(Instant::now);
+        *inner.start_counts.entry(task.into()).or_default() += 1;
         let team = inner.jobs.get(job_of(task)).map(|(team, _)| team.clone());
         if let Some(team) = team {
             let jobs = &inner.jobs;
             let used: f64 = inner
-                .on
+                .placements
                 .keys()
                 .filter_map(|t| jobs.get(job_of(t)))
                 .filter(|j| j.0 == team)
                 .map(|j| j.1)
                 .sum();
-            if inner.limits.get(&team).is_some_and(|limit| used > limit + 1e-9) {
-                inner.broken.push(format!("quota: {team} uses {used}"));
+            if inner.quotas.get(&team).is_some_and(|limit| used > limit + 1e-9) {
+                inner.violations.push(format!("quota: {team} uses {used}"));
             }
         }
     }
@@ -151,10 +151,10 @@
     /// A task has left its machine.
     pub fn ended(&self, task: &str, machine: &str) {
         let mut inner = self.inner.lock().unwrap();
-        if inner.on.get(task).is_some_and(|m| m == machine) {
-            inner.on.remove(task);
+        if inner.placements.get(task).is_some_and(|m| m == machine) {
+            inner.placements.remove(task);
         }
-        let stays = inner.history.iter_mut().rev();
+        let stays = inner.placement_history.iter_mut().rev();
         let mut open = stays.filter(|s| s.until.is_none() && s.task == task && s.machine == machine);
         if let Some(stay) = open.next() {
             stay.until = Some(Instant::now());
@@ -163,26 +163,26 @@
 
     /// Every stay of a task on a machine, in the order of their starts.
     pub fn history(&self) -> Vec<Stay> {
-        self.inner.lock().unwrap().history.clone()
+        self.inner.lock().unwrap().placement_history.clone()
     }
 
     /// Where tasks are now.
     pub fn on(&self) -> BTreeMap<String, String> {
-        self.inner.lock().unwrap().on.clone()
+        self.inner.lock().unwrap().placements.clone()
     }
 
     /// How often a task was started.
     pub fn starts(&self, task: &str) -> usize {
-        self.inner.lock().unwrap().starts.get(task).copied().unwrap_or(0)
+        self.inner.lock().unwrap().start_counts.get(task).copied().unwrap_or(0)
     }
 
     /// Rules broken so far, cancelled tasks that are still there included.
     pub fn broken(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        let mut broken = inner.broken.clone();
+        let mut broken = inner.violations.clone();
         let limit = *self.cancel_after.lock().unwrap();
-        for (task, machine) in &inner.on {
-            if inner.cancelled.get(job_of(task)).is_some_and(|at| at.elapsed() > limit) {
+        for (task, machine) in &inner.placements {
+            if inner.cancelled_at.get(job_of(task)).is_some_and(|at| at.elapsed() > limit) {
                 broken.push(format!("ran_cancelled: {task} is on {machine}"));
             }
         }
--- a/crates/dapplecroft-fakes/src/referee/answers.rs
+++ b/crates/dapplecroft-fakes/src/referee/answers.rs
@@ -15,7 +15,7 @@
     /// What users have been told of a job so far; to be asked before a question
     /// is sent, and handed to [`Referee::heard`] with its answer.
     pub fn known(&self, id: &str) -> Told {
-        self.inner.lock().unwrap().told.get(id).cloned().unwrap_or_default()
+        self.inner.lock().unwrap().reported.get(id).cloned().unwrap_or_default()
     }
 
     /// A user heard this of a job, in answer to a question that was sent when so
@@ -34,13 +34,13 @@
             Told::Final(_) => now != *before,
         };
         if older {
-            inner.broken.push(format!("went_back: {id} is told to be {now:?} after {before:?}"));
+            inner.violations.push(format!("went_back: {id} is told to be {now:?} after {before:?}"));
         }
-        let known = inner.told.entry(id.into()).or_default();
+        let known = inner.reported.entry(id.into()).or_default();
         match (&known, &now) {
             (Told::Final(old), Told::Final(new)) if old != new => {
                 let what = format!("went_back: {id} is told to be {new} and {old}");
-                inner.broken.push(what);
+                inner.violations.push(what);
             }
             (Told::Final(_), _) | (Told::Accepted, Told::Nothing) => {}
             _ => *known = now,
@@ -49,22 +49,22 @@
 
     /// A user was told that a job is cancelled.
     pub fn cancelled(&self, id: &str) {
-        self.inner.lock().unwrap().cancelled.insert(id.into(), Instant::now());
+        self.inner.lock().unwrap().cancelled_at.insert(id.into(), Instant::now());
     }
 
     /// A user was told that a job is accepted.
     pub fn accepted(&self, id: &str) {
-        self.inner.lock().unwrap().accepted.entry(id.into()).or_insert_with(Instant::now);
+        self.inner.lock().unwrap().accepted_at.entry(id.into()).or_insert_with(Instant::now);
     }
 
     /// A user's question about a job was answered with what is known of it.
     pub fn answered(&self, id: &str) {
-        self.inner.lock().unwrap().answered.insert(id.into(), Instant::now());
+        self.inner.lock().unwrap().answered_at.insert(id.into(), Instant::now());
     }
 
     /// All troubles are over.
     pub fn calm(&self) {
-        self.inner.lock().unwrap().calm = Some(Instant::now());
+        self.inner.lock().unwrap().faults_over_at = Some(Instant::now());
     }
 
     /// What is checked at the end of a day: jobs about which nothing was
@@ -74,17 +74,17 @@
         let inner = self.inner.lock().unwrap();
         let mut broken = Vec::new();
         let mut teams: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for (id, at) in &inner.accepted {
-            if let Some(calm) = inner.calm
+        for (id, at) in &inner.accepted_at {
+            if let Some(calm) = inner.faults_over_at
                 && calm.elapsed() > FORGOTTEN_AFTER
-                && inner.answered.get(id).is_none_or(|at| *at < calm)
+                && inner.answered_at.get(id).is_none_or(|at| *at < calm)
             {
                 broken.push(format!("forgotten: {id}"));
             }
-            if inner.cancelled.contains_key(id) {
+            if inner.cancelled_at.contains_key(id) {
                 continue;
             }
-            let began = inner.began.get(id);
+            let began = inner.began_at.get(id);
             if began.map_or(at.elapsed(), |b| *b - *at) > BEGIN_WITHIN {
                 broken.push(format!("late: {id} did not begin in time"));
             }
--- a/crates/dapplecroft-fakes/src/referee/placement.rs
+++ b/crates/dapplecroft-fakes/src/referee/placement.rs
@@ -5,12 +5,12 @@
 impl Inner {
     /// What is wrong with where a task starts, given the job's other tasks, those on
     /// machines that nobody reaches too.
-    pub(super) fn misplaced(&self, task: &str, machine: &str) -> Option<String> {
-        let bound = self.bounds.get(job_of(task))?;
-        let zone_of = |machine: &str| self.zones.get(machine).cloned().unwrap_or_default();
+    pub(super) fn placement_violation(&self, task: &str, machine: &str) -> Option<String> {
+        let bound = self.constraints.get(job_of(task))?;
+        let zone_of = |machine: &str| self.machine_zones.get(machine).cloned().unwrap_or_default();
         let zone = zone_of(machine);
         let others: Vec<String> = self
-            .on
+            .placements
             .iter()
             .filter(|(t, _)| *t != task && job_of(t) == job_of(task))
             .map(|(_, m)| zone_of(m))
@@ -26,11 +26,11 @@
 impl Referee {
     /// A job's tasks may be there alone.
     pub fn bind(&self, id: &str, bound: Bound) {
-        self.inner.lock().unwrap().bounds.insert(id.into(), bound);
+        self.inner.lock().unwrap().constraints.insert(id.into(), bound);
     }
 
     /// A machine is in a zone.
     pub fn zone(&self, machine: &str, zone: &str) {
-        self.inner.lock().unwrap().zones.insert(machine.into(), zone.into());
+        self.inner.lock().unwrap().machine_zones.insert(machine.into(), zone.into());
     }
 }
--- a/crates/dapplecroft-fakes/src/referee/quota.rs
+++ b/crates/dapplecroft-fakes/src/referee/quota.rs
@@ -11,7 +11,7 @@
 impl Referee {
     /// Makes a team's limit known.
     pub fn limit(&self, team: &str, cpus: f64) {
-        self.inner.lock().unwrap().limits.insert(team.into(), cpus);
+        self.inner.lock().unwrap().quotas.insert(team.into(), cpus);
     }
 
     /// Makes a job known.
@@ -23,8 +23,8 @@
     pub fn machine(&self, id: &str, cpus: Option<f64>) {
         let mut inner = self.inner.lock().unwrap();
         match cpus {
-            Some(cpus) => inner.machines.insert(id.into(), cpus),
-            None => inner.machines.remove(id),
+            Some(cpus) => inner.machine_cpus.insert(id.into(), cpus),
+            None => inner.machine_cpus.remove(id),
         };
     }
 
@@ -33,9 +33,9 @@
     /// was under its limit; to be asked again and again.
     pub fn neglected(&self) -> Vec<String> {
         let mut inner = self.inner.lock().unwrap();
-        let mut free = inner.machines.clone();
+        let mut free = inner.machine_cpus.clone();
         let mut used: HashMap<String, f64> = HashMap::new();
-        for (task, machine) in &inner.on {
+        for (task, machine) in &inner.placements {
             let Some((team, cpus)) = inner.jobs.get(job_of(task)) else { continue };
             *free.entry(machine.clone()).or_default() -= cpus;
             *used.entry(team.clone()).or_default() += cpus;
@@ -44,18 +44,21 @@
         let waits = |id: &&String| {
             let Some((team, cpus)) = inner.jobs.get(*id) else { return false };
             let under = inner
-                .limits
+                .quotas
                 .get(team)
                 .is_none_or(|limit| used.get(team).copied().unwrap_or(0.0) + cpus <= limit + 1e-9);
-            !inner.began.contains_key(*id) && !inner.cancelled.contains_key(*id) && under && *cpus <= most
+            !inner.began_at.contains_key(*id)
+                && !inner.cancelled_at.contains_key(*id)
+                && under
+                && *cpus <= most
         };
-        let waiting: Vec<String> = inner.accepted.keys().filter(waits).cloned().collect();
-        let Some(calm) = inner.calm else { return Vec::new() };
-        inner.neglected.retain(|id, _| waiting.contains(id));
+        let waiting: Vec<String> = inner.accepted_at.keys().filter(waits).cloned().collect();
+        let Some(calm) = inner.faults_over_at else { return Vec::new() };
+        inner.neglected_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            inner.neglected.entry(id).or_insert_with(Instant::now);
+            inner.neglected_since.entry(id).or_insert_with(Instant::now);
         }
         let long = |at: &Instant| (*at).max(calm).elapsed() > NEGLECTED_AFTER;
-        inner.neglected.iter().filter(|(_, at)| long(at)).map(|(id, _)| id.clone()).collect()
+        inner.neglected_since.iter().filter(|(_, at)| long(at)).map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/dapplecroft-fakes/src/referee/services.rs
+++ b/crates/dapplecroft-fakes/src/referee/services.rs
@@ -8,23 +8,23 @@
     /// Makes a service known that has so many replicas.
     pub fn service(&self, id: &str, team: &str, cpus: f64, replicas: u32) {
         self.job(id, team, cpus);
-        self.inner.lock().unwrap().services.insert(id.into(), replicas);
+        self.inner.lock().unwrap().service_replicas.insert(id.into(), replicas);
     }
 
     /// A user was told a job's stage, and how many tasks are done.
     pub fn told(&self, id: &str, stage: &str, done: u64) {
         let mut inner = self.inner.lock().unwrap();
-        if inner.services.contains_key(id) && (stage == "done" || done > 0) {
-            inner.broken.push(format!("not_done: the service {id} is told to be {stage}, {done} done"));
+        if inner.service_replicas.contains_key(id) && (stage == "done" || done > 0) {
+            inner.violations.push(format!("not_done: the service {id} is told to be {stage}, {done} done"));
         }
     }
 
     /// Replicas that do not run now, of services that are not cancelled.
     pub fn missing(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        let open = inner.services.iter().filter(|(id, _)| !inner.cancelled.contains_key(*id));
+        let open = inner.service_replicas.iter().filter(|(id, _)| !inner.cancelled_at.contains_key(*id));
         let all = open.flat_map(|(id, n)| (0..*n).map(move |i| format!("{id}/{i}")));
-        all.filter(|task| !inner.on.contains_key(task)).collect()
+        all.filter(|task| !inner.placements.contains_key(task)).collect()
     }
 
     /// Replicas that have been missing for longer than this, all troubles being
@@ -32,12 +32,12 @@
     pub fn lost(&self, longer_than: Duration) -> Vec<String> {
         let missing = self.missing();
         let mut inner = self.inner.lock().unwrap();
-        let calm = inner.calm.unwrap_or_else(Instant::now);
-        inner.missing.retain(|task, _| missing.contains(task));
+        let calm = inner.faults_over_at.unwrap_or_else(Instant::now);
+        inner.missing_since.retain(|task, _| missing.contains(task));
         for task in &missing {
-            inner.missing.entry(task.clone()).or_insert_with(Instant::now);
+            inner.missing_since.entry(task.clone()).or_insert_with(Instant::now);
         }
         let lost = |at: &Instant| (*at).max(calm).elapsed() > longer_than;
-        inner.missing.iter().filter(|(_, at)| lost(at)).map(|(task, _)| task.clone()).collect()
+        inner.missing_since.iter().filter(|(_, at)| lost(at)).map(|(task, _)| task.clone()).collect()
     }
 }
--- a/crates/dapplecroft-fakes/src/state.rs
+++ b/crates/dapplecroft-fakes/src/state.rs
@@ -15,31 +15,31 @@
 mod transaction;
 
 struct Entry {
-    data: Value,
-    stamp: u64,
+    value: Value,
+    version: u64,
     lease: Option<u64>,
 }
 
 #[derive(Default)]
 struct Inner {
-    keys: BTreeMap<String, Entry>,
-    ledger: u64,
-    log: Vec<(u64, String, Option<Value>)>,
+    entries: BTreeMap<String, Entry>,
+    revision: u64,
+    changelog: Vec<(u64, String, Option<Value>)>,
     leases: BTreeMap<u64, (Duration, Instant)>,
     next_lease: u64,
     outage: bool,
     /// Hosts that alone are refused.
-    barred: BTreeSet<String>,
+    refused_hosts: BTreeSet<String>,
     /// How long an answer takes, by host.
-    slow: BTreeMap<String, Duration>,
-    turned_away: usize,
-    largest: usize,
-    changes: u64,
+    delays: BTreeMap<String, Duration>,
+    rejected_requests: usize,
+    largest_transaction: usize,
+    changes_requested: u64,
     largest_value: usize,
     limits: Option<Limits>,
-    level: f64,
-    level_at: Option<Instant>,
-    refused: Refusals,
+    rate_budget: f64,
+    rate_budget_updated_at: Option<Instant>,
+    rejections: Refusals,
 }
 
 /// What a state service takes; more is refused.
@@ -70,18 +70,18 @@
     inner: Mutex<Inner>,
 }
 
-fn answer(status: u16, body: Value) -> Response {
+fn json_response(status: u16, body: Value) -> Response {
     Response { status, body: body.to_string().into_bytes().into() }
 }
 
-async fn wait(time: Duration) {
+async fn sleep_unless_zero(time: Duration) {
     if !time.is_zero() {
         sleep(time).await;
     }
 }
 
-fn refused() -> Response {
-    answer(503, json!({"error": "outage"}))
+fn outage_response() -> Response {
+    json_response(503, json!({"error": "outage"}))
 }
 
 impl FakeState {
@@ -92,13 +92,13 @@
 
     /// How many puts and deletes were asked for so far; what fails counts too.
     pub fn changes(&self) -> u64 {
-        self.inner.lock().unwrap().changes
+        self.inner.lock().unwrap().changes_requested
     }
 
     /// Begins or ends an outage; afterwards every lease has its full time.
     pub fn outage(&self, on: bool) {
         let mut inner = self.inner.lock().unwrap();
-        inner.expire();
+        inner.expire_leases();
         inner.outage = on;
         for (life, end) in inner.leases.values_mut() {
             *end = Instant::now() + *life;
@@ -110,38 +110,38 @@
     pub fn bar(&self, host: &str, on: bool) {
         let mut inner = self.inner.lock().unwrap();
         if on {
-            inner.barred.insert(host.into());
+            inner.refused_hosts.insert(host.into());
         } else {
-            inner.barred.remove(host);
+            inner.refused_hosts.remove(host);
         }
     }
 
     /// Lets a host's requests take so long from now on: half of it until they
     /// are carried out, half until they are answered.
     pub fn slow(&self, host: &str, by: Duration) {
-        self.inner.lock().unwrap().slow.insert(host.into(), by);
+        self.inner.lock().unwrap().delays.insert(host.into(), by);
     }
 
     /// How many requests were refused in an outage, or to a host that alone is.
     pub fn turned_away(&self) -> usize {
-        self.inner.lock().unwrap().turned_away
+        self.inner.lock().unwrap().rejected_requests
     }
 
     /// Every change of keys with a prefix, in order: revision, key, and value or none.
     pub fn history(&self, prefix: &str) -> Vec<(u64, String, Option<Value>)> {
         let inner = self.inner.lock().unwrap();
-        inner.log.iter().filter(|(_, key, _)| key.starts_with(prefix)).cloned().collect()
+        inner.changelog.iter().filter(|(_, key, _)| key.starts_with(prefix)).cloned().collect()
     }
 
     /// A key's value.
     pub fn value(&self, key: &str) -> Option<Value> {
-        self.inner.lock().unwrap().keys.get(key).map(|e| e.data.clone())
+        self.inner.lock().unwrap().entries.get(key).map(|e| e.value.clone())
     }
 
     /// All keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        inner.keys.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
+        inner.entries.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
     /// Ends every lease at once, as if none had been renewed in time.
@@ -150,34 +150,34 @@
         for (_, end) in inner.leases.values_mut() {
             *end = Instant::now();
         }
-        inner.expire();
+        inner.expire_leases();
     }
 
     /// From now on more than this is refused; what is stored stays.
     pub fn limit(&self, limits: Limits) {
         let mut inner = self.inner.lock().unwrap();
         inner.limits = Some(limits);
-        inner.level = limits.rate;
-        inner.level_at = Some(Instant::now());
+        inner.rate_budget = limits.rate;
+        inner.rate_budget_updated_at = Some(Instant::now());
     }
 
     /// How often something was refused.
     pub fn refused(&self) -> Refusals {
-        self.inner.lock().unwrap().refused
+        self.inner.lock().unwrap().rejections
     }
 
     /// Puts a key there, as if it had been written before.
     pub fn put(&self, key: &str, data: Value) {
         let mut inner = self.inner.lock().unwrap();
-        inner.ledger += 1;
-        let stamp = inner.ledger;
-        inner.log.push((stamp, key.into(), Some(data.clone())));
-        inner.keys.insert(key.into(), Entry { data, stamp, lease: None });
+        inner.revision += 1;
+        let stamp = inner.revision;
+        inner.changelog.push((stamp, key.into(), Some(data.clone())));
+        inner.entries.insert(key.into(), Entry { value: data, version: stamp, lease: None });
     }
 
     /// The most changes that a transaction has had.
     pub fn largest(&self) -> usize {
-        self.inner.lock().unwrap().largest
+        self.inner.lock().unwrap().largest_transaction
     }
 
     /// The most bytes that a value has had.
@@ -190,23 +190,23 @@
 impl Handler for FakeState {
     async fn handle(&self, from: &str, method: Method, path: &str, body: &[u8]) -> Response {
         if path.starts_with("/follow") {
-            return self.follow(from, path).await;
+            return self.watch(from, path).await;
         }
-        let half = self.inner.lock().unwrap().slow.get(from).copied().unwrap_or_default() / 2;
-        wait(half).await;
+        let half = self.inner.lock().unwrap().delays.get(from).copied().unwrap_or_default() / 2;
+        sleep_unless_zero(half).await;
         let answer = {
             let mut inner = self.inner.lock().unwrap();
-            inner.expire();
-            let shut = inner.outage || inner.barred.contains(from);
-            inner.turned_away += usize::from(shut);
-            shut.then(refused)
+            inner.expire_leases();
+            let shut = inner.outage || inner.refused_hosts.contains(from);
+            inner.rejected_requests += usize::from(shut);
+            shut.then(outage_response)
         };
         let answer = answer.unwrap_or_else(|| match path {
-            "/multi" => self.multi(body),
-            p if p.starts_with("/grants") => self.lease(&method, p, body),
+            "/multi" => self.transact(body),
+            p if p.starts_with("/grants") => self.serve_lease(&method, p, body),
             p => self.read(p),
         });
-        wait(half).await;
+        sleep_unless_zero(half).await;
         answer
     }
 }
--- a/crates/dapplecroft-fakes/src/state/leases.rs
+++ b/crates/dapplecroft-fakes/src/state/leases.rs
@@ -1,6 +1,6 @@
 //! Leases: granted, renewed and revoked, and the keys dropped on lease expiry.
 
-use super::{FakeState, Inner, answer};
+use super::{FakeState, Inner, json_response};
 use dapplecroft_net::Response;
 use http::Method;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 impl FakeState {
-    pub(super) fn lease(&self, method: &Method, path: &str, body: &[u8]) -> Response {
+    pub(super) fn serve_lease(&self, method: &Method, path: &str, body: &[u8]) -> Response {
         let mut inner = self.inner.lock().unwrap();
         if path == "/grants" {
             let body: Value = serde_json::from_slice(body).unwrap();
@@ -16,7 +16,7 @@
             inner.next_lease += 1;
             let id = inner.next_lease;
             inner.leases.insert(id, (life, Instant::now() + life));
-            return answer(200, json!({"tenancy": id}));
+            return json_response(200, json!({"tenancy": id}));
         }
         let rest = path.trim_start_matches("/grants/");
         let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
@@ -24,21 +24,21 @@
             if let Some((_, end)) = inner.leases.get_mut(&id) {
                 *end = Instant::now();
             }
-            inner.expire();
-            return answer(200, json!({}));
+            inner.expire_leases();
+            return json_response(200, json!({}));
         }
         match inner.leases.get_mut(&id) {
             Some((life, end)) => {
                 *end = Instant::now() + *life;
-                answer(200, json!({}))
+                json_response(200, json!({}))
             }
-            None => answer(404, json!({"error": "no such lease"})),
+            None => json_response(404, json!({"error": "no such lease"})),
         }
     }
 }
 
 impl Inner {
-    pub(super) fn expire(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         if self.outage {
             return;
         }
@@ -48,12 +48,12 @@
         for id in ended {
             self.leases.remove(&id);
             let keys: Vec<String> =
-                self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
+                self.entries.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
             for key in keys {
-                self.ledger += 1;
-                self.keys.remove(&key);
-                let stamp = self.ledger;
-                self.log.push((stamp, key, None));
+                self.revision += 1;
+                self.entries.remove(&key);
+                let stamp = self.revision;
+                self.changelog.push((stamp, key, None));
             }
         }
     }
--- a/crates/dapplecroft-fakes/src/state/reads.rs
+++ b/crates/dapplecroft-fakes/src/state/reads.rs
@@ -1,6 +1,6 @@
 //! Reads: single keys, listings in pages, and watches of changes.
 
-use super::{FakeState, answer};
+use super::{FakeState, json_response};
 use crate::net::Query;
 use dapplecroft_net::Response;
 use serde_json::{Value, json};
@@ -17,11 +17,12 @@
     pub(super) fn read(&self, path: &str) -> Response {
         let inner = self.inner.lock().unwrap();
         if let Some(key) = path.strip_prefix("/store/") {
-            return match inner.keys.get(key) {
-                Some(e) => {
-                    answer(200, json!({"k": key, "data": e.data, "stamp": e.stamp, "tenancy": e.lease}))
-                }
-                None => answer(404, json!({"ledger": inner.ledger})),
+            return match inner.entries.get(key) {
+                Some(e) => json_response(
+                    200,
+                    json!({"k": key, "data": e.value, "stamp": e.version, "tenancy": e.lease}),
+                ),
+                None => json_response(404, json!({"ledger": inner.revision})),
             };
         }
         let query = Query::new(path);
@@ -29,8 +30,8 @@
         let limit = usize::try_from(query.number("limit")).unwrap_or(MAX_LISTED).clamp(1, MAX_LISTED);
         let (mut items, mut bytes) = (Vec::new(), 0);
         let mut truncated = false;
-        for (key, entry) in inner.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > from) {
-            let item = json!({"k": key, "data": entry.data, "stamp": entry.stamp});
+        for (key, entry) in inner.entries.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > from) {
+            let item = json!({"k": key, "data": entry.value, "stamp": entry.version});
             bytes += item.to_string().len();
             if items.len() == limit || bytes > MAX_LISTED_BYTES {
                 truncated = true;
@@ -38,22 +39,22 @@
             }
             items.push(item);
         }
-        answer(200, json!({"items": items, "truncated": truncated, "ledger": inner.ledger}))
+        json_response(200, json!({"items": items, "truncated": truncated, "ledger": inner.revision}))
     }
 
-    pub(super) async fn follow(&self, from_host: &str, path: &str) -> Response {
+    pub(super) async fn watch(&self, from_host: &str, path: &str) -> Response {
         let query = Query::new(path);
         let (prefix, from) = (query.text("starts"), query.number("from"));
         let end = Instant::now() + Duration::from_millis(query.number("wait_ms"));
         loop {
             {
                 let mut inner = self.inner.lock().unwrap();
-                inner.expire();
+                inner.expire_leases();
                 // In no useful order, and of each key only the last change: the
                 // protocol promises no more.
                 let mut last: BTreeMap<&String, &(u64, String, Option<Value>)> = BTreeMap::new();
-                let begin = inner.log.partition_point(|(stamp, _, _)| *stamp <= from);
-                for change in inner.log[begin..].iter().filter(|(_, key, _)| key.starts_with(&prefix)) {
+                let begin = inner.changelog.partition_point(|(stamp, _, _)| *stamp <= from);
+                for change in inner.changelog[begin..].iter().filter(|(_, key, _)| key.starts_with(&prefix)) {
                     last.insert(&change.1, change);
                 }
                 let log: Vec<Value> = last
@@ -65,9 +66,9 @@
                     })
                     .collect();
                 // An open watch remains open through an outage.
-                let shut = inner.outage || inner.barred.contains(from_host);
+                let shut = inner.outage || inner.refused_hosts.contains(from_host);
                 if !shut && (!log.is_empty() || Instant::now() >= end) {
-                    return answer(200, json!({"ledger": inner.ledger, "log": log}));
+                    return json_response(200, json!({"ledger": inner.revision, "log": log}));
                 }
             }
             sleep(Duration::from_millis(10)).await;
--- a/crates/dapplecroft-fakes/src/state/tests.rs
+++ b/crates/dapplecroft-fakes/src/state/tests.rs
@@ -5,7 +5,7 @@
     let state = FakeState::new();
     let set = |key: &str, data: &str| json!({"set": key, "data": data});
     let send = |then: Vec<Value>, when: Vec<Value>| {
-        state.multi(json!({"when": when, "then": then}).to_string().as_bytes()).status
+        state.transact(json!({"when": when, "then": then}).to_string().as_bytes()).status
     };
     assert_eq!(send(vec![set("a", &"x".repeat(100))], vec![]), 200);
     state.limit(Limits { value: 50, changes: 2, rate: 3.0 });
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -49,26 +49,26 @@
 struct Task {
     attempt: u64,
     state: TaskState,
-    why: Option<ExitReason>,
-    work: Option<JoinHandle<()>>,
+    exit_reason: Option<ExitReason>,
+    runner: Option<JoinHandle<()>>,
     /// Since when it runs, and the progress that it began with.
-    began: Option<(Instant, Duration)>,
-    saved: Option<bool>,
+    running_since: Option<(Instant, Duration)>,
+    checkpointed: Option<bool>,
 }
 
 struct Inner {
     tasks: BTreeMap<String, Task>,
-    session: u64,
+    epoch: u64,
     sequence: u64,
-    token: u64,
-    renewed: Instant,
-    notice: Option<Instant>,
-    reports_to: usize,
-    dead: bool,
+    fencing_token: u64,
+    lease_renewed_at: Instant,
+    preemption_at: Option<Instant>,
+    heartbeat_target: usize,
+    destroyed: bool,
     /// Until when the machine hangs.
-    hangs: Option<Instant>,
+    hung_until: Option<Instant>,
     /// For how long it has been made to hang so far, in all.
-    hung: Duration,
+    hung_total: Duration,
 }
 
 /// A worker.
@@ -87,8 +87,8 @@
     referee: Arc<Referee>,
     inner: Mutex<Inner>,
     changed: Notify,
-    own: Weak<FakeWorker>,
-    reporting: Mutex<Vec<JoinHandle<()>>>,
+    weak_self: Weak<FakeWorker>,
+    background_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl FakeWorker {
@@ -105,7 +105,7 @@
         spot: bool,
     ) -> Arc<FakeWorker> {
         let address = format!("w:{machine}");
-        let worker = Arc::new_cyclic(|own| FakeWorker {
+        let worker = Arc::new_cyclic(|weak_self| FakeWorker {
             machine: machine.into(),
             address: address.clone(),
             machine_type: machine_type.into(),
@@ -118,26 +118,26 @@
             referee: referee.clone(),
             inner: Mutex::new(Inner {
                 tasks: BTreeMap::new(),
-                session: 1,
+                epoch: 1,
                 sequence: 0,
-                token: 0,
-                renewed: Instant::now(),
-                notice: None,
-                reports_to: 0,
-                dead: false,
-                hangs: None,
-                hung: Duration::ZERO,
+                fencing_token: 0,
+                lease_renewed_at: Instant::now(),
+                preemption_at: None,
+                heartbeat_target: 0,
+                destroyed: false,
+                hung_until: None,
+                hung_total: Duration::ZERO,
             }),
             changed: Notify::new(),
-            own: own.clone(),
-            reporting: Mutex::default(),
+            weak_self: weak_self.clone(),
+            background_tasks: Mutex::default(),
         });
         net.serve(&address, worker.clone());
         let reporter = worker.clone();
         let watch = worker.clone();
-        *worker.reporting.lock().unwrap() = vec![
-            tokio::spawn(async move { reporter.report_loop().await }),
-            tokio::spawn(async move { watch.lease_loop().await }),
+        *worker.background_tasks.lock().unwrap() = vec![
+            tokio::spawn(async move { reporter.heartbeat_loop().await }),
+            tokio::spawn(async move { watch.lease_expiry_loop().await }),
         ];
         worker
     }
@@ -145,19 +145,19 @@
     /// The machine and all that is on it are gone.
     pub fn destroy(&self) {
         self.net.remove(&self.address);
-        self.reporting.lock().unwrap().drain(..).for_each(|work| work.abort());
+        self.background_tasks.lock().unwrap().drain(..).for_each(|work| work.abort());
         let mut inner = self.inner.lock().unwrap();
-        inner.dead = true;
-        self.forget_tasks(&mut inner);
+        inner.destroyed = true;
+        self.drop_all_tasks(&mut inner);
     }
 
     /// The machine stops and is back at once: its tasks are gone, and its worker
     /// begins another session.
     pub fn blink(&self) {
         let mut inner = self.inner.lock().unwrap();
-        self.forget_tasks(&mut inner);
-        inner.session += 1;
-        inner.renewed = Instant::now();
+        self.drop_all_tasks(&mut inner);
+        inner.epoch += 1;
+        inner.lease_renewed_at = Instant::now();
         self.changed.notify_one();
     }
 
@@ -165,15 +165,15 @@
     /// lease has ended by then. What arrives meanwhile is taken up afterwards.
     pub fn hang(&self, time: Duration) {
         let mut inner = self.inner.lock().unwrap();
-        inner.hangs = Some(Instant::now() + time);
-        inner.hung += time;
+        inner.hung_until = Some(Instant::now() + time);
+        inner.hung_total += time;
     }
 
     /// Waits while the machine hangs.
-    async fn awake(&self) {
+    async fn wait_while_hung(&self) {
         loop {
-            let hangs = self.inner.lock().unwrap().hangs;
-            match hangs.filter(|until| *until > Instant::now()) {
+            let hung_until = self.inner.lock().unwrap().hung_until;
+            match hung_until.filter(|until| *until > Instant::now()) {
                 Some(until) => sleep_until(until).await,
                 None => return,
             }
@@ -182,58 +182,59 @@
 
     /// Runs for so long, not counting what the machine hangs.
     async fn run_for(&self, time: Duration) {
-        let hung = || self.inner.lock().unwrap().hung;
+        let hung = || self.inner.lock().unwrap().hung_total;
         let mut counted = hung();
         sleep(time).await;
-        self.awake().await;
+        self.wait_while_hung().await;
         while hung() > counted {
             let more = hung() - counted;
             counted += more;
             sleep(more).await;
-            self.awake().await;
+            self.wait_while_hung().await;
         }
     }
 
     /// The cloud takes it in so many seconds.
     pub fn notice(&self, seconds: f64) {
-        self.inner.lock().unwrap().notice = Some(Instant::now() + Duration::from_secs_f64(seconds));
+        self.inner.lock().unwrap().preemption_at = Some(Instant::now() + Duration::from_secs_f64(seconds));
         self.changed.notify_one();
     }
 
     /// The worker's session.
     pub fn session(&self) -> u64 {
-        self.inner.lock().unwrap().session
+        self.inner.lock().unwrap().epoch
     }
 
     /// The highest token that it has seen.
     pub fn token(&self) -> u64 {
-        self.inner.lock().unwrap().token
+        self.inner.lock().unwrap().fencing_token
     }
 
-    fn forget_tasks(&self, inner: &mut Inner) {
+    fn drop_all_tasks(&self, inner: &mut Inner) {
         for (name, task) in std::mem::take(&mut inner.tasks) {
-            if let Some(work) = task.work {
+            if let Some(work) = task.runner {
                 work.abort();
             }
             self.referee.ended(&name, &self.machine);
         }
     }
 
-    fn check_lease(&self) {
+    fn expire_lease_if_due(&self) {
         let mut inner = self.inner.lock().unwrap();
-        if inner.renewed.elapsed() > self.timing.lease {
-            self.forget_tasks(&mut inner);
-            inner.session += 1;
-            inner.renewed = Instant::now();
+        if inner.lease_renewed_at.elapsed() > self.timing.lease {
+            self.drop_all_tasks(&mut inner);
+            inner.epoch += 1;
+            inner.lease_renewed_at = Instant::now();
         }
     }
 
     /// Ends its tasks at the very moment at which its lease ends.
-    async fn lease_loop(&self) {
+    async fn lease_expiry_loop(&self) {
         loop {
-            let end = self.inner.lock().unwrap().renewed + self.timing.lease + Duration::from_millis(1);
+            let end =
+                self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + Duration::from_millis(1);
             sleep_until(end).await;
-            self.check_lease();
+            self.expire_lease_if_due();
         }
     }
 }
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -18,10 +18,12 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: inner.session,
+            session: inner.epoch,
             sequence: inner.sequence,
-            token: inner.token,
-            notice_s: inner.notice.map(|at| at.saturating_duration_since(Instant::now()).as_secs_f64()),
+            token: inner.fencing_token,
+            notice_s: inner
+                .preemption_at
+                .map(|at| at.saturating_duration_since(Instant::now()).as_secs_f64()),
             tasks: inner
                 .tasks
                 .iter()
@@ -29,23 +31,23 @@
                     task: name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: t.saved,
+                    why: t.exit_reason,
+                    saved: t.checkpointed,
                 })
                 .collect(),
         }
     }
 
-    pub(super) async fn report_loop(&self) {
+    pub(super) async fn heartbeat_loop(&self) {
         loop {
             let _ = timeout(self.timing.report, self.changed.notified()).await;
             sleep(Duration::from_millis(300)).await;
-            self.awake().await;
-            self.check_lease();
+            self.wait_while_hung().await;
+            self.expire_lease_if_due();
             let sent = Instant::now();
             let report = self.report();
-            let reports_to = self.inner.lock().unwrap().reports_to;
-            let (_, address) = &self.nodes[reports_to % self.nodes.len()];
+            let heartbeat_target = self.inner.lock().unwrap().heartbeat_target;
+            let (_, address) = &self.nodes[heartbeat_target % self.nodes.len()];
             let request = Request {
                 address: address.clone(),
                 method: Method::POST,
@@ -55,21 +57,21 @@
                 one_of_many: false,
             };
             let answer = self.port.send(request).await;
-            self.awake().await;
+            self.wait_while_hung().await;
             // If it hung meanwhile, an answer as late as that counts for nothing.
             let answer = answer.ok().filter(|_| sent.elapsed() < Duration::from_secs(4));
-            self.check_lease();
+            self.expire_lease_if_due();
             match answer {
                 Some(r) if r.status == 200 => {
                     let orders: Orders = serde_json::from_slice(&r.body).unwrap();
                     let mut inner = self.inner.lock().unwrap();
-                    if orders.token >= inner.token && report.session == inner.session {
-                        if orders.token > inner.token {
+                    if orders.token >= inner.fencing_token && report.session == inner.epoch {
+                        if orders.token > inner.fencing_token {
                             self.changed.notify_one();
                         }
-                        inner.token = orders.token;
-                        inner.renewed = sent;
-                        self.execute(&mut inner, &orders.orders);
+                        inner.fencing_token = orders.token;
+                        inner.lease_renewed_at = sent;
+                        self.execute_orders(&mut inner, &orders.orders);
                     }
                 }
                 Some(r) if r.status == 421 => {
@@ -77,22 +79,22 @@
                     let named = redirect
                         .report_to
                         .and_then(|host| self.nodes.iter().position(|(name, _)| *name == host));
-                    match named.filter(|n| *n != reports_to) {
+                    match named.filter(|n| *n != heartbeat_target) {
                         Some(n) => {
-                            self.inner.lock().unwrap().reports_to = n;
+                            self.inner.lock().unwrap().heartbeat_target = n;
                             self.changed.notify_one();
                         }
-                        None => self.next_node(reports_to).await,
+                        None => self.try_next_node(heartbeat_target).await,
                     }
                 }
-                _ => self.next_node(reports_to).await,
+                _ => self.try_next_node(heartbeat_target).await,
             }
         }
     }
 
-    async fn next_node(&self, reports_to: usize) {
+    async fn try_next_node(&self, heartbeat_target: usize) {
         sleep(Duration::from_secs(1)).await;
-        self.inner.lock().unwrap().reports_to = (reports_to + 1) % self.nodes.len();
+        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.nodes.len();
         self.changed.notify_one();
     }
 }
--- a/crates/dapplecroft-fakes/src/worker/tasks.rs
+++ b/crates/dapplecroft-fakes/src/worker/tasks.rs
@@ -6,16 +6,16 @@
 use tokio::time::{Instant, sleep};
 
 impl FakeWorker {
-    pub(super) fn execute(&self, inner: &mut Inner, orders: &[Order]) {
+    pub(super) fn execute_orders(&self, inner: &mut Inner, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Start { task, attempt } => self.begin(inner, task, *attempt),
+                Order::Start { task, attempt } => self.start_task(inner, task, *attempt),
                 Order::Kill { task, attempt, grace_s } => {
                     if let Some(t) = inner.tasks.get_mut(task)
                         && t.attempt == *attempt
                         && t.state != TaskState::Exited
                     {
-                        self.kill(task, t, Duration::from_secs_f64(*grace_s));
+                        self.stop_task(task, t, Duration::from_secs_f64(*grace_s));
                     }
                 }
                 Order::Clear { task, attempt } => {
@@ -32,50 +32,55 @@
     }
 
     /// Ends a task, or has it save first if it is given the time for that.
-    fn kill(&self, name: &str, task: &mut Task, grace: Duration) {
-        let saves = self.saves(name).filter(|saves| grace >= saves.time);
+    fn stop_task(&self, name: &str, task: &mut Task, grace: Duration) {
+        let saves = self.checkpoint_policy(name).filter(|saves| grace >= saves.time);
         if task.state == TaskState::Saving && grace > Duration::ZERO {
             return;
         }
-        if let Some(work) = task.work.take() {
+        if let Some(work) = task.runner.take() {
             work.abort();
         }
         self.changed.notify_one();
-        if let (Some(saves), Some((since, before)), TaskState::Running) = (saves, task.began, task.state) {
-            let (me, name, attempt) = (self.own.upgrade().unwrap(), name.to_string(), task.attempt);
+        if let (Some(saves), Some((since, before)), TaskState::Running) =
+            (saves, task.running_since, task.state)
+        {
+            let (me, name, attempt) = (self.weak_self.upgrade().unwrap(), name.to_string(), task.attempt);
             let progress = before + since.elapsed();
             task.state = TaskState::Saving;
-            task.work = Some(tokio::spawn(async move { me.save(name, attempt, saves, progress).await }));
+            task.runner =
+                Some(tokio::spawn(
+                    async move { me.checkpoint_and_exit(name, attempt, saves, progress).await },
+                ));
             return;
         }
         task.state = TaskState::Exited;
-        task.why = Some(ExitReason::Stopped);
+        task.exit_reason = Some(ExitReason::Stopped);
         self.referee.ended(name, &self.machine);
     }
 
-    async fn save(&self, name: String, attempt: u64, saves: Saves, progress: Duration) {
+    async fn checkpoint_and_exit(&self, name: String, attempt: u64, saves: Saves, progress: Duration) {
         sleep(saves.time).await;
-        self.awake().await;
+        self.wait_while_hung().await;
         self.timing.saved.lock().unwrap().insert(name.clone(), progress);
         self.referee.ended(&name, &self.machine);
         let mut inner = self.inner.lock().unwrap();
         if let Some(task) = inner.tasks.get_mut(&name).filter(|t| t.attempt == attempt) {
-            task.saved = Some(true);
+            task.checkpointed = Some(true);
         }
         drop(inner);
-        self.set(&name, attempt, TaskState::Exited, Some(ExitReason::Stopped));
+        self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Stopped));
     }
 
-    fn saves(&self, name: &str) -> Option<Saves> {
+    fn checkpoint_policy(&self, name: &str) -> Option<Saves> {
         let (job, _) = name.rsplit_once('/')?;
         self.timing.saves.get(job).copied()
     }
 
     /// Runs a task to its end from what was saved of it, saving by itself.
-    async fn run_saving(&self, name: &str, attempt: u64, saves: Saves, total: Duration) {
+    async fn run_with_checkpoints(&self, name: &str, attempt: u64, saves: Saves, total: Duration) {
         let mut progress = self.timing.saved.lock().unwrap().get(name).copied().unwrap_or_default();
         if let Some(task) = self.inner.lock().unwrap().tasks.get_mut(name).filter(|t| t.attempt == attempt) {
-            task.began = Some((Instant::now(), progress));
+            task.running_since = Some((Instant::now(), progress));
         }
         while progress < total {
             let step = saves.interval.min(total - progress);
@@ -85,36 +90,36 @@
         }
     }
 
-    fn begin(&self, inner: &mut Inner, name: &str, attempt: u64) {
+    fn start_task(&self, inner: &mut Inner, name: &str, attempt: u64) {
         if let Some(old) = inner.tasks.get(name) {
             if old.attempt != attempt {
                 self.referee.note(format!("{name} started on {} with another attempt", self.machine));
             }
             return;
         }
-        let (me, task) = (self.own.upgrade().unwrap(), name.to_string());
-        let work = tokio::spawn(async move { me.work(task, attempt).await });
+        let (me, task) = (self.weak_self.upgrade().unwrap(), name.to_string());
+        let work = tokio::spawn(async move { me.run_task(task, attempt).await });
         let task = Task {
             attempt,
             state: TaskState::Fetching,
-            why: None,
-            work: Some(work),
-            began: None,
-            saved: None,
+            exit_reason: None,
+            runner: Some(work),
+            running_since: None,
+            checkpointed: None,
         };
         inner.tasks.insert(name.into(), task);
         self.changed.notify_one();
     }
 
-    async fn work(&self, name: String, attempt: u64) {
+    async fn run_task(&self, name: String, attempt: u64) {
         self.run_for(self.timing.fetch).await;
         let job = name.rsplit_once('/').unwrap().0.to_string();
-        self.set(&name, attempt, TaskState::Running, None);
+        self.set_task_state(&name, attempt, TaskState::Running, None);
         self.referee.started(&name, attempt, &self.machine);
         if self.timing.fails.contains(&job) {
             sleep(Duration::from_millis(200)).await;
             self.referee.ended(&name, &self.machine);
-            self.set(&name, attempt, TaskState::Exited, Some(ExitReason::Error));
+            self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Error));
             return;
         }
         let named = self.timing.runs.get(&job).copied();
@@ -122,19 +127,19 @@
         let index: u32 = name.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
         let total =
             if self.timing.per_task && named.is_some() { usual / 2 + usual * 2 * index } else { usual };
-        match self.saves(&name) {
-            Some(saves) => self.run_saving(&name, attempt, saves, total).await,
+        match self.checkpoint_policy(&name) {
+            Some(saves) => self.run_with_checkpoints(&name, attempt, saves, total).await,
             None => self.run_for(total).await,
         }
         self.referee.ended(&name, &self.machine);
-        self.set(&name, attempt, TaskState::Exited, Some(ExitReason::Done));
+        self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Done));
     }
 
-    fn set(&self, name: &str, attempt: u64, state: TaskState, why: Option<ExitReason>) {
+    fn set_task_state(&self, name: &str, attempt: u64, state: TaskState, why: Option<ExitReason>) {
         let mut inner = self.inner.lock().unwrap();
         if let Some(task) = inner.tasks.get_mut(name).filter(|t| t.attempt == attempt) {
             task.state = state;
-            task.why = why;
+            task.exit_reason = why;
             self.changed.notify_one();
         }
     }
