--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A cloud in memory.
 
+use crate::invariants::Referee;
 use crate::net::{Handler, Net, Query};
-use crate::referee::Referee;
 use crate::worker::{FakeWorker, WorkerTiming};
 use async_trait::async_trait;
 use dapplecroft_net::Response;
--- a/crates/dapplecroft-fakes/src/lib.rs
+++ b/crates/dapplecroft-fakes/src/lib.rs
@@ -3,13 +3,13 @@
 #![allow(clippy::unwrap_used)]
 
 mod cloud;
+mod invariants;
 mod net;
-mod referee;
 mod state;
 mod worker;
 
 pub use cloud::FakeCloud;
+pub use invariants::{Bound, Referee, Stay, Told};
 pub use net::{Action, Handler, Net, Rule};
-pub use referee::{Bound, Referee, Stay, Told};
 pub use state::{FakeState, Limits, Refusals};
 pub use worker::{FakeWorker, Saves, WorkerTiming};
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker in memory.
 
+use crate::invariants::Referee;
 use crate::net::Net;
-use crate::referee::Referee;
 use dapplecroft_net::Transport;
 use dapplecroft_wire::workers::{ExitReason, TaskState};
 use std::collections::BTreeMap;
