--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -1,4 +1,5 @@
-//! A cloud in memory.
+//! An in-memory cloud provider: machines are scaled out and in, boot with a
+//! worker agent, and on demand fail to come up, vanish, or run out of capacity.
 
 use crate::invariants::Referee;
 use crate::net::{Handler, Net, Query};
--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -1,4 +1,5 @@
-//! Watches over the rules: what runs where, and whether it may.
+//! Invariant checker: records where tasks run and what users were told, and
+//! reports each violation of the protocol's rules.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -42,7 +43,7 @@
     pub until: Option<Instant>,
 }
 
-/// Where the tasks of a job may be.
+/// Placement constraint of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Bound {
     /// The only allowed zone.
@@ -53,7 +54,8 @@
     pub apart: Option<usize>,
 }
 
-/// What users have been told of a job at most; later answers may not be older.
+/// The most advanced status users have been told of a job; a later answer
+/// must not report an earlier one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Told {
     /// Nothing yet.
@@ -65,7 +67,7 @@
     Final(String),
 }
 
-/// Watches over the rules.
+/// Checks the protocol's invariants over the events that tests report.
 #[derive(Default)]
 pub struct Referee {
     inner: Mutex<Inner>,
@@ -82,14 +84,15 @@
 }
 
 impl Referee {
-    /// A referee that lets cancelled tasks stay this long.
+    /// A checker that allows tasks of a cancelled job to run this long after
+    /// the cancellation.
     pub fn new(cancel_after: Duration) -> Arc<Referee> {
         let referee = Referee::default();
         *referee.cancel_after.lock().unwrap() = cancel_after;
         Arc::new(referee)
     }
 
-    /// Something went wrong.
+    /// Records a violation found elsewhere.
     pub fn note(&self, what: String) {
         self.inner.lock().unwrap().violations.push(what);
     }
--- a/crates/dapplecroft-fakes/src/lib.rs
+++ b/crates/dapplecroft-fakes/src/lib.rs
@@ -1,5 +1,7 @@
-//! In-memory stand-ins of a network, the state service, the cloud and its
-//! workers, on tokio's stopped clock. For tests alone.
+//! In-memory stand-ins for tests: a network with fault rules, the
+//! consensus-backed key-value store, a cloud with its worker agents, and an
+//! invariant checker over what happened. They run on tokio's paused clock, so
+//! simulated time passes without real waiting.
 #![allow(clippy::unwrap_used)]
 
 mod cloud;
--- a/crates/dapplecroft-fakes/src/state.rs
+++ b/crates/dapplecroft-fakes/src/state.rs
@@ -1,4 +1,6 @@
-//! A state service in memory.
+//! An in-memory consensus-backed key-value store: versioned keys, compare-and-
+//! swap transactions, leases and watches, with outages, refused hosts, delays
+//! and limits on demand.
 
 use crate::net::Handler;
 use async_trait::async_trait;
@@ -42,7 +44,7 @@
     rejections: Refusals,
 }
 
-/// What a state service takes; more is refused.
+/// Limits of the store; a transaction beyond them is rejected.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Bytes of a value.
@@ -53,7 +55,7 @@
     pub rate: f64,
 }
 
-/// How often something was refused.
+/// How many transactions were rejected, by limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Refusals {
     /// For the size of a value.
@@ -64,7 +66,7 @@
     pub rate: usize,
 }
 
-/// A state service.
+/// An in-memory consensus-backed key-value store.
 #[derive(Default)]
 pub struct FakeState {
     inner: Mutex<Inner>,
@@ -85,7 +87,7 @@
 }
 
 impl FakeState {
-    /// An empty state service.
+    /// An empty store.
     pub fn new() -> Arc<FakeState> {
         Arc::default()
     }
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -1,4 +1,6 @@
-//! A worker in memory.
+//! An in-memory worker agent: it sends heartbeats with status, holds a lease
+//! and an agent epoch, runs tasks with checkpoints, and can hang, restart or
+//! be destroyed on demand.
 
 use crate::invariants::Referee;
 use crate::net::Net;
@@ -15,14 +17,14 @@
 mod heartbeat;
 mod tasks;
 
-/// How a worker behaves in time.
+/// Timing of a worker agent and of the tasks it runs.
 #[derive(Debug, Clone)]
 pub struct WorkerTiming {
-    /// Interval between reports.
+    /// Interval between heartbeats.
     pub report: Duration,
-    /// How long it goes on without an answer.
+    /// Lease: how long the agent keeps its tasks without an answered heartbeat.
     pub lease: Duration,
-    /// How long an image takes.
+    /// How long pulling a task's image takes.
     pub fetch: Duration,
     /// How long a task of a job runs; jobs not named run for 10 s.
     pub runs: BTreeMap<String, Duration>,
@@ -31,18 +33,19 @@
     /// Whether task n of a job that is named runs for 2n + 0.5 times as long, so
     /// that they end far apart.
     pub per_task: bool,
-    /// How tasks of jobs save their progress; jobs not named never do.
+    /// Checkpoint policy by job; tasks of jobs not named never checkpoint.
     pub saves: BTreeMap<String, Saves>,
-    /// Progress that was saved, by task. It is outside of all machines.
+    /// Checkpointed progress by task; shared by all machines, as durable
+    /// storage would be.
     pub saved: Arc<Mutex<BTreeMap<String, Duration>>>,
 }
 
-/// How a job's tasks save their progress.
+/// How a job's tasks write checkpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct Saves {
-    /// Interval of progress after which they save by themselves.
+    /// Progress between two periodic checkpoints.
     pub interval: Duration,
-    /// How long it takes to save when they are stopped.
+    /// How long a final checkpoint takes when the task is stopped.
     pub time: Duration,
 }
 
@@ -71,7 +74,7 @@
     hung_total: Duration,
 }
 
-/// A worker.
+/// An in-memory worker agent on one machine.
 pub struct FakeWorker {
     /// The machine's name.
     pub machine: String,
@@ -92,7 +95,8 @@
 }
 
 impl FakeWorker {
-    /// Starts a worker that reports to these nodes (name and address).
+    /// Starts an agent that sends heartbeats to these controllers (name and
+    /// address), serving its address on the network.
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         net: &Arc<Net>,
@@ -142,7 +146,7 @@
         worker
     }
 
-    /// The machine and all that is on it are gone.
+    /// The machine and all its tasks are gone; the agent stops.
     pub fn destroy(&self) {
         self.net.remove(&self.address);
         self.background_tasks.lock().unwrap().drain(..).for_each(|work| work.abort());
@@ -151,8 +155,8 @@
         self.drop_all_tasks(&mut inner);
     }
 
-    /// The machine stops and is back at once: its tasks are gone, and its worker
-    /// begins another session.
+    /// The machine restarts at once: its tasks are gone and the agent begins a
+    /// new epoch.
     pub fn blink(&self) {
         let mut inner = self.inner.lock().unwrap();
         self.drop_all_tasks(&mut inner);
@@ -194,18 +198,18 @@
         }
     }
 
-    /// The cloud takes it in so many seconds.
+    /// The cloud preempts the machine in so many seconds (spot notice).
     pub fn notice(&self, seconds: f64) {
         self.inner.lock().unwrap().preemption_at = Some(Instant::now() + Duration::from_secs_f64(seconds));
         self.changed.notify_one();
     }
 
-    /// The worker's session.
+    /// The agent's epoch (incarnation).
     pub fn session(&self) -> u64 {
         self.inner.lock().unwrap().epoch
     }
 
-    /// The highest token that it has seen.
+    /// The highest fencing token that the agent has accepted.
     pub fn token(&self) -> u64 {
         self.inner.lock().unwrap().fencing_token
     }
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 impl FakeWorker {
-    /// A report as of now.
+    /// A heartbeat with the agent's status as of now.
     pub fn report(&self) -> Report {
         let mut inner = self.inner.lock().unwrap();
         inner.sequence += 1;
