--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -6,10 +6,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// The team that owns a job and the CPUs each of its tasks takes.
+struct JobDemand {
+    team: String,
+    cpus: f64,
+}
+
 #[derive(Default)]
 struct Inner {
     placements: BTreeMap<String, String>,
-    jobs: HashMap<String, (String, f64)>,
+    jobs: HashMap<String, JobDemand>,
     quotas: HashMap<String, f64>,
     cancelled_at: HashMap<String, Instant>,
     attempts: HashMap<(String, u64), String>,
@@ -129,15 +135,15 @@
         });
         inner.began_at.entry(job_of(task).into()).or_insert_with(Instant::now);
         *inner.start_counts.entry(task.into()).or_default() += 1;
-        let team = inner.jobs.get(job_of(task)).map(|(team, _)| team.clone());
+        let team = inner.jobs.get(job_of(task)).map(|job| job.team.clone());
         if let Some(team) = team {
             let jobs = &inner.jobs;
             let used: f64 = inner
                 .placements
                 .keys()
                 .filter_map(|t| jobs.get(job_of(t)))
-                .filter(|j| j.0 == team)
-                .map(|j| j.1)
+                .filter(|job| job.team == team)
+                .map(|job| job.cpus)
                 .sum();
             if inner.quotas.get(&team).is_some_and(|limit| used > limit + 1e-9) {
                 inner.violations.push(format!("quota: {team} uses {used}"));
--- a/crates/dapplecroft-fakes/src/invariants/answers.rs
+++ b/crates/dapplecroft-fakes/src/invariants/answers.rs
@@ -1,6 +1,6 @@
 //! What users are told of their jobs, and the checks at the end of a day.
 
-use super::{Referee, Told};
+use super::{JobDemand, Referee, Told};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -88,7 +88,7 @@
             if began.map_or(at.elapsed(), |b| *b - *at) > BEGIN_WITHIN {
                 broken.push(format!("late: {id} did not begin in time"));
             }
-            if let Some((team, _)) = inner.jobs.get(id) {
+            if let Some(JobDemand { team, .. }) = inner.jobs.get(id) {
                 let served = teams.entry(team).or_default();
                 served.0 += usize::from(began.is_some());
                 served.1 += 1;
--- a/crates/dapplecroft-fakes/src/invariants/quota.rs
+++ b/crates/dapplecroft-fakes/src/invariants/quota.rs
@@ -1,6 +1,6 @@
 //! Team limits and machines' room: whether waiting jobs are neglected.
 
-use super::{Referee, job_of};
+use super::{JobDemand, Referee, job_of};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -16,7 +16,7 @@
 
     /// Makes a job known.
     pub fn job(&self, id: &str, team: &str, cpus: f64) {
-        self.inner.lock().unwrap().jobs.insert(id.into(), (team.into(), cpus));
+        self.inner.lock().unwrap().jobs.insert(id.into(), JobDemand { team: team.into(), cpus });
     }
 
     /// A machine is up that has so many processors, or (`None`) is gone.
@@ -36,13 +36,13 @@
         let mut free = inner.machine_cpus.clone();
         let mut used: HashMap<String, f64> = HashMap::new();
         for (task, machine) in &inner.placements {
-            let Some((team, cpus)) = inner.jobs.get(job_of(task)) else { continue };
+            let Some(JobDemand { team, cpus }) = inner.jobs.get(job_of(task)) else { continue };
             *free.entry(machine.clone()).or_default() -= cpus;
             *used.entry(team.clone()).or_default() += cpus;
         }
         let most = free.into_values().fold(0.0, f64::max);
         let waits = |id: &&String| {
-            let Some((team, cpus)) = inner.jobs.get(*id) else { return false };
+            let Some(JobDemand { team, cpus }) = inner.jobs.get(*id) else { return false };
             let under = inner
                 .quotas
                 .get(team)
