--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -73,6 +73,9 @@
     Final(String),
 }
 
+/// Slack for rounding when sums of CPUs are compared with a quota.
+const CPU_TOLERANCE: f64 = 1e-9;
+
 /// Checks the protocol's invariants over the events that tests report.
 #[derive(Default)]
 pub struct Referee {
@@ -145,7 +148,7 @@
                 .filter(|job| job.team == team)
                 .map(|job| job.cpus)
                 .sum();
-            if inner.quotas.get(&team).is_some_and(|limit| used > limit + 1e-9) {
+            if inner.quotas.get(&team).is_some_and(|limit| used > limit + CPU_TOLERANCE) {
                 inner.violations.push(format!("quota: {team} uses {used}"));
             }
         }
--- a/crates/dapplecroft-fakes/src/invariants/quota.rs
+++ b/crates/dapplecroft-fakes/src/invariants/quota.rs
@@ -1,6 +1,6 @@
 //! Team limits and machines' room: whether waiting jobs are neglected.
 
-use super::{JobDemand, Referee, job_of};
+use super::{CPU_TOLERANCE, JobDemand, Referee, job_of};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -46,7 +46,7 @@
             let under = inner
                 .quotas
                 .get(team)
-                .is_none_or(|limit| used.get(team).copied().unwrap_or(0.0) + cpus <= limit + 1e-9);
+                .is_none_or(|limit| used.get(team).copied().unwrap_or(0.0) + cpus <= limit + CPU_TOLERANCE);
             !inner.began_at.contains_key(*id)
                 && !inner.cancelled_at.contains_key(*id)
                 && under
--- a/crates/dapplecroft-fakes/src/state/reads.rs
+++ b/crates/dapplecroft-fakes/src/state/reads.rs
@@ -8,6 +8,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// How often an open watch looks for new changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The most keys of one page of a listing.
 const MAX_LISTED: usize = 1000;
 /// The most bytes of one page of a listing.
@@ -71,7 +73,7 @@
                     return json_response(200, json!({"ledger": inner.revision, "log": log}));
                 }
             }
-            sleep(Duration::from_millis(10)).await;
+            sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/dapplecroft-fakes/src/state/transaction.rs
+++ b/crates/dapplecroft-fakes/src/state/transaction.rs
@@ -6,6 +6,9 @@
 use serde_json::json;
 use tokio::time::Instant;
 
+/// A transaction may hold this many conditions for each change it may hold.
+const CONDITIONS_PER_CHANGE: usize = 4;
+
 impl FakeState {
     pub(super) fn transact(&self, body: &[u8]) -> Response {
         let mut inner = self.inner.lock().unwrap();
@@ -69,7 +72,7 @@
             return Some(json_response(400, json!({"error": "the value is too large"})));
         }
         let (changes, conditions) = (transaction.changes.len(), transaction.conditions.len());
-        if changes > limits.changes || conditions > 4 * limits.changes {
+        if changes > limits.changes || conditions > CONDITIONS_PER_CHANGE * limits.changes {
             self.rejections.transactions += 1;
             return Some(json_response(400, json!({"error": "too many operations"})));
         }
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -17,6 +17,10 @@
 mod heartbeat;
 mod tasks;
 
+/// How long after its lease ends the agent drops its tasks: the lease counts
+/// as expired only once its time has fully passed.
+const PAST_LEASE_END: Duration = Duration::from_millis(1);
+
 /// Timing of a worker agent and of the tasks it runs.
 #[derive(Debug, Clone)]
 pub struct WorkerTiming {
@@ -235,8 +239,7 @@
     /// Ends its tasks at the very moment at which its lease ends.
     async fn lease_expiry_loop(&self) {
         loop {
-            let end =
-                self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + Duration::from_millis(1);
+            let end = self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + PAST_LEASE_END;
             sleep_until(end).await;
             self.expire_lease_if_due();
         }
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -7,6 +7,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
+/// Wait before each heartbeat goes out, so that changes close together
+/// travel in one heartbeat.
+const HEARTBEAT_BATCH_DELAY: Duration = Duration::from_millis(300);
+/// A heartbeat unanswered this long counts as lost.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Back-off before the agent tries the next controller.
+const NEXT_CONTROLLER_BACKOFF: Duration = Duration::from_secs(1);
+
 impl FakeWorker {
     /// A heartbeat with the agent's status as of now.
     pub fn report(&self) -> Report {
@@ -41,7 +49,7 @@
     pub(super) async fn heartbeat_loop(&self) {
         loop {
             let _ = timeout(self.timing.report, self.changed.notified()).await;
-            sleep(Duration::from_millis(300)).await;
+            sleep(HEARTBEAT_BATCH_DELAY).await;
             self.wait_while_hung().await;
             self.expire_lease_if_due();
             let sent = Instant::now();
@@ -53,13 +61,13 @@
                 method: Method::POST,
                 path: "/hello".into(),
                 body: serde_json::to_vec(&report).unwrap().into(),
-                timeout: Duration::from_secs(4),
+                timeout: HEARTBEAT_TIMEOUT,
                 one_of_many: false,
             };
             let answer = self.port.send(request).await;
             self.wait_while_hung().await;
             // If it hung meanwhile, an answer as late as that counts for nothing.
-            let answer = answer.ok().filter(|_| sent.elapsed() < Duration::from_secs(4));
+            let answer = answer.ok().filter(|_| sent.elapsed() < HEARTBEAT_TIMEOUT);
             self.expire_lease_if_due();
             match answer {
                 Some(r) if r.status == 200 => {
@@ -93,7 +101,7 @@
     }
 
     async fn try_next_node(&self, heartbeat_target: usize) {
-        sleep(Duration::from_secs(1)).await;
+        sleep(NEXT_CONTROLLER_BACKOFF).await;
         self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.nodes.len();
         self.changed.notify_one();
     }
--- a/crates/dapplecroft-fakes/src/worker/tasks.rs
+++ b/crates/dapplecroft-fakes/src/worker/tasks.rs
@@ -5,6 +5,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// How long a task of a job that is set to fail runs before it exits.
+const FAILING_TASK_RUNTIME: Duration = Duration::from_millis(200);
+/// How long a task runs when its job has no run time of its own.
+const DEFAULT_TASK_RUNTIME: Duration = Duration::from_secs(10);
+
 impl FakeWorker {
     pub(super) fn execute_orders(&self, inner: &mut Inner, orders: &[Order]) {
         for order in orders {
@@ -117,13 +122,13 @@
         self.set_task_state(&name, attempt, TaskState::Running, None);
         self.referee.started(&name, attempt, &self.machine);
         if self.timing.fails.contains(&job) {
-            sleep(Duration::from_millis(200)).await;
+            sleep(FAILING_TASK_RUNTIME).await;
             self.referee.ended(&name, &self.machine);
             self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Error));
             return;
         }
         let named = self.timing.runs.get(&job).copied();
-        let usual = named.unwrap_or(Duration::from_secs(10));
+        let usual = named.unwrap_or(DEFAULT_TASK_RUNTIME);
         let index: u32 = name.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
         let total =
             if self.timing.per_task && named.is_some() { usual / 2 + usual * 2 * index } else { usual };
