--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -1,7 +1,8 @@
-//! A cloud in memory.
+//! An in-memory cloud provider: machines are scaled out and in, boot with a
+//! worker agent, and on demand fail to come up, vanish, or run out of capacity.
 
+use crate::invariants::Referee;
 use crate::net::{Handler, Net, Query};
-use crate::referee::Referee;
 use crate::worker::{FakeWorker, WorkerTiming};
 use async_trait::async_trait;
 use dapplecroft_net::Response;
--- /dev/null
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -0,0 +1,108 @@
+//! The worker's heartbeat: it sends its status and takes the orders in the answer.
+
+use super::FakeWorker;
+use dapplecroft_net::Request;
+use dapplecroft_wire::workers::{Orders, Redirect, Report, TaskReport};
+use http::Method;
+use std::time::Duration;
+use tokio::time::{Instant, sleep, timeout};
+
+/// Wait before each heartbeat goes out, so that changes close together
+/// travel in one heartbeat.
+const HEARTBEAT_BATCH_DELAY: Duration = Duration::from_millis(300);
+/// A heartbeat unanswered this long counts as lost.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Back-off before the agent tries the next controller.
+const NEXT_CONTROLLER_BACKOFF: Duration = Duration::from_secs(1);
+
+impl FakeWorker {
+    /// A heartbeat with the agent's status as of now.
+    pub fn report(&self) -> Report {
+        let mut inner = self.inner.lock().unwrap();
+        inner.sequence += 1;
+        Report {
+            machine: self.machine.clone(),
+            address: self.address.clone(),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            session: inner.epoch,
+            sequence: inner.sequence,
+            token: inner.fencing_token,
+            notice_s: inner
+                .preemption_at
+                .map(|at| at.saturating_duration_since(Instant::now()).as_secs_f64()),
+            tasks: inner
+                .tasks
+                .iter()
+                .map(|(name, t)| TaskReport {
+                    task: name.clone(),
+                    attempt: t.attempt,
+                    state: t.state,
+                    why: t.exit_reason,
+                    saved: t.checkpointed,
+                })
+                .collect(),
+        }
+    }
+
+    pub(super) async fn heartbeat_loop(&self) {
+        loop {
+            let _ = timeout(self.timing.report, self.changed.notified()).await;
+            sleep(HEARTBEAT_BATCH_DELAY).await;
+            self.wait_while_hung().await;
+            self.expire_lease_if_due();
+            let sent = Instant::now();
+            let report = self.report();
+            let heartbeat_target = self.inner.lock().unwrap().heartbeat_target;
+            let (_, address) = &self.nodes[heartbeat_target % self.nodes.len()];
+            let request = Request {
+                address: address.clone(),
+                method: Method::POST,
+                path: "/hello".into(),
+                body: serde_json::to_vec(&report).unwrap().into(),
+                timeout: HEARTBEAT_TIMEOUT,
+                one_of_many: false,
+            };
+            let answer = self.port.send(request).await;
+            self.wait_while_hung().await;
+            // If it hung meanwhile, an answer as late as that counts for nothing.
+            let answer = answer.ok().filter(|_| sent.elapsed() < HEARTBEAT_TIMEOUT);
+            self.expire_lease_if_due();
+            match answer {
+                Some(r) if r.status == 200 => {
+                    let orders: Orders = serde_json::from_slice(&r.body).unwrap();
+                    let mut inner = self.inner.lock().unwrap();
+                    if orders.token >= inner.fencing_token && report.session == inner.epoch {
+                        if orders.token > inner.fencing_token {
+                            self.changed.notify_one();
+                        }
+                        inner.fencing_token = orders.token;
+                        inner.lease_renewed_at = sent;
+                        self.execute_orders(&mut inner, &orders.orders);
+                    }
+                }
+                Some(r) if r.status == 421 => {
+                    let redirect: Redirect = serde_json::from_slice(&r.body).unwrap_or_default();
+                    let named = redirect
+                        .report_to
+                        .and_then(|host| self.nodes.iter().position(|(name, _)| *name == host));
+                    match named.filter(|n| *n != heartbeat_target) {
+                        Some(n) => {
+                            self.inner.lock().unwrap().heartbeat_target = n;
+                            self.changed.notify_one();
+                        }
+                        None => self.try_next_node(heartbeat_target).await,
+                    }
+                }
+                _ => self.try_next_node(heartbeat_target).await,
+            }
+        }
+    }
+
+    async fn try_next_node(&self, heartbeat_target: usize) {
+        sleep(NEXT_CONTROLLER_BACKOFF).await;
+        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.nodes.len();
+        self.changed.notify_one();
+    }
+}
