--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -4,7 +4,7 @@
 use super::placing::Round;
 use crate::jobs::OpenJob;
 use crate::ranges::Ranges;
-use crate::records::{ShardId, stored_size};
+use crate::records::{SegmentId, stored_size};
 use dapplecroft_sched::{Amounts, Candidate, HasImage, best_fit};
 use dapplecroft_wire::peer::{BlockRoom, FreedRoom, RoomReply};
 use dapplecroft_wire::users::Rank;
@@ -95,7 +95,7 @@
 impl Core {
     /// What has become free in this holder's blocks since their records.
     pub fn freed_room(&self) -> RoomReply {
-        let mut parts: BTreeMap<ShardId, BlockRoom> = BTreeMap::new();
+        let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.block)) {
             let mut freed = Amounts::default();
             let mut home = None;
@@ -107,12 +107,12 @@
                 }
             }
             if let Some(home) = home {
-                let version = self.shards.get(&home).map_or(0, |l| l.version);
+                let version = self.segments.get(&home).map_or(0, |l| l.version);
                 let entry = parts.entry(home).or_insert_with(|| BlockRoom {
                     block: home.block,
                     version,
                     freed: Vec::new(),
-                    part: home.shard,
+                    part: home.segment,
                 });
                 entry.freed.push(FreedRoom {
                     machine: machine.id.to_string(),
@@ -129,8 +129,8 @@
     /// only on top of the record that it was told with, and not for long.
     pub fn take_room(&mut self, reply: &RoomReply, now: Instant) {
         for block in &reply.blocks {
-            let home = ShardId { block: block.block, shard: block.part };
-            let current = self.shards.get(&home).map_or(0, |l| l.version);
+            let home = SegmentId { block: block.block, segment: block.part };
+            let current = self.segments.get(&home).map_or(0, |l| l.version);
             if current != block.version || self.is_holder(block.block) {
                 continue;
             }
@@ -149,9 +149,9 @@
 
     /// What another holder has told to be free on machines since their records.
     pub(super) fn hinted(&self, block: u32, now: Instant) -> Vec<&Hint> {
-        let of = ShardId::whole(block)..=ShardId::new(block, u32::MAX);
-        let fresh = |id: &ShardId, hint: &Hint| {
-            let current = self.shards.get(id).map_or(0, |l| l.version);
+        let of = SegmentId::whole(block)..=SegmentId::new(block, u32::MAX);
+        let fresh = |id: &SegmentId, hint: &Hint| {
+            let current = self.segments.get(id).map_or(0, |l| l.version);
             now.saturating_duration_since(hint.at) < HINT_LASTS && hint.version == current
         };
         self.hints.range(of).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use super::commit_queue::NextSubject;
 use crate::jobs::{OpenJob, Placed, TaskId};
-use crate::records::{ShardId, ShardRecord};
+use crate::records::{SegmentId, SegmentRecord};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::Rank;
@@ -21,8 +21,8 @@
 pub enum Subject {
     /// A job's.
     Job(Arc<str>),
-    /// A block's, or a shard's of it.
-    Shard(ShardId),
+    /// A block's, or a segment's of it.
+    Segment(SegmentId),
     /// A record that says nothing any more.
     ObsoleteKey(String),
 }
@@ -38,8 +38,8 @@
     pub urgent: bool,
     number: u64,
     proposals: Vec<(TaskId, Placed)>,
-    /// A shard that is emptied with it, since another takes it in.
-    absorbed: Option<ShardId>,
+    /// A segment that is emptied with it, since another takes it in.
+    absorbed: Option<SegmentId>,
 }
 
 /// How a unit ended.
@@ -88,10 +88,10 @@
     /// looked at again then. What a record of the first layout has may be moved
     /// over only once no write of that is in flight, which could come after it.
     fn is_held_back(&mut self, subject: &Subject) -> bool {
-        if let Subject::Shard(id) = subject
-            && id.shard.is_some()
+        if let Subject::Segment(id) = subject
+            && id.segment.is_some()
         {
-            let whole = Subject::Shard(ShardId::whole(id.block));
+            let whole = Subject::Segment(SegmentId::whole(id.block));
             if self.commits.is_in_flight(&whole) {
                 self.commits.block_on(whole, subject.clone());
                 return true;
@@ -109,17 +109,17 @@
         let NextSubject { subject, urgent } = next;
         let absorbed = match &subject {
             // Nothing can be committed of a block that is no longer leased. Taken in
-            // and restored, its shards would queue each other without end.
-            Subject::Shard(id) if self.is_holder(id.block) => self.make_shard_fit(*id),
+            // and restored, its segments would queue each other without end.
+            Subject::Segment(id) if self.is_holder(id.block) => self.make_segment_fit(*id),
             _ => None,
         };
         let unit = match &subject {
             Subject::Job(id) => self.job_unit(id),
-            Subject::Shard(id) => self.shard_unit(*id),
+            Subject::Segment(id) => self.segment_unit(*id),
             Subject::ObsoleteKey(key) => self.obsolete_key_unit(key),
         };
         let Some((mut unit, proposals)) = unit else {
-            if let (Some(other), Subject::Shard(by)) = (absorbed, subject) {
+            if let (Some(other), Subject::Segment(by)) = (absorbed, subject) {
                 self.restore(other, by);
             }
             return None;
@@ -127,30 +127,30 @@
         let number = self.commits.next_number();
         if let Some(other) = absorbed {
             self.empty_absorbed(other, &mut unit);
-            self.commits.begin(Subject::Shard(other), number);
+            self.commits.begin(Subject::Segment(other), number);
         }
         self.commits.begin(subject.clone(), number);
         self.commits.note_sent(subject.clone(), now);
         Some(WorkUnit { subject, unit, urgent, number, proposals, absorbed })
     }
 
-    /// Sends machines elsewhere if a shard would outgrow a value, or takes in
-    /// another shard, which it returns, if both are light.
-    fn make_shard_fit(&mut self, id: ShardId) -> Option<ShardId> {
-        if self.shards.contains_key(&ShardId::whole(id.block)) {
+    /// Sends machines elsewhere if a segment would outgrow a value, or takes in
+    /// another segment, which it returns, if both are light.
+    fn make_segment_fit(&mut self, id: SegmentId) -> Option<SegmentId> {
+        if self.segments.contains_key(&SegmentId::whole(id.block)) {
             self.relieve(id);
             return None;
         }
         self.absorb(id)
     }
 
-    /// Adds to a unit that the shard which is taken in has nothing any more.
-    fn empty_absorbed(&self, other: ShardId, unit: &mut Unit) {
-        let version = self.shards.get(&other).map_or(0, |shard| shard.version);
+    /// Adds to a unit that the segment which is taken in has nothing any more.
+    fn empty_absorbed(&self, other: SegmentId, unit: &mut Unit) {
+        let version = self.segments.get(&other).map_or(0, |segment| segment.version);
         unit.conditions.push(Condition { key: other.key(), version });
         // Empty rather than gone: a late copy of what began it must not find it as
         // it was then.
-        let value = self.shard_value(other, &ShardRecord::default());
+        let value = self.segment_value(other, &SegmentRecord::default());
         unit.changes.push(Change::Set { key: other.key(), value, lease: None });
     }
 
@@ -174,9 +174,9 @@
         self.wakeups.flush = true;
     }
 
-    /// Asks for a commit of what is proposed in a shard, for urgent work or not.
-    pub(super) fn mark_shard(&mut self, shard: ShardId, urgent: bool) {
-        self.commits.push(Subject::Shard(shard), urgent);
+    /// Asks for a commit of what is proposed in a segment, for urgent work or not.
+    pub(super) fn mark_segment(&mut self, segment: SegmentId, urgent: bool) {
+        self.commits.push(Subject::Segment(segment), urgent);
         self.wakeups.flush = true;
     }
 
@@ -188,17 +188,17 @@
     }
 
     /// Notes that an end of one of a job's tasks has to be committed in a block.
-    pub(super) fn note_end(&mut self, id: &Arc<str>, shard: ShardId, now: Instant) {
+    pub(super) fn note_end(&mut self, id: &Arc<str>, segment: SegmentId, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
         let more = job.exits.values().filter(|e| e.done).count() as u32;
         // A replica is wanted again as soon as its end is committed.
         if !job.is_open() || job.is_service() || job.done.len() + more >= job.record.tasks {
             // With the last one, earlier ends that still wait for company.
             let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.home);
-            let shards: BTreeSet<ShardId> = ended.chain([shard]).collect();
-            shards.into_iter().for_each(|shard| self.commits.push_job_end(Subject::Shard(shard)));
+            let segments: BTreeSet<SegmentId> = ended.chain([segment]).collect();
+            segments.into_iter().for_each(|segment| self.commits.push_job_end(Subject::Segment(segment)));
         } else {
-            self.commits.defer_end(shard, now);
+            self.commits.defer_end(segment, now);
         }
         self.wakeups.flush = true;
     }
@@ -207,7 +207,7 @@
     pub fn unit_ended(&mut self, unit: &WorkUnit, end: UnitEnd, now: Instant) {
         self.commits.end(&unit.subject, unit.number);
         if let Some(other) = unit.absorbed {
-            let other = Subject::Shard(other);
+            let other = Subject::Segment(other);
             self.commits.end_absorbed(&other);
             if self.commits.take_recheck(&other) {
                 // An end there that can't wait, or what is proposed: it is here now.
@@ -220,7 +220,7 @@
         }
         match &unit.subject {
             Subject::Job(id) => self.job_unit_ended(id),
-            Subject::Shard(id) => self.shard_unit_ended(*id, end, now),
+            Subject::Segment(id) => self.segment_unit_ended(*id, end, now),
             Subject::ObsoleteKey(_) => {}
         }
         if self.commits.release_blocked(&unit.subject) {
@@ -231,7 +231,7 @@
 
     fn unit_committed(&mut self, unit: &WorkUnit, revision: u64, now: Instant) {
         self.apply_changes(&unit.unit.changes, revision, now);
-        if let (Some(other), Subject::Shard(by)) = (unit.absorbed, &unit.subject) {
+        if let (Some(other), Subject::Segment(by)) = (unit.absorbed, &unit.subject) {
             self.absorbed(other, *by, now);
         }
         // A machine can go while a placement on it is in flight.
@@ -243,7 +243,7 @@
     }
 
     fn unit_not_made(&mut self, unit: &WorkUnit) {
-        if let (Some(other), Subject::Shard(by)) = (unit.absorbed, &unit.subject)
+        if let (Some(other), Subject::Segment(by)) = (unit.absorbed, &unit.subject)
             && self.is_holder(by.block)
         {
             self.restore(other, *by);
@@ -286,13 +286,13 @@
         }
     }
 
-    fn shard_unit_ended(&mut self, id: ShardId, end: UnitEnd, now: Instant) {
+    fn segment_unit_ended(&mut self, id: SegmentId, end: UnitEnd, now: Instant) {
         if !self.role.leased_blocks.contains_key(&id.block) {
             self.drop_proposals_in(id.block);
         } else {
             self.drop_void(id, now);
             if end == UnitEnd::NotMade {
-                self.mark_shard(id, false);
+                self.mark_segment(id, false);
             } else {
                 self.inherited.remove(&id);
             }
@@ -301,13 +301,13 @@
         self.continue_move(id.block, now);
     }
 
-    /// Takes back proposals that found no room in their shard's record, and those
-    /// that are allocated no longer: while a unit of the shard was on its way they
+    /// Takes back proposals that found no room in their segment's record, and those
+    /// that are allocated no longer: while a unit of the segment was on its way they
     /// could not be told from what is in it, and nothing else would come to them.
-    fn drop_void(&mut self, shard: ShardId, now: Instant) {
+    fn drop_void(&mut self, segment: SegmentId, now: Instant) {
         let old = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
-        self.drop_placed(shard.block, |job, index, p| {
-            p.home == shard && (old(p) || !job.allocates(shard.block, index))
+        self.drop_placed(segment.block, |job, index, p| {
+            p.home == segment && (old(p) || !job.allocates(segment.block, index))
         });
     }
 
@@ -322,7 +322,7 @@
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
             let own = !p.committed && p.home.block == block;
-            if own && void(job, task.index, p) && !self.commits.is_in_flight(&Subject::Shard(p.home)) {
+            if own && void(job, task.index, p) && !self.commits.is_in_flight(&Subject::Segment(p.home)) {
                 proposed.push((task.clone(), p.clone()));
             }
         }
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -2,11 +2,11 @@
 use crate::core::BlockLease;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Job;
-use crate::records::{ShardRecord, Span};
+use crate::records::{SegmentRecord, Span};
 use dapplecroft_wire::workers::ExitReason;
 use serde_json::json;
 
-// A storm (seed 504): a task was proposed while its shard was being committed, and
+// A storm (seed 504): a task was proposed while its segment was being committed, and
 // taken back from the block meanwhile. Its proposal stayed: it could not be committed,
 // kept the task from being allocated elsewhere, and on a quiet block nothing ever came
 // to it again.
@@ -18,13 +18,13 @@
         let job = |allocated| job_record("run-1", 2, allocated);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 1]]}))), 5, now);
         core.role.leased_blocks.insert(0, BlockLease { epoch: 1, version: 1 });
-        let shard = ShardId::new(0, 0);
-        let placed = proposed("i-1", shard, 1, now);
+        let segment = SegmentId::new(0, 0);
+        let placed = proposed("i-1", segment, 1, now);
         let task = TaskId { job: "run-1".into(), index: 1 };
         let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
         open.placed.insert(1, placed.clone());
         core.book(&task, &placed.machine, 0, now);
-        let subject = Subject::Shard(shard);
+        let subject = Subject::Segment(segment);
         core.commits.begin(subject.clone(), 7);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 0]]}))), 12, now);
         assert!(core.open_job("run-1").unwrap().placed.contains_key(&1), "it may be in the unit");
@@ -38,7 +38,7 @@
     }
 }
 
-// A shard that another takes in was dropped. A copy of the transaction that had begun
+// A segment that another takes in was dropped. A copy of the transaction that had begun
 // it, without an answer and carried out late, would have found it as it was before,
 // not there, and brought back tasks that had ended or moved meanwhile.
 #[test]
@@ -50,26 +50,26 @@
     core.apply("dc/j/run-1", Some(job("run-1")), 2, now);
     core.apply("dc/j/run-2", Some(job("run-2")), 3, now);
     let span = |job: &str, machine: &str, index: u32| {
-        let record = ShardRecord {
+        let record = SegmentRecord {
             jobs: vec![job.into()],
             machines: [(
                 machine.into(),
                 vec![Span { job: 0, first: index, last: index, attempt: 1, session: 1 }],
             )]
             .into(),
-            ..ShardRecord::default()
+            ..SegmentRecord::default()
         };
         serde_json::to_value(record).unwrap()
     };
-    let (one, other) = (ShardId::new(0, 0), ShardId::new(0, 1));
+    let (one, other) = (SegmentId::new(0, 0), SegmentId::new(0, 1));
     core.apply(&one.key(), Some(span("run-1", "i-1", 0)), 4, now);
     core.apply(&other.key(), Some(span("run-2", "i-2", 0)), 5, now);
     core.role.leased_blocks.insert(0, BlockLease { epoch: 1, version: 1 });
     core.learn_parts(0);
-    // A task of the first shard has ended.
+    // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
     let unit = core.next_unit(true, false, now).unwrap();
-    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Shard(one), Some(other)));
+    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Segment(one), Some(other)));
     let left = unit.unit.changes.iter().find(|c| c.key() == other.key()).unwrap();
     assert!(matches!(left, Change::Set { .. }), "{left:?}");
     core.unit_ended(&unit, UnitEnd::Committed(9), now);
@@ -78,27 +78,27 @@
     assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
     // Its number is free, it is taken in only once, and what begins it again names
     // the version that it has.
-    assert!(!core.shard_numbers(0).contains(&1));
+    assert!(!core.segment_numbers(0).contains(&1));
     core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
     let unit = core.next_unit(true, false, now).unwrap();
-    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Shard(one), None));
+    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Segment(one), None));
     core.unit_ended(&unit, UnitEnd::Committed(10), now);
-    core.machines.get_mut("i-2").unwrap().shard = Some(1);
+    core.machines.get_mut("i-2").unwrap().segment = Some(1);
     core.apply(&one.key(), Some(json!({})), 11, now);
     let Some(Job::Open(open)) = core.jobs.get_mut("run-2") else { panic!("not open") };
     let placed = proposed("i-2", other, 2, now);
     open.placed.insert(1, placed);
     core.book(&TaskId { job: "run-2".into(), index: 1 }, &"i-2".into(), 0, now);
-    let (unit, proposals) = core.shard_unit(other).unwrap();
+    let (unit, proposals) = core.segment_unit(other).unwrap();
     assert_eq!(proposals.len(), 1);
     assert!(unit.conditions.contains(&Condition { key: other.key(), version: 9 }), "{:?}", unit.conditions);
 }
 
-// A day took over 400 s of processor time: a shard of a block that had been lost was
+// A day took over 400 s of processor time: a segment of a block that had been lost was
 // still queued. It took another in, had nothing to commit, and queued the other, which
 // did the same, without end.
 #[test]
-fn shards_of_a_block_that_is_not_leased_do_not_queue_each_other() {
+fn segments_of_a_block_that_is_not_leased_do_not_queue_each_other() {
     let now = Instant::now();
     let mut core = core();
     core.apply("dc/format", Some(json!({"layout": 2})), 1, now);
@@ -108,15 +108,15 @@
     let record = |job: &str, machine: &str| {
         let span = Span { job: 0, first: 0, last: 0, attempt: 1, session: 1 };
         let machines = [(machine.into(), vec![span])].into();
-        serde_json::to_value(ShardRecord { jobs: vec![job.into()], machines, ..ShardRecord::default() })
+        serde_json::to_value(SegmentRecord { jobs: vec![job.into()], machines, ..SegmentRecord::default() })
             .unwrap()
     };
-    let (one, other) = (ShardId::new(0, 0), ShardId::new(0, 1));
+    let (one, other) = (SegmentId::new(0, 0), SegmentId::new(0, 1));
     core.apply(&one.key(), Some(record("run-1", "i-1")), 4, now);
     core.apply(&other.key(), Some(record("run-2", "i-2")), 5, now);
     // Another block is leased, so this process goes on committing.
     core.role.leased_blocks.insert(1, BlockLease { epoch: 1, version: 1 });
-    let next = NextSubject { subject: Subject::Shard(one), urgent: false };
+    let next = NextSubject { subject: Subject::Segment(one), urgent: false };
     assert!(core.work_unit(next, now).is_none());
     assert_eq!(core.commits.backlog(), 0, "nothing is queued again");
     assert!(!core.absorbs(other));
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -6,20 +6,20 @@
 use super::{Core, Subject};
 use crate::jobs::{Job, OpenJob};
 use crate::ranges::Ranges;
-use crate::records::ShardId;
+use crate::records::SegmentId;
 use dapplecroft_wire::users::Rank;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// While changes are scarce, a shard without urgent work has its turn at most so
+/// While changes are scarce, a segment without urgent work has its turn at most so
 /// often.
-const SHARD_TURN: Duration = Duration::from_millis(1500);
+const SEGMENT_TURN: Duration = Duration::from_millis(1500);
 /// Each allocation outdates what holders are about to commit of the same job, so
-/// while changes are scarce a job has its turn less often than a shard.
+/// while changes are scarce a job has its turn less often than a segment.
 const JOB_TURN: Duration = Duration::from_secs(3);
 /// The same for a job of urgent work.
 const URGENT_JOB_TURN: Duration = Duration::from_millis(700);
-/// What is waiting in each shard is counted anew so often.
+/// What is waiting in each segment is counted anew so often.
 const PRIORITIES_VALID_FOR: Duration = Duration::from_millis(150);
 /// How much more urgent work counts among what waits. Work that is not urgent
 /// counts less, but a large allocation of it still goes before a few urgent
@@ -36,20 +36,20 @@
 /// Score of a subject whose turn has not come.
 const NOT_YET: f64 = -1.0;
 
-/// How much each shard has waiting to be committed.
+/// How much each segment has waiting to be committed.
 #[derive(Debug, Default)]
-pub(super) struct ShardPriorities {
+pub(super) struct SegmentPriorities {
     computed_at: Option<Instant>,
-    by_shard: HashMap<ShardId, f64>,
+    by_segment: HashMap<SegmentId, f64>,
 }
 
-impl ShardPriorities {
+impl SegmentPriorities {
     fn is_outdated(&self, now: Instant) -> bool {
         self.computed_at.is_none_or(|at| now.saturating_duration_since(at) >= PRIORITIES_VALID_FOR)
     }
 
-    fn of(&self, shard: &ShardId) -> f64 {
-        self.by_shard.get(shard).copied().unwrap_or(0.0)
+    fn of(&self, segment: &SegmentId) -> f64 {
+        self.by_segment.get(segment).copied().unwrap_or(0.0)
     }
 }
 
@@ -57,8 +57,8 @@
     /// Takes the next subject to commit while changes are scarce.
     pub(super) fn take_highest_priority(&mut self, only_urgent: bool, now: Instant) -> Option<NextSubject> {
         if self.commits.priorities.is_outdated(now) {
-            let by_shard = self.compute_shard_priorities(now);
-            self.commits.priorities = ShardPriorities { computed_at: Some(now), by_shard };
+            let by_segment = self.compute_segment_priorities(now);
+            self.commits.priorities = SegmentPriorities { computed_at: Some(now), by_segment };
         }
         let jobs = &self.jobs;
         let score = |queue: &CommitQueue, subject: &Subject, urgent: bool| {
@@ -75,9 +75,9 @@
         self.commits.next_scarce(only_urgent, score, now)
     }
 
-    /// Processors that are proposed in each shard, by how long they have waited.
-    fn compute_shard_priorities(&self, now: Instant) -> HashMap<ShardId, f64> {
-        let mut priorities: HashMap<ShardId, f64> = HashMap::new();
+    /// Processors that are proposed in each segment, by how long they have waited.
+    fn compute_segment_priorities(&self, now: Instant) -> HashMap<SegmentId, f64> {
+        let mut priorities: HashMap<SegmentId, f64> = HashMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.block)) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
@@ -106,7 +106,7 @@
         return NOT_YET;
     }
     match subject {
-        Subject::Shard(shard) => queue.priorities.of(shard),
+        Subject::Segment(segment) => queue.priorities.of(segment),
         Subject::Job(_) => {
             let (least, most) = JOB_WAIT_RANGE_S;
             job.map_or(0.0, |job| job_priority(job) * since_sent.clamp(least, most))
@@ -118,7 +118,7 @@
 /// How long a subject that is not urgent waits for its next turn.
 fn turn(subject: &Subject, job: Option<&OpenJob>) -> Duration {
     match subject {
-        Subject::Shard(_) | Subject::ObsoleteKey(_) => SHARD_TURN,
+        Subject::Segment(_) | Subject::ObsoleteKey(_) => SEGMENT_TURN,
         Subject::Job(_) => match job {
             Some(job) if job.spec.priority < Rank::Normal => URGENT_JOB_TURN,
             _ => JOB_TURN,
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -2,8 +2,8 @@
 //! more than the order; what a unit contains is worked out when it is taken.
 
 use super::Subject;
-use super::commit_priority::ShardPriorities;
-use crate::records::ShardId;
+use super::commit_priority::SegmentPriorities;
+use crate::records::SegmentId;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -83,12 +83,12 @@
 pub(super) struct CommitQueue {
     /// What ends jobs.
     job_ends: SubjectQueue,
-    /// Jobs with allocations, and shards with placements, of urgent work.
+    /// Jobs with allocations, and segments with placements, of urgent work.
     urgent: SubjectQueue,
     /// Those of other work.
     normal: SubjectQueue,
-    /// Shards with nothing but ends of tasks to commit, since when.
-    deferred_ends: VecDeque<(Instant, ShardId)>,
+    /// Segments with nothing but ends of tasks to commit, since when.
+    deferred_ends: VecDeque<(Instant, SegmentId)>,
     /// When something of a subject was last sent to be committed.
     sent_at: HashMap<Subject, Instant>,
     /// Units in flight, by number.
@@ -99,8 +99,8 @@
     blocked: HashMap<Subject, HashSet<Subject>>,
     /// Number of the last unit.
     last_unit: u64,
-    /// How much each shard has waiting to be committed.
-    pub priorities: ShardPriorities,
+    /// How much each segment has waiting to be committed.
+    pub priorities: SegmentPriorities,
 }
 
 impl CommitQueue {
@@ -115,21 +115,21 @@
     }
 
     /// Queues ends of tasks, which wait for others to share a change with.
-    pub fn defer_end(&mut self, shard: ShardId, now: Instant) {
-        if !self.deferred_ends.iter().any(|(_, s)| *s == shard) {
-            self.deferred_ends.push_back((now, shard));
+    pub fn defer_end(&mut self, segment: SegmentId, now: Instant) {
+        if !self.deferred_ends.iter().any(|(_, s)| *s == segment) {
+            self.deferred_ends.push_back((now, segment));
         }
     }
 
-    /// Deferred ends of one shard are recorded in another from now on.
-    pub fn move_deferred_ends(&mut self, from: ShardId, to: ShardId, now: Instant) {
-        self.deferred_ends.retain(|(_, shard)| *shard != from);
+    /// Deferred ends of one segment are recorded in another from now on.
+    pub fn move_deferred_ends(&mut self, from: SegmentId, to: SegmentId, now: Instant) {
+        self.deferred_ends.retain(|(_, segment)| *segment != from);
         self.deferred_ends.push_back((now, to));
     }
 
     /// Drops the deferred ends of a block that is no longer leased.
     pub fn drop_deferred_ends_of(&mut self, block: u32) {
-        self.deferred_ends.retain(|(_, shard)| shard.block != block);
+        self.deferred_ends.retain(|(_, segment)| segment.block != block);
     }
 
     /// How many subjects have allocations or placements that wait.
@@ -205,12 +205,12 @@
     }
 
     fn take_deferred_end(&mut self, least: Duration, now: Instant) -> Option<Subject> {
-        let (since, shard) = *self.deferred_ends.front()?;
+        let (since, segment) = *self.deferred_ends.front()?;
         if now.saturating_duration_since(since) < least {
             return None;
         }
         self.deferred_ends.pop_front();
-        Some(Subject::Shard(shard))
+        Some(Subject::Segment(segment))
     }
 
     /// Whether a unit of a subject is in flight.
@@ -218,9 +218,11 @@
         self.in_flight.contains_key(subject)
     }
 
-    /// Whether a unit of any shard of a block is in flight.
+    /// Whether a unit of any segment of a block is in flight.
     pub fn is_block_in_flight(&self, block: u32) -> bool {
-        self.in_flight.keys().any(|subject| matches!(subject, Subject::Shard(shard) if shard.block == block))
+        self.in_flight
+            .keys()
+            .any(|subject| matches!(subject, Subject::Segment(segment) if segment.block == block))
     }
 
     /// A number for a new unit.
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/copy.rs
@@ -5,7 +5,7 @@
 use crate::legacy;
 use crate::records::{
     BlockRecord, CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord,
-    ShardId, ShardRecord,
+    SegmentId, SegmentRecord,
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Followed, Item};
@@ -19,7 +19,7 @@
 
 /// Some of the machine types, and in how many records all of them are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct CatalogShard {
+pub(super) struct CatalogSegment {
     /// How many records there are.
     #[serde(rename = "of")]
     pub total: u32,
@@ -143,10 +143,10 @@
                 let record = self.read::<CompletedTasksRecord>(key, value);
                 self.apply_completed_tasks(id, part, record);
             }
-            Some(Key::Shard(id)) => {
+            Some(Key::Segment(id)) => {
                 let size = value.as_ref().map_or(0, |v| v.to_string().len());
-                if let Some(record) = self.read_shard(id, key, value) {
-                    self.apply_shard(id, record, size, version, now);
+                if let Some(record) = self.read_segment(id, key, value) {
+                    self.apply_segment(id, record, size, version, now);
                 }
             }
             Some(Key::Group(name)) => {
@@ -170,14 +170,14 @@
             }
             Some(Key::Catalog(None)) => {
                 if let Some(catalog) = self.read::<Catalog>(key, value)
-                    && self.catalog_shards.is_empty()
+                    && self.catalog_segments.is_empty()
                 {
                     self.know_types(catalog);
                 }
             }
             Some(Key::Catalog(Some(number))) => {
                 let record = self.read(key, value);
-                self.apply_catalog_shard(number, record);
+                self.apply_catalog_segment(number, record);
             }
             Some(Key::Drain(block)) => {
                 match self.read(key, value) {
@@ -213,11 +213,11 @@
         self.wakeups.role = true;
     }
 
-    /// The record of what runs in a shard; empty if it was dropped.
-    fn read_shard(&mut self, id: ShardId, key: &str, value: Option<Value>) -> Option<ShardRecord> {
+    /// The record of what runs in a segment; empty if it was dropped.
+    fn read_segment(&mut self, id: SegmentId, key: &str, value: Option<Value>) -> Option<SegmentRecord> {
         match value {
-            None => Some(ShardRecord::default()),
-            Some(value) if id.shard.is_none() => self.readable(key, legacy::read_shard(value)),
+            None => Some(SegmentRecord::default()),
+            Some(value) if id.segment.is_none() => self.readable(key, legacy::read_segment(value)),
             Some(value) => self.read(key, Some(value)),
         }
     }
@@ -255,10 +255,10 @@
         self.live.insert(host.to_string(), record);
     }
 
-    fn apply_catalog_shard(&mut self, number: u32, record: Option<CatalogShard>) {
+    fn apply_catalog_segment(&mut self, number: u32, record: Option<CatalogSegment>) {
         match record {
-            Some(record) => self.catalog_shards.insert(number, record),
-            None => self.catalog_shards.remove(&number),
+            Some(record) => self.catalog_segments.insert(number, record),
+            None => self.catalog_segments.remove(&number),
         };
         if let Some(catalog) = self.recorded_types() {
             self.know_types(catalog);
@@ -275,11 +275,11 @@
 
     /// The machine types as their records say, once all of those are known.
     pub(super) fn recorded_types(&self) -> Option<Catalog> {
-        let total = self.catalog_shards.get(&0)?.total;
+        let total = self.catalog_segments.get(&0)?.total;
         let mut machine_types = Vec::new();
         for number in 0..total {
-            let shard = self.catalog_shards.get(&number).filter(|shard| shard.total == total)?;
-            machine_types.extend(shard.machine_types.iter().cloned());
+            let segment = self.catalog_segments.get(&number).filter(|segment| segment.total == total)?;
+            machine_types.extend(segment.machine_types.iter().cloned());
         }
         Some(Catalog { machine_types })
     }
@@ -386,7 +386,7 @@
                 self.open.insert(id.clone());
                 self.jobs.insert(id.clone(), Job::Open(Box::new(job)));
                 self.note_arrival(&id, now);
-                self.reapply_shards(&id, now);
+                self.reapply_segments(&id, now);
             }
         }
         self.wakeups.place = true;
@@ -396,9 +396,9 @@
         // What was proposed on this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
             let urgent = job.spec.priority < Rank::Normal;
-            let own: BTreeSet<ShardId> =
+            let own: BTreeSet<SegmentId> =
                 job.placed.values().filter(|p| !p.committed).map(|p| p.home).collect();
-            own.into_iter().for_each(|shard| self.mark_shard(shard, urgent));
+            own.into_iter().for_each(|segment| self.mark_segment(segment, urgent));
         }
         self.finish_if_over(&id);
     }
--- a/crates/dapplecroft-controller/src/core/copy/tests.rs
+++ b/crates/dapplecroft-controller/src/core/copy/tests.rs
@@ -7,7 +7,7 @@
     job_record("run-1", 4, json!({"0": [[0, 3]]}))
 }
 
-fn shard() -> Value {
+fn segment() -> Value {
     json!({"j": ["run-1"], "m": {"i-1": [[0, 1, 2]]}, "d": {"run-1": [[0, 0]]}})
 }
 
@@ -23,7 +23,7 @@
 fn what_runs_is_known_whichever_record_is_read_first() {
     let now = Instant::now();
     let mut one = core();
-    one.apply("dc/p/0", Some(shard()), 9, now);
+    one.apply("dc/p/0", Some(segment()), 9, now);
     one.apply("dc/j/run-1", Some(job()), 5, now);
     assert_known(&one);
     // The same from a watch that tells of changes in no order.
@@ -34,7 +34,7 @@
         data: Some(data),
         version,
     };
-    let log = vec![set("dc/p/0", shard(), 9), set("dc/j/run-1", job(), 10)];
+    let log = vec![set("dc/p/0", segment(), 9), set("dc/j/run-1", job(), 10)];
     two.follow(Followed { revision: 10, log }, now);
     assert_known(&two);
 }
@@ -45,7 +45,7 @@
     let mut core = core();
     core.apply("dc/j/run-1", Some(job()), 5, now);
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
-    open.placed.insert(1, proposed("i-1", ShardId::whole(0), 1, now));
+    open.placed.insert(1, proposed("i-1", SegmentId::whole(0), 1, now));
     core.apply("dc/p/0", Some(json!({"j": ["run-1"], "m": {"i-1": [[0, 1, 1, 1, 2]]}})), 9, now);
     let placed = &core.open_job("run-1").unwrap().placed[&1];
     assert_eq!((placed.committed, placed.session), (true, 2));
@@ -89,7 +89,7 @@
     withdrawn["stage"] = json!("withdrawn");
     core.apply("dc/j/run-1", Some(withdrawn), 12, now);
     assert_eq!(used(&core), 4000);
-    let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(shard()), version: 9 }];
+    let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
     core.follow(Followed { revision: 12, log }, now);
     assert_eq!(used(&core), 2000);
 }
@@ -108,7 +108,7 @@
     core.apply("dc/j/run-1", Some(taken_back.clone()), 12, now);
     let is_final = |core: &Core| core.withdrawal("run-1").unwrap().0.spec.is_none();
     assert!(!is_final(&core), "a placement at 9 may not be known yet");
-    let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(shard()), version: 9 }];
+    let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
     core.follow(Followed { revision: 12, log }, now);
     assert!(!core.open_job("run-1").unwrap().placed.is_empty() && !is_final(&core));
     // The same without that placement.
@@ -136,7 +136,7 @@
         taken_back["to"] = json!({});
         core.apply("dc/j/run-1", Some(taken_back), 12, now);
         assert_eq!(used(&core), before, "not proven yet");
-        let set = Logged { set: Some("dc/p/0".into()), drop: None, data: Some(shard()), version: 9 };
+        let set = Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 };
         let log = if placed { vec![set] } else { Vec::new() };
         core.follow(Followed { revision: 12, log }, now);
         let runs = core.open_job("run-1").unwrap().placed.len() as i64;
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -1,7 +1,7 @@
 use crate::core::Core;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Job;
-use crate::records::ShardId;
+use crate::records::SegmentId;
 use dapplecroft_federation::settings::{Federation, RawFederation, RawPeer};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -59,7 +59,7 @@
     let later = Instant::now() + Duration::from_secs(100);
     let mut core = visited(json!({}));
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
-    open.placed.insert(0, proposed("i-1", ShardId::new(0, 0), 1, later));
+    open.placed.insert(0, proposed("i-1", SegmentId::new(0, 0), 1, later));
     core.prepare_returns(later);
     assert!(core.return_units(9, later).is_empty());
 }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -159,7 +159,7 @@
             .machines
             .values()
             .filter(|m| m.group.is_none() && self.role.leased_blocks.contains_key(&m.block))
-            .filter(|m| self.shards_of(m.block).all(|(_, l)| l.version <= self.followed))
+            .filter(|m| self.segments_of(m.block).all(|(_, l)| l.version <= self.followed))
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use crate::legacy;
-use crate::records::{self, GroupRecord, JobRecord, LAYOUT, LayoutRecord, ShardId, ShardRecord};
+use crate::records::{self, GroupRecord, JobRecord, LAYOUT, LayoutRecord, SegmentId, SegmentRecord};
 use dapplecroft_wire::settings::SizeLimits;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use serde::Serialize;
@@ -38,8 +38,8 @@
     }
 
     /// A record of what runs as it is written now.
-    pub(super) fn shard_value(&self, id: ShardId, record: &ShardRecord) -> Value {
-        if id.shard.is_none() { legacy::write_shard(record) } else { to_value(record) }
+    pub(super) fn segment_value(&self, id: SegmentId, record: &SegmentRecord) -> Value {
+        if id.segment.is_none() { legacy::write_segment(record) } else { to_value(record) }
     }
 
     /// A group of machines as it is written now.
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -1,6 +1,6 @@
 //! Moving over from the first layout, in which all that runs in a block is one
-//! value, however large, to bounded shards. That value may be too large to be
-//! written again, so it never is: shards take its place machine by machine, and
+//! value, however large, to bounded segments. That value may be too large to be
+//! written again, so it never is: segments take its place machine by machine, and
 //! it is dropped when they have taken all of it. Every step leaves a true
 //! state, from which whoever holds the block then goes on.
 //!
@@ -8,15 +8,15 @@
 
 use super::Core;
 use crate::ranges::Ranges;
-use crate::records::{ShardId, ShardRecord};
+use crate::records::{SegmentId, SegmentRecord};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes of completed tasks that one shard is given to take over.
+/// Bytes of completed tasks that one segment is given to take over.
 const CHUNK: usize = 400;
 
-/// What a shard takes over besides its machines.
+/// What a segment takes over besides its machines.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Inherited {
     pub done: BTreeMap<String, Ranges>,
@@ -24,21 +24,21 @@
 }
 
 impl Core {
-    /// As holder, decides which shard takes what of a block's old record, and
+    /// As holder, decides which segment takes what of a block's old record, and
     /// asks for their commits behind all that is urgent.
     pub(super) fn plan_migration(&mut self, block: u32, _now: Instant) {
-        let whole = ShardId::whole(block);
-        if self.is_mixed() || !self.shards.contains_key(&whole) {
+        let whole = SegmentId::whole(block);
+        if self.is_mixed() || !self.segments.contains_key(&whole) {
             return;
         }
         self.inherited.retain(|id, _| id.block != block);
-        let Some(old) = self.shards.get(&whole).map(|l| l.record.clone()) else { return };
+        let Some(old) = self.segments.get(&whole).map(|l| l.record.clone()) else { return };
         let (done, tries) = self.unmoved(block, &old);
-        let mut shards: Vec<ShardId> = Vec::new();
+        let mut segments: Vec<SegmentId> = Vec::new();
         for machine in old.machines.keys() {
-            shards.extend(self.assign_shard(machine).filter(|p| p.shard.is_some()));
+            segments.extend(self.assign_segment(machine).filter(|p| p.segment.is_some()));
         }
-        // In pieces, each for whichever shard has room.
+        // In pieces, each for whichever segment has room.
         let mut pieces: Vec<Inherited> = Vec::new();
         for (id, done) in done {
             for chunk in done.chunks(CHUNK) {
@@ -56,43 +56,43 @@
         let limit = self.limits().value;
         for piece in pieces {
             let own =
-                ShardRecord { done: piece.done.clone(), tries: piece.tries.clone(), ..Default::default() };
-            let weight = super::shards::weight(&own);
-            let known = self.shard_numbers(block);
+                SegmentRecord { done: piece.done.clone(), tries: piece.tries.clone(), ..Default::default() };
+            let weight = super::segments::weight(&own);
+            let known = self.segment_numbers(block);
             let fits = |n: &u32| {
-                let id = ShardId::new(block, *n);
-                let has = self.shards.get(&id).map_or(0, |l| l.weight);
+                let id = SegmentId::new(block, *n);
+                let has = self.segments.get(&id).map_or(0, |l| l.weight);
                 has + self.pending.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
             };
             let number = known.iter().copied().find(fits).or_else(|| (0..).find(|n| !known.contains(n)));
             let Some(number) = number else { return };
-            let id = ShardId::new(block, number);
+            let id = SegmentId::new(block, number);
             *self.pending.entry(id).or_default() += weight;
-            let shard = self.inherited.entry(id).or_default();
+            let segment = self.inherited.entry(id).or_default();
             for (job, done) in piece.done {
-                let all = shard.done.entry(job).or_default();
+                let all = segment.done.entry(job).or_default();
                 *all = all.union(&done);
             }
             for (job, tries) in piece.tries {
-                shard.tries.entry(job).or_default().extend(tries);
+                segment.tries.entry(job).or_default().extend(tries);
             }
-            shards.push(id);
+            segments.push(id);
         }
-        shards.sort_unstable();
-        shards.dedup();
-        tracing::info!(block, shards = shards.len(), "what runs in a block moves over to shards");
-        shards.into_iter().for_each(|shard| self.mark_shard(shard, false));
-        self.mark_shard(whole, false);
+        segments.sort_unstable();
+        segments.dedup();
+        tracing::info!(block, segments = segments.len(), "what runs in a block moves over to segments");
+        segments.into_iter().for_each(|segment| self.mark_segment(segment, false));
+        self.mark_segment(whole, false);
     }
 
-    /// What of an old record's completed tasks and last attempts no shard has yet.
-    fn unmoved(&self, block: u32, old: &ShardRecord) -> (BTreeMap<String, Ranges>, Tries) {
+    /// What of an old record's completed tasks and last attempts no segment has yet.
+    fn unmoved(&self, block: u32, old: &SegmentRecord) -> (BTreeMap<String, Ranges>, Tries) {
         let mut done = BTreeMap::new();
         let mut tries: Tries = BTreeMap::new();
         for (id, ranges) in &old.done {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
             let mut left = ranges.without(&job.recorded_done());
-            for (_, load) in self.shards_of(block).filter(|(id, _)| id.shard.is_some()) {
+            for (_, load) in self.segments_of(block).filter(|(id, _)| id.segment.is_some()) {
                 if let Some(have) = load.record.done.get(id) {
                     left = left.without(have);
                 }
@@ -103,7 +103,7 @@
         }
         for (id, own) in &old.tries {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
-            let whole = ShardId::whole(block);
+            let whole = SegmentId::whole(block);
             let left: BTreeMap<u32, u64> = own
                 .iter()
                 .filter(|(i, n)| !job.done.contains(**i) && !job.outdates(whole, **i, **n))
@@ -117,9 +117,9 @@
         (done, tries)
     }
 
-    /// Whether shards have taken over all of a block's old record.
+    /// Whether segments have taken over all of a block's old record.
     pub(super) fn is_moved(&self, block: u32) -> bool {
-        let Some(old) = self.shards.get(&ShardId::whole(block)) else { return false };
+        let Some(old) = self.segments.get(&SegmentId::whole(block)) else { return false };
         let open = |span: &crate::records::Span| {
             old.record.jobs.get(span.job as usize).is_some_and(|id| self.open_job(id).is_some())
         };
@@ -127,35 +127,36 @@
             .record
             .machines
             .iter()
-            .all(|(m, spans)| !spans.iter().any(open) || self.recorded_shard(block, m).is_some());
+            .all(|(m, spans)| !spans.iter().any(open) || self.recorded_segment(block, m).is_some());
         let (done, tries) = self.unmoved(block, &old.record);
         all && done.is_empty() && tries.is_empty()
     }
 
     /// Asks for what is left of a move.
     pub(super) fn continue_move(&mut self, block: u32, now: Instant) {
-        let whole = ShardId::whole(block);
-        if self.is_mixed() || !self.shards.contains_key(&whole) || !self.is_holder(block) {
+        let whole = SegmentId::whole(block);
+        if self.is_mixed() || !self.segments.contains_key(&whole) || !self.is_holder(block) {
             return;
         }
         if self.is_moved(block) {
-            self.mark_shard(whole, false);
+            self.mark_segment(whole, false);
         } else if !self.commits.is_block_in_flight(block) {
             let planned = self.inherited.keys().any(|id| id.block == block);
-            if !planned && self.machines.values().all(|m| m.block != block || m.shard.is_some()) {
+            if !planned && self.machines.values().all(|m| m.block != block || m.segment.is_some()) {
                 self.plan_migration(block, now);
             }
         }
     }
 
-    /// Names of machines that a shard has to speak for with nothing on them,
+    /// Names of machines that a segment has to speak for with nothing on them,
     /// since an old record would speak for them otherwise.
-    pub(super) fn to_cover(&self, id: ShardId) -> Vec<Arc<str>> {
-        let Some(old) = self.shards.get(&ShardId::whole(id.block)).filter(|_| id.shard.is_some()) else {
+    pub(super) fn to_cover(&self, id: SegmentId) -> Vec<Arc<str>> {
+        let Some(old) = self.segments.get(&SegmentId::whole(id.block)).filter(|_| id.segment.is_some())
+        else {
             return Vec::new();
         };
-        let here = |m: &&String| self.machines.get(m.as_str()).is_some_and(|m| m.shard == id.shard);
-        let recorded = |m: &&String| self.recorded_shard(id.block, m) == id.shard;
+        let here = |m: &&String| self.machines.get(m.as_str()).is_some_and(|m| m.segment == id.segment);
+        let recorded = |m: &&String| self.recorded_segment(id.block, m) == id.segment;
         old.record.machines.keys().filter(|m| here(m) || recorded(m)).map(|m| m.as_str().into()).collect()
     }
 }
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -22,10 +22,10 @@
 mod offers;
 mod placing;
 mod roles;
+mod segment_sync;
+mod segments;
 mod serving_order;
 mod session;
-mod shard_sync;
-mod shards;
 #[cfg(test)]
 mod testing;
 mod units;
@@ -43,7 +43,9 @@
 use crate::machines::Machine;
 use crate::options::Options;
 use crate::ranges::Ranges;
-use crate::records::{BlockRecord, DrainRecord, GroupRecord, LeaderRecord, LiveRecord, ShardId, ShardRecord};
+use crate::records::{
+    BlockRecord, DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord,
+};
 use commit_queue::CommitQueue;
 use dapplecroft_sched::{Amounts, Demand, Teams};
 use dapplecroft_wire::cloud::Catalog;
@@ -126,7 +128,7 @@
     /// Tasks that no block has.
     pub unallocated: u32,
     /// Records of what runs in its blocks, and their bytes.
-    pub shards: usize,
+    pub segments: usize,
     /// How many bytes they take together.
     pub bytes: usize,
     /// Processors that are free on machines that take work, in percent.
@@ -139,9 +141,9 @@
 
 /// What runs in a block, as recorded.
 #[derive(Debug, Clone, Default)]
-pub struct Shard {
+pub struct Segment {
     /// The record.
-    pub record: ShardRecord,
+    pub record: SegmentRecord,
     /// Its version.
     pub version: u64,
     /// How many bytes it takes.
@@ -150,10 +152,10 @@
     pub weight: usize,
 }
 
-impl Shard {
-    /// Whether it says nothing: another shard has taken in what it had.
+impl Segment {
+    /// Whether it says nothing: another segment has taken in what it had.
     fn is_empty(&self) -> bool {
-        self.record == ShardRecord::default()
+        self.record == SegmentRecord::default()
     }
 }
 
@@ -198,25 +200,25 @@
     /// task looks only at those where it may fit.
     machines_by_free_cpus: BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     /// Room that other holders have told of.
-    hints: BTreeMap<ShardId, allocation::Hint>,
+    hints: BTreeMap<SegmentId, allocation::Hint>,
     /// What runs in each block, by its records.
-    pub shards: BTreeMap<ShardId, Shard>,
-    /// What proposals add to the weight of shards.
-    pending: BTreeMap<ShardId, usize>,
-    /// Shards that others are about to take in.
-    absorbing: BTreeSet<ShardId>,
+    pub segments: BTreeMap<SegmentId, Segment>,
+    /// What proposals add to the weight of segments.
+    pending: BTreeMap<SegmentId, usize>,
+    /// Segments that others are about to take in.
+    absorbing: BTreeSet<SegmentId>,
     /// What was proposed last, and where.
-    weighed: Option<(ShardId, TaskId)>,
-    /// What shards take over from records of the first layout.
-    inherited: BTreeMap<ShardId, migration::Inherited>,
+    weighed: Option<(SegmentId, TaskId)>,
+    /// What segments take over from records of the first layout.
+    inherited: BTreeMap<SegmentId, migration::Inherited>,
     /// Completed tasks in records of their own, by job.
     completed_records: HashMap<Arc<str>, BTreeMap<u32, Ranges>>,
     /// Keys that say nothing any more.
     obsolete_keys: BTreeSet<String>,
     /// Machines that left a group's record, until the copy has caught up with that.
     departed: Vec<groups::Departed>,
-    /// Shards of the machine types: of how many, and which.
-    catalog_shards: BTreeMap<u32, copy::CatalogShard>,
+    /// Segments of the machine types: of how many, and which.
+    catalog_segments: BTreeMap<u32, copy::CatalogSegment>,
     /// Groups of machines.
     pub groups: BTreeMap<Arc<str>, Group>,
     /// Teams.
@@ -280,7 +282,7 @@
             waiting: BTreeSet::new(),
             commits: CommitQueue::default(),
             arrivals: idle_reserve::Arrivals::default(),
-            shards: BTreeMap::new(),
+            segments: BTreeMap::new(),
             pending: BTreeMap::new(),
             absorbing: BTreeSet::new(),
             weighed: None,
@@ -288,7 +290,7 @@
             completed_records: HashMap::new(),
             obsolete_keys: BTreeSet::new(),
             departed: Vec::new(),
-            catalog_shards: BTreeMap::new(),
+            catalog_segments: BTreeMap::new(),
             unsettled: BTreeSet::new(),
             machines: IndexMap::default(),
             machines_by_free_cpus: BTreeMap::new(),
@@ -431,7 +433,7 @@
             .placed
             .iter()
             .filter(|(index, p)| !p.committed && void(job, **index, p))
-            .filter(|(_, p)| !self.commits.is_in_flight(&Subject::Shard(p.home)))
+            .filter(|(_, p)| !self.commits.is_in_flight(&Subject::Segment(p.home)))
             .map(|(i, p)| (*i, p.clone()))
             .collect();
         if void.is_empty() {
@@ -476,9 +478,9 @@
             }
         }
         summary.free_percent = (free * 100).checked_div(all).unwrap_or(0);
-        let own = self.shards.iter().filter(|(id, load)| self.is_holder(id.block) && !load.is_empty());
+        let own = self.segments.iter().filter(|(id, load)| self.is_holder(id.block) && !load.is_empty());
         for (_, load) in own {
-            summary.shards += 1;
+            summary.segments += 1;
             summary.bytes += load.size;
         }
         summary.layout = self.format;
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -2,7 +2,7 @@
 //! what is kept up for services.
 
 use super::Core;
-use super::copy::CatalogShard;
+use super::copy::CatalogSegment;
 use super::fleet::MachineKind;
 use super::layout::to_value;
 use crate::machines::Fate;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Records of machine types are sized as if there were so many of them.
-const MOST_CATALOG_SHARDS: u32 = 1000;
+const MOST_CATALOG_SEGMENTS: u32 = 1000;
 
 impl Core {
     /// Takes over the machine types; returns whether the record of them is
@@ -51,10 +51,10 @@
         if self.is_mixed() {
             return vec![set(records::CATALOG.into(), to_value(catalog))];
         }
-        let shards = catalog_shards(&catalog.machine_types, self.limits().value);
-        let numbered = (0..).zip(shards);
-        let changed = numbered.filter(|(number, shard)| self.catalog_shards.get(number) != Some(shard));
-        changed.map(|(number, shard)| set(records::catalog_key(number), to_value(&shard))).collect()
+        let segments = catalog_segments(&catalog.machine_types, self.limits().value);
+        let numbered = (0..).zip(segments);
+        let changed = numbered.filter(|(number, segment)| self.catalog_segments.get(number) != Some(segment));
+        changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
     pub(super) fn offers(&self, now: Instant) -> Vec<Offer> {
@@ -156,22 +156,22 @@
 
 /// Splits machine types into records that each fit a value of `limit` bytes. A
 /// type that fits none by itself is left out.
-fn catalog_shards(machine_types: &[MachineType], limit: usize) -> Vec<CatalogShard> {
+fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogSegment> {
     let fits = |machine_types: &[MachineType]| {
-        let shard = CatalogShard { total: MOST_CATALOG_SHARDS, machine_types: machine_types.to_vec() };
-        stored_size(&to_value(&shard)) <= limit
+        let segment = CatalogSegment { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
+        stored_size(&to_value(&segment)) <= limit
     };
-    let mut shards: Vec<Vec<MachineType>> = Vec::new();
+    let mut segments: Vec<Vec<MachineType>> = Vec::new();
     for machine_type in machine_types.iter().filter(|m| fits(std::slice::from_ref(m))) {
-        match shards.last_mut() {
+        match segments.last_mut() {
             Some(last) if fits(&[last.as_slice(), std::slice::from_ref(machine_type)].concat()) => {
                 last.push(machine_type.clone());
             }
-            _ => shards.push(vec![machine_type.clone()]),
+            _ => segments.push(vec![machine_type.clone()]),
         }
     }
-    let total = shards.len() as u32;
-    shards.into_iter().map(|machine_types| CatalogShard { total, machine_types }).collect()
+    let total = segments.len() as u32;
+    segments.into_iter().map(|machine_types| CatalogSegment { total, machine_types }).collect()
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -350,7 +350,7 @@
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
             return false;
         };
-        let Some(home) = self.assign_shard(machine) else { return false };
+        let Some(home) = self.assign_segment(machine) else { return false };
         if !self.weigh(task, home) {
             return false;
         }
@@ -376,7 +376,7 @@
             },
         );
         self.book(task, machine, home.block, now);
-        self.mark_shard(home, urgent);
+        self.mark_segment(home, urgent);
         true
     }
 }
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -171,7 +171,7 @@
         };
         // Many small tasks take more changes than a few large ones.
         let bytes = |mine: bool| -> usize {
-            let of = self.shards.iter().filter(|(id, _)| !mine || self.is_holder(id.block));
+            let of = self.segments.iter().filter(|(id, _)| !mine || self.is_holder(id.block));
             of.map(|(_, l)| l.size).sum()
         };
         let held = match bytes(false) {
--- a/crates/dapplecroft-controller/src/core/shard_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,14 +1,14 @@
 //! What runs in each block, as its record says, taken over into the copy.
 
-use super::{Core, Shard};
+use super::{Core, Segment};
 use crate::jobs::{Job, Placed, Stop, TaskId};
 use crate::ranges::Ranges;
-use crate::records::{ShardId, ShardRecord, Span};
+use crate::records::{SegmentId, SegmentRecord, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A task that a shard's record has on a machine.
+/// A task that a segment's record has on a machine.
 struct Arrival {
     task: TaskId,
     machine: Arc<str>,
@@ -16,9 +16,9 @@
     session: u64,
 }
 
-/// How a shard's new record differs from what is known of its machines.
+/// How a segment's new record differs from what is known of its machines.
 #[derive(Default)]
-struct ShardDifference {
+struct SegmentDifference {
     /// Tasks that the record no longer has.
     departed: Vec<(TaskId, Placed)>,
     /// Tasks on machines whose spans have changed.
@@ -26,18 +26,18 @@
 }
 
 impl Core {
-    /// Brings what runs in a block up to a shard's record. Only machines whose
+    /// Brings what runs in a block up to a segment's record. Only machines whose
     /// spans changed are looked at.
-    pub(super) fn apply_shard(
+    pub(super) fn apply_segment(
         &mut self,
-        id: ShardId,
-        record: ShardRecord,
+        id: SegmentId,
+        record: SegmentRecord,
         size: usize,
         version: u64,
         now: Instant,
     ) {
-        let old = self.shards.remove(&id).unwrap_or_default();
-        let difference = self.shard_difference(id, &old.record, &record);
+        let old = self.segments.remove(&id).unwrap_or_default();
+        let difference = self.segment_difference(id, &old.record, &record);
         // First what has left, then what has come: a task may have moved.
         let mut jobs = self.remove_departed(difference.departed);
         jobs.extend(self.add_arrived(id, version, difference.arrived, now));
@@ -46,11 +46,11 @@
             self.take_history(job, id, &record);
         }
         if size > 0 {
-            let weight = super::shards::weight(&record);
-            self.shards.insert(id, Shard { record, version, size, weight });
+            let weight = super::segments::weight(&record);
+            self.segments.insert(id, Segment { record, version, size, weight });
         }
-        if self.is_holder(id.block) && id.shard.is_some() && !self.absorbs(id) {
-            self.follow_shard(id);
+        if self.is_holder(id.block) && id.segment.is_some() && !self.absorbs(id) {
+            self.follow_segment(id);
         }
         for job in &jobs {
             self.rederive(job);
@@ -59,14 +59,19 @@
         self.wakeups.place = true;
     }
 
-    fn shard_difference(&self, id: ShardId, old: &ShardRecord, new: &ShardRecord) -> ShardDifference {
+    fn segment_difference(
+        &self,
+        id: SegmentId,
+        old: &SegmentRecord,
+        new: &SegmentRecord,
+    ) -> SegmentDifference {
         let (before, mut after) = (tasks_of(old), tasks_of(new));
-        // Shards speak for their machines, whatever a whole block's record says.
+        // Segments speak for their machines, whatever a whole block's record says.
         let elsewhere =
-            |machine: &str| id.shard.is_none() && self.recorded_shard(id.block, machine).is_some();
+            |machine: &str| id.segment.is_none() && self.recorded_segment(id.block, machine).is_some();
         after.retain(|machine, _| !elsewhere(machine));
         let names: BTreeSet<&str> = before.keys().chain(after.keys()).copied().collect();
-        let mut difference = ShardDifference::default();
+        let mut difference = SegmentDifference::default();
         for name in names {
             let spans = after.get(name).map(Vec::as_slice).unwrap_or_default();
             let unchanged = before.get(name).is_some_and(|old| same_tasks(old, spans));
@@ -81,10 +86,10 @@
     /// Adds to a difference what a record says of one machine.
     fn compare_machine(
         &self,
-        id: ShardId,
+        id: SegmentId,
         name: &str,
         spans: &[(&str, Span)],
-        difference: &mut ShardDifference,
+        difference: &mut SegmentDifference,
     ) {
         let machine: Arc<str> = name.into();
         let mut there: BTreeMap<TaskId, (u64, u64)> = BTreeMap::new();
@@ -99,10 +104,10 @@
                 continue;
             };
             let stays = there.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
-            // What another shard has is for that one to say, unless this one takes
+            // What another segment has is for that one to say, unless this one takes
             // over from a record of the first layout.
-            let whole = ShardId::whole(id.block);
-            let own = placed.home == id || (placed.home == whole && id.shard.is_some());
+            let whole = SegmentId::whole(id.block);
+            let own = placed.home == id || (placed.home == whole && id.segment.is_some());
             if placed.committed && own && !stays {
                 difference.departed.push((task.clone(), placed.clone()));
             }
@@ -129,11 +134,11 @@
         jobs
     }
 
-    /// Puts tasks on the machines on which a shard's record has them; returns
+    /// Puts tasks on the machines on which a segment's record has them; returns
     /// their jobs.
     fn add_arrived(
         &mut self,
-        id: ShardId,
+        id: SegmentId,
         version: u64,
         arrived: Vec<Arrival>,
         now: Instant,
@@ -152,19 +157,19 @@
         jobs
     }
 
-    /// Whether another shard's newer record has a task. Single keys are read ahead
+    /// Whether another segment's newer record has a task. Single keys are read ahead
     /// of the watch, and own commits are known at once, so it may be known by now.
     /// At no time do two records have a task, so the newer one is right. Taken
     /// over, the older one would hide the other's task until its own next version
     /// drops it, and the task would seem to wait.
-    fn is_newer_elsewhere(&self, id: ShardId, version: u64, task: &TaskId) -> bool {
+    fn is_newer_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
         let known = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
         let other = known.filter(|p| p.committed && p.home != id);
-        other.and_then(|p| self.shards.get(&p.home)).is_some_and(|shard| shard.version > version)
+        other.and_then(|p| self.segments.get(&p.home)).is_some_and(|segment| segment.version > version)
     }
 
     /// Puts one task on its machine; `false`: its job is over.
-    fn add_task(&mut self, id: ShardId, arrival: Arrival, now: Instant) -> bool {
+    fn add_task(&mut self, id: SegmentId, arrival: Arrival, now: Instant) -> bool {
         let Arrival { task, machine, attempt, session } = arrival;
         let Some(job) = self.open_job_mut(&task.job) else { return false };
         let stop = (!job.is_open()).then_some(Stop::Withdrawn);
@@ -208,7 +213,7 @@
 
     /// Open jobs whose completed tasks or last attempts may differ between two
     /// records.
-    fn jobs_with_history(&self, old: &ShardRecord, new: &ShardRecord) -> BTreeSet<Arc<str>> {
+    fn jobs_with_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
         let tries = old.tries.keys().chain(new.tries.keys());
@@ -219,9 +224,9 @@
         done.chain(tries).filter_map(known).collect()
     }
 
-    /// Takes over what a shard's record says of a job's completed tasks and last
+    /// Takes over what a segment's record says of a job's completed tasks and last
     /// attempts.
-    fn take_history(&mut self, job_id: &str, id: ShardId, record: &ShardRecord) {
+    fn take_history(&mut self, job_id: &str, id: SegmentId, record: &SegmentRecord) {
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
         if done.is_empty() {
@@ -241,21 +246,21 @@
     /// read by itself or keys were read page by page: what it says of the job is
     /// taken over once the job is known. Else its tasks would seem to wait, and
     /// be started a second time.
-    pub(super) fn reapply_shards(&mut self, id: &Arc<str>, now: Instant) {
-        let known: Vec<ShardId> = self
-            .shards
+    pub(super) fn reapply_segments(&mut self, id: &Arc<str>, now: Instant) {
+        let known: Vec<SegmentId> = self
+            .segments
             .iter()
-            .filter(|(_, shard)| {
-                let r = &shard.record;
+            .filter(|(_, segment)| {
+                let r = &segment.record;
                 r.jobs.iter().any(|j| **j == **id)
                     || r.done.contains_key(&**id)
                     || r.tries.contains_key(&**id)
             })
-            .map(|(shard, _)| *shard)
+            .map(|(segment, _)| *segment)
             .collect();
-        for shard in known {
-            if let Some(load) = self.shards.remove(&shard) {
-                self.apply_shard(shard, load.record, load.size, load.version, now);
+        for segment in known {
+            if let Some(load) = self.segments.remove(&segment) {
+                self.apply_segment(segment, load.record, load.size, load.version, now);
             }
         }
     }
@@ -265,27 +270,28 @@
     /// when a copy is in doubt; it goes over all that runs.
     pub fn copy_faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
-        let mut seen: BTreeMap<(&str, u32), ShardId> = BTreeMap::new();
-        for (shard, load) in &self.shards {
+        let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
+        for (segment, load) in &self.segments {
             for (machine, spans) in tasks_of(&load.record) {
-                if shard.shard.is_none() && self.recorded_shard(shard.block, machine).is_some() {
+                if segment.segment.is_none() && self.recorded_segment(segment.block, machine).is_some() {
                     continue;
                 }
                 for (id, span) in spans {
                     let Some(job) = self.open_job(id) else { continue };
                     for index in span.first..=span.last {
-                        if let Some(other) = seen.insert((id, index), *shard).filter(|o| o != shard) {
-                            faults.push(format!("{id}/{index} is in {other:?} and in {shard:?}"));
+                        if let Some(other) = seen.insert((id, index), *segment).filter(|o| o != segment) {
+                            faults.push(format!("{id}/{index} is in {other:?} and in {segment:?}"));
                         }
                         let placed = job.placed.get(&index);
                         let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
                         let moved = |p: &Placed| {
-                            let other = self.shards.get(&p.home).filter(|_| p.home != *shard);
+                            let other = self.segments.get(&p.home).filter(|_| p.home != *segment);
                             other.is_some_and(|l| l.version > load.version)
                         };
                         if !placed.is_some_and(|p| here(p) || moved(p)) {
-                            faults
-                                .push(format!("{id}/{index} is on {machine} ({shard:?}), known: {placed:?}"));
+                            faults.push(format!(
+                                "{id}/{index} is on {machine} ({segment:?}), known: {placed:?}"
+                            ));
                         }
                     }
                 }
@@ -296,7 +302,7 @@
 }
 
 /// All tasks of a record's spans.
-fn tasks_of(record: &ShardRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
+fn tasks_of(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
     record
         .machines
         .iter()
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -283,9 +283,9 @@
             _ => {}
         }
         self.free(task);
-        // What runs where a record of the first layout says so ends in a shard.
-        let shard = if home.shard.is_some() { Some(home) } else { self.assign_shard(id) };
-        self.note_end(&task.job, shard.unwrap_or(home), now);
+        // What runs where a record of the first layout says so ends in a segment.
+        let segment = if home.segment.is_some() { Some(home) } else { self.assign_segment(id) };
+        self.note_end(&task.job, segment.unwrap_or(home), now);
     }
 
     /// Ends everything on a machine whose release was answered: it is gone.
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::BlockLease;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Placed;
-use crate::records::ShardId;
+use crate::records::SegmentId;
 use dapplecroft_wire::workers::TaskReport;
 use serde_json::json;
 
@@ -16,7 +16,7 @@
         committed: true,
         stop: Some(stop),
         grace: Duration::from_secs(3),
-        ..proposed("i-1", ShardId::new(0, 0), 1, now)
+        ..proposed("i-1", SegmentId::new(0, 0), 1, now)
     };
     let Some(Job::Open(job)) = core.jobs.get_mut("run-1") else { panic!("not open") };
     job.placed.insert(0, placed);
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -3,7 +3,7 @@
 use super::Core;
 use crate::jobs::Placed;
 use crate::options::Options;
-use crate::records::ShardId;
+use crate::records::SegmentId;
 use dapplecroft_wire::settings::Settings;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -28,12 +28,12 @@
         "reckon_s": 10.0}})
 }
 
-/// A task that is proposed for a machine in a shard.
-pub(super) fn proposed(machine: &str, shard: ShardId, attempt: u64, since: Instant) -> Placed {
+/// A task that is proposed for a machine in a segment.
+pub(super) fn proposed(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placed {
     Placed {
         attempt,
         machine: machine.into(),
-        home: shard,
+        home: segment,
         session: 1,
         committed: false,
         since,
--- a/crates/dapplecroft-controller/src/core/units.rs
+++ b/crates/dapplecroft-controller/src/core/units.rs
@@ -1,13 +1,13 @@
-//! What records become: a shard of what runs, a job, and what is to be dropped.
+//! What records become: a segment of what runs, a job, and what is to be dropped.
 
 use super::Core;
 use super::layout::to_value;
-use super::shards::Scale;
+use super::segments::Scale;
 use crate::jobs::{OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::ranges::Ranges;
 use crate::records::{
-    self, CompletedTasksRecord, JobRecord, JobStage, ShardId, ShardRecord, Span, stored_size,
+    self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, Span, stored_size,
 };
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
@@ -22,11 +22,11 @@
 const COMPLETED_RECORD_BYTES: usize = 900;
 
 impl Core {
-    /// What of a shard's completed tasks and last attempts is still of use, with
+    /// What of a segment's completed tasks and last attempts is still of use, with
     /// what it takes over from a record of the first layout.
-    fn carried(&self, id: ShardId) -> ShardRecord {
-        let mut record = ShardRecord::default();
-        let old = self.shards.get(&id).map(|l| (&l.record.done, &l.record.tries));
+    fn carried(&self, id: SegmentId) -> SegmentRecord {
+        let mut record = SegmentRecord::default();
+        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
         let inherited = self.inherited.get(&id).map(|i| (&i.done, &i.tries));
         for (done, tries) in old.into_iter().chain(inherited) {
             for (job_id, ranges) in done {
@@ -54,17 +54,17 @@
         record
     }
 
-    /// The record of what runs in a shard, with the ends and proposals of its
+    /// The record of what runs in a segment, with the ends and proposals of its
     /// holder; and the proposals in it.
     ///
     /// A record that was written before limits were as they are can have more on
     /// one machine than could be cut into pieces within them. Then as many ends
     /// are taken in at a time as fit; neighbours that have ended join again.
-    fn next_shard_record(&self, id: ShardId) -> (ShardRecord, Vec<(TaskId, Placed)>) {
+    fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placed)>) {
         let (mut ends, mut most) = (usize::MAX, usize::MAX);
         loop {
-            let (record, proposals, taken) = self.shard_record_with(id, ends, most);
-            let fits = stored_size(&self.shard_value(id, &record)) <= self.limits().value;
+            let (record, proposals, taken) = self.segment_record_with(id, ends, most);
+            let fits = stored_size(&self.segment_value(id, &record)) <= self.limits().value;
             if fits || (taken == 0 && proposals.is_empty()) {
                 return (record, proposals);
             }
@@ -78,12 +78,12 @@
 
     /// The same with the first so many ends and proposals; and how many ends
     /// there were.
-    pub(super) fn shard_record_with(
+    pub(super) fn segment_record_with(
         &self,
-        id: ShardId,
+        id: SegmentId,
         ends: usize,
         most: usize,
-    ) -> (ShardRecord, Vec<(TaskId, Placed)>, usize) {
+    ) -> (SegmentRecord, Vec<(TaskId, Placed)>, usize) {
         let limits = self.limits();
         let mut taken = 0;
         let most_jobs = limits.changes * 3;
@@ -91,9 +91,9 @@
         let mut proposals = Vec::new();
         let mut names: HashMap<Arc<str>, u32> = HashMap::new();
         let mut waiting: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
-        let whole = id.shard.is_none();
+        let whole = id.segment.is_none();
         let here =
-            |m: &&Machine| m.block == id.block && (whole || m.shard == id.shard) && !m.tasks.is_empty();
+            |m: &&Machine| m.block == id.block && (whole || m.segment == id.segment) && !m.tasks.is_empty();
         for machine in self.machines.values().filter(here) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
@@ -147,34 +147,34 @@
         (record, proposals, taken)
     }
 
-    /// What is to be committed of a shard, with what is proposed in it.
-    pub(super) fn shard_unit(&self, id: ShardId) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    /// What is to be committed of a segment, with what is proposed in it.
+    pub(super) fn segment_unit(&self, id: SegmentId) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
         // A stale holder can commit nothing, hence start nothing.
         let block_lease = self.role.leased_blocks.get(&id.block)?;
         let mut conditions =
             vec![Condition { key: records::block_key(id.block), version: block_lease.version }];
         let key = id.key();
-        let old = self.shards.get(&id);
+        let old = self.segments.get(&id);
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
-        if !self.is_mixed() && id.shard.is_none() {
-            // Never written again: dropped once shards have all of it.
+        if !self.is_mixed() && id.segment.is_none() {
+            // Never written again: dropped once segments have all of it.
             let moved = old.is_some() && self.is_moved(id.block);
             let changes = vec![Change::Drop { key }];
             return moved.then_some((Unit { conditions, changes }, Vec::new()));
         }
-        let (record, proposals) = self.next_shard_record(id);
-        if old.is_some_and(|o| o.record == record) || (old.is_none() && record == ShardRecord::default()) {
+        let (record, proposals) = self.next_segment_record(id);
+        if old.is_some_and(|o| o.record == record) || (old.is_none() && record == SegmentRecord::default()) {
             return None;
         }
-        if let Some(whole) = self.shards.get(&ShardId::whole(id.block)).filter(|_| id.shard.is_some()) {
-            // No late write of it may come between this shard and its being dropped.
-            conditions.push(Condition { key: ShardId::whole(id.block).key(), version: whole.version });
+        if let Some(whole) = self.segments.get(&SegmentId::whole(id.block)).filter(|_| id.segment.is_some()) {
+            // No late write of it may come between this segment and its being dropped.
+            conditions.push(Condition { key: SegmentId::whole(id.block).key(), version: whole.version });
         }
         let jobs: BTreeSet<&Arc<str>> = proposals.iter().map(|(t, _)| &t.job).collect();
         for id in jobs {
             conditions.push(Condition { key: records::job_key(id), version: self.open_job(id)?.version });
         }
-        let changes = vec![Change::Set { key, value: self.shard_value(id, &record), lease: None }];
+        let changes = vec![Change::Set { key, value: self.segment_value(id, &record), lease: None }];
         Some((Unit { conditions, changes }, proposals))
     }
 
@@ -305,12 +305,12 @@
     /// Whether a block's one record of the first layout has no room for more.
     pub(super) fn is_record_full(&self, block: u32) -> bool {
         let limit = self.limits().value as f64 * SPARE;
-        self.is_mixed() && self.shards.get(&ShardId::whole(block)).is_some_and(|l| l.size as f64 > limit)
+        self.is_mixed() && self.segments.get(&SegmentId::whole(block)).is_some_and(|l| l.size as f64 > limit)
     }
 }
 
 /// Adds a task to a record of what runs.
-fn add_task(record: &mut ShardRecord, names: &mut HashMap<Arc<str>, u32>, task: &TaskId, p: &Placed) {
+fn add_task(record: &mut SegmentRecord, names: &mut HashMap<Arc<str>, u32>, task: &TaskId, p: &Placed) {
     let jobs = &mut record.jobs;
     let job = *names.entry(task.job.clone()).or_insert_with(|| {
         jobs.push(task.job.to_string());
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs as the records say, with what a block holder knows besides.
 
 use crate::ranges::Ranges;
-use crate::records::{JobRecord, JobStage, ShardId};
+use crate::records::{JobRecord, JobStage, SegmentId};
 use dapplecroft_federation::TransferState;
 use dapplecroft_sched::{Amounts, Checkpoints, Need, Progress};
 use dapplecroft_wire::users::{JobSpec, JobStatus, Rank, Stage};
@@ -53,8 +53,8 @@
     pub attempt: u64,
     /// The machine.
     pub machine: Arc<str>,
-    /// The shard of its block in whose record it is, or will be.
-    pub home: ShardId,
+    /// The segment of its block in whose record it is, or will be.
+    pub home: SegmentId,
     /// The worker's session that it was placed in.
     pub session: u64,
     /// Whether the record is committed; nothing is commanded before.
@@ -96,11 +96,11 @@
     /// What each task needs.
     pub need: Arc<Need>,
     /// Completed tasks by the record of a block in which they are.
-    pub done_in: BTreeMap<ShardId, Ranges>,
+    pub done_in: BTreeMap<SegmentId, Ranges>,
     /// Completed tasks that records of their own have.
     pub completed_records: BTreeMap<u32, Ranges>,
     /// Last attempts of tasks that ended unfinished, by the record they are in.
-    pub tries: BTreeMap<ShardId, BTreeMap<u32, u64>>,
+    pub tries: BTreeMap<SegmentId, BTreeMap<u32, u64>>,
     /// Tasks on machines or proposed.
     pub placed: BTreeMap<u32, Placed>,
     /// Completed tasks.
@@ -256,7 +256,7 @@
     /// Whether a last attempt in a record says nothing any more, since another
     /// record has a later one. Replicas run again for ever: what they have been
     /// through must not gather.
-    pub fn outdates(&self, home: ShardId, index: u32, attempt: u64) -> bool {
+    pub fn outdates(&self, home: SegmentId, index: u32, attempt: u64) -> bool {
         let later = |p: &Placed| p.committed && p.attempt > attempt;
         self.placed.get(&index).is_some_and(later)
             || self.tries.iter().any(|(id, t)| *id != home && t.get(&index).is_some_and(|n| *n > attempt))
--- a/crates/dapplecroft-controller/src/legacy.rs
+++ b/crates/dapplecroft-controller/src/legacy.rs
@@ -12,7 +12,7 @@
 //! variant is logged as unreadable and not acted upon.
 
 use crate::ranges::Ranges;
-use crate::records::{GroupRecord, JobRecord, JobStage, MemberRecord, ShardRecord, Span};
+use crate::records::{GroupRecord, JobRecord, JobStage, MemberRecord, SegmentRecord, Span};
 use dapplecroft_wire::users::JobSpec;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -115,7 +115,7 @@
 }
 
 /// What runs in a whole block.
-pub fn read_shard(value: Value) -> Result<ShardRecord, Error> {
+pub fn read_segment(value: Value) -> Result<SegmentRecord, Error> {
     let old: OldLoad = serde_json::from_value(value)?;
     let mut machines = BTreeMap::new();
     for (machine, spans) in old.machines {
@@ -123,7 +123,7 @@
         let spans = spans.ok_or_else(|| serde::de::Error::custom("unreadable tasks"))?;
         machines.insert(machine, spans);
     }
-    Ok(ShardRecord {
+    Ok(SegmentRecord {
         jobs: old.jobs,
         machines,
         done: old.done.into_iter().map(|(id, p)| (id, Ranges::from_pieces(p))).collect(),
@@ -132,7 +132,7 @@
 }
 
 /// What runs in a whole block, as the first version reads it.
-pub fn write_shard(load: &ShardRecord) -> Value {
+pub fn write_segment(load: &SegmentRecord) -> Value {
     let spans = |spans: &Vec<Span>| spans.iter().map(write_span).collect();
     value(&OldLoad {
         jobs: load.jobs.clone(),
--- a/crates/dapplecroft-controller/src/legacy/tests.rs
+++ b/crates/dapplecroft-controller/src/legacy/tests.rs
@@ -11,7 +11,7 @@
     for (key, value) in written {
         let (again, kind) = match key.split('/').nth(1) {
             Some("j") => (write_job(&read_job(value.clone()).unwrap()), 0),
-            Some("p") => (write_shard(&read_shard(value.clone()).unwrap()), 1),
+            Some("p") => (write_segment(&read_segment(value.clone()).unwrap()), 1),
             Some("m") => (write_group(&read_group(value.clone()).unwrap()), 2),
             _ => continue,
         };
@@ -48,6 +48,6 @@
         let numbers: Vec<u64> = serde_json::from_str(text).unwrap();
         assert_eq!(write_span(&read_span(&numbers).unwrap()), numbers);
     }
-    assert!(read_shard(json!({"m": {"i-1": [[3]]}})).is_err());
-    assert!(read_shard(json!({"m": {"i-1": [[3, 4294967296u64]]}})).is_err());
+    assert!(read_segment(json!({"m": {"i-1": [[3]]}})).is_err());
+    assert!(read_segment(json!({"m": {"i-1": [[3, 4294967296u64]]}})).is_err());
 }
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -158,7 +158,7 @@
                 placed = s.placed,
                 free_percent = s.free_percent,
                 usage = ?s.usage,
-                shards = s.shards,
+                segments = s.segments,
                 bytes = s.bytes,
                 layout = s.layout,
                 changes_waiting = self.committer.waiting(),
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -29,8 +29,8 @@
     pub id: Arc<str>,
     /// The block that it belongs to.
     pub block: u32,
-    /// The shard of the block in whose record it is, or will be; none yet.
-    pub shard: Option<u32>,
+    /// The segment of the block in whose record it is, or will be; none yet.
+    pub segment: Option<u32>,
     /// The group whose record has it; none once it was released.
     pub group: Option<Arc<str>>,
     /// What it has; nothing while its type is unknown.
@@ -98,7 +98,7 @@
         Machine {
             id: id.into(),
             block,
-            shard: None,
+            segment: None,
             group: None,
             capacity: Amounts::default(),
             machine_type: String::new(),
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 
 mod group;
-mod shard;
+mod segment;
 
 pub use group::{GroupRecord, MemberRecord};
-pub use shard::{ShardRecord, Span};
+pub use segment::{SegmentRecord, Span};
 
 /// The newest layout that this program reads and writes.
 pub const LAYOUT: u32 = 2;
@@ -93,30 +93,30 @@
     format!("dc/x/w/{cell}")
 }
 
-/// A shard of what runs in a block: a bounded record of some of its machines.
+/// A segment of what runs in a block: a bounded record of some of its machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ShardId {
+pub struct SegmentId {
     /// The block.
     pub block: u32,
-    /// The shard; none: the whole block's record, as the first version has it.
-    pub shard: Option<u32>,
+    /// The segment; none: the whole block's record, as the first version has it.
+    pub segment: Option<u32>,
 }
 
-impl ShardId {
-    /// A shard of a block.
-    pub fn new(block: u32, shard: u32) -> ShardId {
-        ShardId { block, shard: Some(shard) }
+impl SegmentId {
+    /// A segment of a block.
+    pub fn new(block: u32, segment: u32) -> SegmentId {
+        SegmentId { block, segment: Some(segment) }
     }
 
     /// A block's one record of the first layout.
-    pub fn whole(block: u32) -> ShardId {
-        ShardId { block, shard: None }
+    pub fn whole(block: u32) -> SegmentId {
+        SegmentId { block, segment: None }
     }
 
     /// The key.
     pub fn key(&self) -> String {
-        match self.shard {
-            Some(shard) => format!("dc/q/{}/{shard}", self.block),
+        match self.segment {
+            Some(segment) => format!("dc/q/{}/{segment}", self.block),
             None => format!("dc/p/{}", self.block),
         }
     }
@@ -139,8 +139,8 @@
     Job(&'a str),
     /// Completed tasks of a job that was moved over.
     CompletedTasks(&'a str, u32),
-    /// What runs in a block, or a shard of it.
-    Shard(ShardId),
+    /// What runs in a block, or a segment of it.
+    Segment(SegmentId),
     /// A group of machines.
     Group(&'a str),
     /// A controller.
@@ -180,10 +180,10 @@
                     Key::CompletedTasks(id, part.parse().ok()?)
                 }
                 ("n", host) => Key::Live(host),
-                ("p", block) => Key::Shard(ShardId::whole(block.parse().ok()?)),
+                ("p", block) => Key::Segment(SegmentId::whole(block.parse().ok()?)),
                 ("q", rest) => {
-                    let (block, shard) = rest.split_once('/')?;
-                    Key::Shard(ShardId::new(block.parse().ok()?, shard.parse().ok()?))
+                    let (block, segment) = rest.split_once('/')?;
+                    Key::Segment(SegmentId::new(block.parse().ok()?, segment.parse().ok()?))
                 }
                 ("v", host) => Key::Mark(host),
                 ("x", rest) => Key::parse_transfer(rest)?,
--- a/crates/dapplecroft-controller/src/records/shard.rs
+++ b/crates/dapplecroft-controller/src/records/segment.rs
@@ -12,7 +12,7 @@
 /// record for all jobs, so that what its holder writes follows the machines and
 /// the time between two writes, and not the number of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ShardRecord {
+pub struct SegmentRecord {
     /// Names of jobs, to which spans refer by position.
     pub jobs: Vec<String>,
     /// Tasks on each machine. One that is named speaks for that machine, also
@@ -219,7 +219,7 @@
     Some(runs.into_iter().flat_map(|((a, b), n)| (a..=b).map(move |i| (i, n))).collect())
 }
 
-impl ShardRecord {
+impl SegmentRecord {
     /// The groups of neighbours on each machine, and what is left of the
     /// completed tasks when those between neighbours are written with them.
     fn written(&self) -> (BTreeMap<&String, Vec<Group<'_>>>, BTreeMap<&String, Ranges>) {
@@ -251,7 +251,7 @@
     }
 }
 
-impl Serialize for ShardRecord {
+impl Serialize for SegmentRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut jobs = self.jobs.clone();
         let mut known: BTreeMap<String, u32> =
@@ -295,14 +295,14 @@
     }
 }
 
-impl<'de> Deserialize<'de> for ShardRecord {
+impl<'de> Deserialize<'de> for SegmentRecord {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let written = Written::deserialize(deserializer)?;
-        read_shard(&written).map_err(D::Error::custom)
+        read_segment(&written).map_err(D::Error::custom)
     }
 }
 
-fn read_shard(written: &Written) -> Result<ShardRecord, &'static str> {
+fn read_segment(written: &Written) -> Result<SegmentRecord, &'static str> {
     let jobs: Vec<String> =
         written.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{ID}{w}")).collect();
     let name = |n: &str| n.parse::<usize>().ok().and_then(|n| jobs.get(n)).cloned();
@@ -310,7 +310,7 @@
         let (n, rest) = w.split_once(':')?;
         Some((name(n)?, rest.to_string()))
     };
-    let mut record = ShardRecord::default();
+    let mut record = SegmentRecord::default();
     for (id, text) in words(&written.done, ' ', of).ok_or("completed tasks of no job")? {
         record.done.insert(id, text.parse()?);
     }
--- a/crates/dapplecroft-controller/src/records/shard/tests.rs
+++ b/crates/dapplecroft-controller/src/records/segment/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn what_runs_is_written_compactly_and_read_back_the_same() {
     let span = |first, last, attempt, session| Span { job: 0, first, last, attempt, session };
-    let mut record = ShardRecord { jobs: vec!["run-01".into()], ..ShardRecord::default() };
+    let mut record = SegmentRecord { jobs: vec!["run-01".into()], ..SegmentRecord::default() };
     let spans = vec![span(7, 7, 1, 1), span(8, 9, 2, 1), span(10, 10, 1, 4), span(11, 12, 3, 5)];
     record.machines.insert("i-1".into(), spans);
     record.machines.insert("i-2".into(), Vec::new());
@@ -22,7 +22,7 @@
         "d": "0:19,31 1:0-2,5", "t": "0:3*2,4-6*9 2:0*1"});
     assert_eq!(value, expected);
     assert_eq!(record.group_sizes(), [1, 1, 2, 1, 2, 11, 1]);
-    let read: ShardRecord = serde_json::from_value(value).unwrap();
+    let read: SegmentRecord = serde_json::from_value(value).unwrap();
     assert_eq!((read.machines, read.done, read.tries), (record.machines, record.done, record.tries));
     for bad in [
         json!({"m": "ai-1=0:1"}),
@@ -38,7 +38,7 @@
         json!({"j": "1", "m": "ai-1"}),
         json!({"j": "1", "m": "=0:5"}),
     ] {
-        assert!(serde_json::from_value::<ShardRecord>(bad.clone()).is_err(), "{bad}");
+        assert!(serde_json::from_value::<SegmentRecord>(bad.clone()).is_err(), "{bad}");
     }
 }
 
@@ -46,7 +46,7 @@
 fn whatever_has_completed_on_a_machine_is_read_back_as_it_was() {
     // All subsets of nine tasks that were placed together.
     for bits in 0..512u32 {
-        let mut record = ShardRecord { jobs: vec!["run-1".into()], ..ShardRecord::default() };
+        let mut record = SegmentRecord { jobs: vec!["run-1".into()], ..SegmentRecord::default() };
         let runs = Ranges::ascending((0..9).filter(|i| bits & (1 << i) == 0));
         let done = Ranges::ascending((0..9).filter(|i| bits & (1 << i) != 0));
         let spans = runs.pieces().iter().map(|(first, last)| Span {
@@ -62,7 +62,7 @@
         }
         let value = serde_json::to_value(&record).unwrap();
         assert!(value.to_string().len() <= 48, "{value}");
-        let read: ShardRecord = serde_json::from_value(value).unwrap();
+        let read: SegmentRecord = serde_json::from_value(value).unwrap();
         assert_eq!(read, record);
     }
 }
--- a/crates/dapplecroft-controller/src/records/tests.rs
+++ b/crates/dapplecroft-controller/src/records/tests.rs
@@ -4,8 +4,8 @@
 #[test]
 fn keys_are_taken_apart() {
     for (key, parsed) in [
-        (ShardId::whole(3).key(), Key::Shard(ShardId::whole(3))),
-        (ShardId::new(3, 14).key(), Key::Shard(ShardId::new(3, 14))),
+        (SegmentId::whole(3).key(), Key::Segment(SegmentId::whole(3))),
+        (SegmentId::new(3, 14).key(), Key::Segment(SegmentId::new(3, 14))),
         (job_key("run-1"), Key::Job("run-1")),
         (completed_tasks_key("run-1", 2), Key::CompletedTasks("run-1", 2)),
         (block_key(12), Key::Block(12)),
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -77,8 +77,8 @@
     pause(0.3).await;
     c.state.limit(SMALL);
     c.until("no record of the first layout is left", || c.state.keys("dc/p/").is_empty()).await;
-    let shards = c.state.keys("dc/q/").len();
-    assert!(before > 9 * 1024 && shards > 5, "{before} bytes in {shards} shards");
+    let segments = c.state.keys("dc/q/").len();
+    assert!(before > 9 * 1024 && segments > 5, "{before} bytes in {segments} segments");
     for k in 0..JOBS {
         let id = name(k);
         c.until_stage(&id, "done").await;
@@ -168,7 +168,7 @@
     c.assert_day_ends(&["run-1", "run-2"]).await;
 }
 
-/// The fewer shards, the fewer changes: those that have become light join.
+/// The fewer segments, the fewer changes: those that have become light join.
 #[tokio::test(start_paused = true)]
 async fn parts_that_have_become_light_join_and_nothing_on_them_is_lost() {
     for gap in [0.0, 0.7, 2.0] {
@@ -186,10 +186,10 @@
             c.submit(id, "free", 4, 2.0, "normal").await;
         }
         let says = |key: &String| c.state.value(key).is_some_and(|v| v != json!({}));
-        let shards = || c.state.keys("dc/q/").iter().filter(|key| says(key)).count();
+        let segments = || c.state.keys("dc/q/").iter().filter(|key| says(key)).count();
         let mut most = 0;
         for step in 0..120 {
-            most = most.max(shards());
+            most = most.max(segments());
             pause(0.5).await;
             if gap > 0.0 && step % 20 == 10 {
                 let n = step / 20 % 3;
@@ -201,7 +201,7 @@
         }
         c.submit("run-3", "free", 30, 2.0, "normal").await;
         c.until_stage("run-3", "done").await;
-        assert!(most >= 3 && shards() * 2 <= most, "{} of {most} shards", shards());
+        assert!(most >= 3 && segments() * 2 <= most, "{} of {most} segments", segments());
         for id in &jobs {
             c.until_stage(id, "done").await;
             assert!((0..4).all(|i| c.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
