--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -5,7 +5,7 @@
 use crate::jobs::OpenJob;
 use crate::ranges::Ranges;
 use crate::records::{SegmentId, stored_size};
-use dapplecroft_sched::{Amounts, Candidate, HasImage, best_fit};
+use dapplecroft_sched::{Amounts, Candidate, ImagePresence, best_fit};
 use dapplecroft_wire::peer::{BlockRoom, FreedRoom, RoomReply};
 use dapplecroft_wire::users::Rank;
 use std::cmp::Reverse;
@@ -200,7 +200,7 @@
             if c.booked != Amounts::default() {
                 fit.tight += n;
             }
-            if c.image != HasImage::No {
+            if c.image != ImagePresence::No {
                 fit.with_image += n;
             }
         }
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/displace.rs
@@ -4,7 +4,7 @@
 use super::placing::{Unplaced, has_image};
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::machines::Machine;
-use dapplecroft_sched::{Amounts, Claim, HasImage, Need, Resident, Slot, pick_victims};
+use dapplecroft_sched::{Amounts, Claim, ImagePresence, Need, Resident, Slot, pick_victims};
 use dapplecroft_wire::users::Rank;
 use std::time::{Duration, Instant};
 
@@ -147,8 +147,8 @@
                 leaving: placed.stop.is_some(),
                 rank: self.effective_rank(job),
                 // A replica gives way to a higher rank alone.
-                beyond_guarantee: !job.is_service()
-                    && self.teams.get(&job.spec.team).is_some_and(|b| b.beyond_guarantee()),
+                over_quota: !job.is_service()
+                    && self.teams.get(&job.spec.team).is_some_and(|b| b.over_quota()),
             };
             residents.push((task.clone(), resident));
         }
@@ -189,7 +189,7 @@
         for unplaced in claimants {
             let Some(job) = self.open_job(&unplaced.job) else { continue };
             let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
-            let claim = Claim { rank: job.rank(), within_guarantee: within };
+            let claim = Claim { rank: job.rank(), within_quota: within };
             // Replicas serve for long: what they need gives way however old.
             let limit = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
             let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
@@ -218,7 +218,7 @@
     /// How long the image of a job's tasks takes on a machine.
     fn fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
-        if has_image(machine, &job.need) != HasImage::No {
+        if has_image(machine, &job.need) != ImagePresence::No {
             return Duration::ZERO;
         }
         let rate = f64::from(self.fetch_rate(&machine.machine_type)) / 1000.0;
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
-use dapplecroft_sched::{DrainRules, Need, Resident, Slot, plan_drain};
+use dapplecroft_sched::{Need, RepackRules, Resident, Slot, plan_repack};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::VecDeque;
@@ -142,12 +142,12 @@
             }
             slots.push(self.slot(machine, now));
         }
-        let rules = DrainRules {
+        let rules = RepackRules {
             trigger: self.options.drain_trigger,
             cap: self.cap(now),
             oldest: self.options.drain_every,
         };
-        let plan = plan_drain(&needs, &slots, &residents, rules)?;
+        let plan = plan_repack(&needs, &slots, &residents, rules)?;
         let moves = plan
             .moves
             .iter()
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -7,7 +7,7 @@
 use dapplecroft_federation::home::watermark;
 use dapplecroft_federation::summary::Wish;
 use dapplecroft_federation::{AwayRecord, CellId, Epoch, HomeStep, Outcome, TransferRequest, TransferState};
-use dapplecroft_sched::Rooms;
+use dapplecroft_sched::PendingCapacity;
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::Change;
 use dapplecroft_wire::users::JobSpec;
@@ -60,10 +60,10 @@
 }
 
 /// Takes room for as many of `count` tasks as there is; returns how many found some.
-fn take_room(rooms: &mut Vec<Rooms>, wish: &Wish) -> i64 {
+fn take_room(rooms: &mut Vec<PendingCapacity>, wish: &Wish) -> i64 {
     let need = &wish.need;
     let mut left = i64::from(wish.tasks);
-    let mut used: Vec<Rooms> = Vec::new();
+    let mut used: Vec<PendingCapacity> = Vec::new();
     for room in rooms.iter_mut().filter(|r| need.allows(&r.machine_type, &r.zone, r.spot)) {
         let each = need.amounts.times_in(&room.room);
         if each == 0 || left == 0 {
@@ -73,7 +73,11 @@
         let taken = (machines * each).min(left);
         left -= taken;
         room.count -= machines;
-        used.push(Rooms { room: room.room - need.amounts.times(each), count: machines, ..room.clone() });
+        used.push(PendingCapacity {
+            room: room.room - need.amounts.times(each),
+            count: machines,
+            ..room.clone()
+        });
     }
     rooms.extend(used);
     i64::from(wish.tasks) - left
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -4,14 +4,14 @@
 use crate::machines::{Fate, Machine};
 use crate::records::{GroupRecord, MemberRecord};
 use dapplecroft_cloud::MAX_RENT;
-use dapplecroft_sched::{Amounts, Rooms, plan_rentals};
+use dapplecroft_sched::{Amounts, PendingCapacity, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
 use dapplecroft_wire::workers::Report;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Rental requests that may be on their way at a time even if the cloud takes
+/// ScaleOutRequest requests that may be on their way at a time even if the cloud takes
 /// fewer a second.
 const MIN_RENTING: usize = 4;
 /// Pause after the first refusal of a kind of machine, doubled by each further
@@ -78,7 +78,7 @@
 /// What the fleet needs done.
 #[derive(Debug, Default)]
 pub struct FleetActions {
-    /// Rental requests to send.
+    /// ScaleOutRequest requests to send.
     pub rent: Vec<RentRequest>,
     /// Machines to release.
     pub release: Vec<Arc<str>>,
@@ -208,7 +208,7 @@
     /// by kind and room. Those that are up count too: a machine that has just
     /// come up gets its tasks in the next round, and nothing must be rented for
     /// them meanwhile.
-    pub(super) fn coming(&self) -> Vec<Rooms> {
+    pub(super) fn coming(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
             let lost = machine.fate != Fate::Keep
@@ -224,9 +224,9 @@
                 (&*machine.machine_type, &*machine.zone, machine.spot, room.cpus, room.gpus, room.memory);
             *kinds.entry(key).or_default() += 1;
         }
-        let mut rooms: Vec<Rooms> = kinds
+        let mut rooms: Vec<PendingCapacity> = kinds
             .into_iter()
-            .map(|((machine_type, zone, spot, cpus, gpus, memory), count)| Rooms {
+            .map(|((machine_type, zone, spot, cpus, gpus, memory), count)| PendingCapacity {
                 machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot,
@@ -245,7 +245,7 @@
         });
         for (machine_type, zone, spot, count) in asked.chain(uncommitted) {
             let room = self.capacity(&machine_type).unwrap_or_default();
-            rooms.push(Rooms { machine_type, zone, spot, room, count });
+            rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
         rooms
     }
@@ -259,7 +259,7 @@
         let thrift = self.options.thrift;
         let offers = self.offers(now);
         let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
-        let mut plan = plan_rentals(&self.unplaced, self.coming(), &offers, thrift, machines);
+        let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_rental(&offers));
         }
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -7,7 +7,7 @@
 use super::layout::to_value;
 use crate::machines::Fate;
 use crate::records::{self, stored_size};
-use dapplecroft_sched::{Amounts, Offer, Rental, Rooms};
+use dapplecroft_sched::{Amounts, Offer, PendingCapacity, ScaleOutRequest};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
@@ -136,8 +136,8 @@
 
     /// The kind of machine to rent for services to come, and how many: the one
     /// that is up soonest and has an image soonest.
-    pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<Rental> {
-        let ordinary = |r: &Rooms| if r.spot { 0 } else { r.count };
+    pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
+        let ordinary = |r: &PendingCapacity| if r.spot { 0 } else { r.count };
         let there: i64 = self.coming().iter().map(ordinary).sum();
         let missing = (self.standby() as i64 - there).max(0) as u32;
         let catalog = self.catalog.as_ref()?;
@@ -150,7 +150,7 @@
             let soon = |o: &Offer| o.boot_s + fetch(&o.machine_type);
             soon(a).total_cmp(&soon(b))
         });
-        best.filter(|_| missing > 0).map(|(offer, _)| Rental { offer, count: missing })
+        best.filter(|_| missing > 0).map(|(offer, _)| ScaleOutRequest { offer, count: missing })
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::records::DrainMove;
-use dapplecroft_sched::{Amounts, Candidate, Demand, HasImage, Need, TeamBook, best_fit_of};
+use dapplecroft_sched::{Amounts, Candidate, Demand, ImagePresence, Need, TeamQuota, best_fit_capped};
 use dapplecroft_wire::users::Rank;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     /// Most tasks of the job whose turn it is.
     pub most: usize,
     /// What teams will use once the work found no place for has one.
-    pub books: HashMap<String, TeamBook>,
+    pub books: HashMap<String, TeamQuota>,
 }
 
 impl Round {
@@ -316,7 +316,7 @@
         let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
         let each = if job.is_service() { 1 } else { i64::MAX };
         let candidates: Vec<Candidate> = machines.iter().map(|(_, candidate)| *candidate).collect();
-        let chosen = best_fit_of(&candidates, &job.need.amounts, count, each);
+        let chosen = best_fit_capped(&candidates, &job.need.amounts, count, each);
         let mut placed = 0;
         for (index, tasks) in chosen {
             let machine = machines[index].0.clone();
@@ -388,10 +388,10 @@
         && (!job.spec.spread || here < job.record.tasks.div_ceil(2))
 }
 
-pub(super) fn has_image(machine: &Machine, need: &Need) -> HasImage {
+pub(super) fn has_image(machine: &Machine, need: &Need) -> ImagePresence {
     match need.image.as_ref().map(|image| machine.image(image)) {
-        None | Some(Some(true)) => HasImage::Yes,
-        Some(Some(false)) => HasImage::Fetching,
-        Some(None) => HasImage::No,
+        None | Some(Some(true)) => ImagePresence::Yes,
+        Some(Some(false)) => ImagePresence::Fetching,
+        Some(None) => ImagePresence::No,
     }
 }
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -52,7 +52,7 @@
     /// since 1970; for all others, the largest number.
     pub starved_since: u64,
     /// Work within its team's guarantee goes before work beyond it.
-    pub beyond_guarantee: bool,
+    pub over_quota: bool,
     /// The effective rank; lower numbers go first.
     pub rank: u8,
     /// Whether the job can still meet its deadline.
@@ -154,7 +154,7 @@
                 let key = ServingKey {
                     level: ServiceLevel::of(rank, within || starved),
                     starved_since: if starved { submitted_ms } else { u64::MAX },
-                    beyond_guarantee: !within,
+                    over_quota: !within,
                     rank,
                     deadline: deadline_state(due - wall, job.spec.estimate_s),
                     task_cpus: Reverse(job.need.amounts.cpus),
--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -35,8 +35,8 @@
 
 /// A scale-out request: machines of one offer to start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rental {
-    /// Index into the offers given to [`plan_rentals`].
+pub struct ScaleOutRequest {
+    /// Index into the offers given to [`plan_scale_out`].
     pub offer: usize,
     /// How many machines.
     pub count: u32,
@@ -68,7 +68,7 @@
 /// Equal machines that are still booting and so take no work yet, with the room
 /// left on each.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rooms {
+pub struct PendingCapacity {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
@@ -83,16 +83,16 @@
 
 /// Packs the demands, largest first, onto the machines that are still booting,
 /// and plans a scale-out for the rest: no more than `max_machines` machines in
-/// all, one [`Rental`] per offer, in the order of the offers. `offers` are those
+/// all, one [`ScaleOutRequest`] per offer, in the order of the offers. `offers` are those
 /// not backed off from. Equal machines are counted, not listed, so that the work
 /// grows with the demands and not with the fleet.
-pub fn plan_rentals(
+pub fn plan_scale_out(
     demands: &[Demand],
-    booting: Vec<Rooms>,
+    booting: Vec<PendingCapacity>,
     offers: &[Offer],
     prefer_cheapest: bool,
     max_machines: u32,
-) -> Vec<Rental> {
+) -> Vec<ScaleOutRequest> {
     let mut pending = booting;
     let mut order: Vec<&Demand> = demands.iter().collect();
     order.sort_by_key(|d| {
@@ -118,7 +118,7 @@
             left -= here;
             let rest = full * each - here;
             if rest > 0 || need.amounts.times(each) != offer.capacity {
-                pending.push(Rooms {
+                pending.push(PendingCapacity {
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -128,12 +128,12 @@
             }
         }
     }
-    counts.into_iter().map(|(offer, count)| Rental { offer, count }).collect()
+    counts.into_iter().map(|(offer, count)| ScaleOutRequest { offer, count }).collect()
 }
 
 /// Takes room for up to `count` tasks, the tightest room first, and returns how
 /// many found none.
-fn pack_onto_pending_machines(pending: &mut Vec<Rooms>, need: &Need, count: i64) -> i64 {
+fn pack_onto_pending_machines(pending: &mut Vec<PendingCapacity>, need: &Need, count: i64) -> i64 {
     let mut order: Vec<usize> = (0..pending.len())
         .filter(|&group| {
             let machines = &pending[group];
@@ -156,14 +156,18 @@
         pending[group].count -= full_machines + i64::from(on_partial_machine > 0);
         remaining -= full_machines * per_machine + on_partial_machine;
         if full_machines > 0 {
-            pending.push(Rooms {
+            pending.push(PendingCapacity {
                 room: room - need.amounts.times(per_machine),
                 count: full_machines,
                 ..original.clone()
             });
         }
         if on_partial_machine > 0 {
-            pending.push(Rooms { room: room - need.amounts.times(on_partial_machine), count: 1, ..original });
+            pending.push(PendingCapacity {
+                room: room - need.amounts.times(on_partial_machine),
+                count: 1,
+                ..original
+            });
         }
     }
     remaining
--- a/crates/dapplecroft-sched/src/fleet/tests.rs
+++ b/crates/dapplecroft-sched/src/fleet/tests.rs
@@ -18,12 +18,12 @@
     let offers = [offer("small", 16.0, 1.0, 50.0), offer("big", 32.0, 2.5, 20.0)];
     let boots = |cpus: f64, count| {
         let room = Amounts::new(cpus, 0.0, cpus * 4.0);
-        vec![Rooms { machine_type: "m".into(), zone: "z".into(), spot: false, room, count }]
+        vec![PendingCapacity { machine_type: "m".into(), zone: "z".into(), spot: false, room, count }]
     };
-    let plan = plan_rentals(&demands, boots(16.0, 1), &offers, true, 50);
-    assert_eq!(plan, [Rental { offer: 0, count: 1 }]);
-    assert!(plan_rentals(&demands, boots(32.0, 1), &offers, true, 50).is_empty());
-    assert!(plan_rentals(&demands, boots(16.0, 2), &offers, true, 50).is_empty());
+    let plan = plan_scale_out(&demands, boots(16.0, 1), &offers, true, 50);
+    assert_eq!(plan, [ScaleOutRequest { offer: 0, count: 1 }]);
+    assert!(plan_scale_out(&demands, boots(32.0, 1), &offers, true, 50).is_empty());
+    assert!(plan_scale_out(&demands, boots(16.0, 2), &offers, true, 50).is_empty());
 }
 
 #[test]
@@ -33,15 +33,21 @@
         Demand { need: need(2.0), count: 2, fastest: false },
     ];
     let offers = [offer("small", 16.0, 1.0, 50.0)];
-    assert_eq!(plan_rentals(&many, vec![], &offers, true, 5000), [Rental { offer: 0, count: 1001 }]);
-    assert_eq!(plan_rentals(&many, vec![], &offers, true, 70), [Rental { offer: 0, count: 70 }]);
+    assert_eq!(
+        plan_scale_out(&many, vec![], &offers, true, 5000),
+        [ScaleOutRequest { offer: 0, count: 1001 }]
+    );
+    assert_eq!(plan_scale_out(&many, vec![], &offers, true, 70), [ScaleOutRequest { offer: 0, count: 70 }]);
 }
 
 #[test]
 fn without_cost_preference_the_machine_that_boots_first_is_taken() {
     let demands = [Demand { need: need(4.0), count: 6, fastest: false }];
     let offers = [offer("small", 16.0, 1.0, 50.0), offer("big", 32.0, 2.5, 20.0)];
-    assert_eq!(plan_rentals(&demands, vec![], &offers, false, 50), [Rental { offer: 1, count: 1 }]);
+    assert_eq!(
+        plan_scale_out(&demands, vec![], &offers, false, 50),
+        [ScaleOutRequest { offer: 1, count: 1 }]
+    );
     let too_big = [Demand { need: need(64.0), count: 1, fastest: false }];
-    assert!(plan_rentals(&too_big, vec![], &offers, false, 50).is_empty());
+    assert!(plan_scale_out(&too_big, vec![], &offers, false, 50).is_empty());
 }
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -13,9 +13,9 @@
 mod teams;
 
 pub use amounts::Amounts;
-pub use fleet::{Demand, Offer, Rental, Rooms, cheapest_offer, plan_rentals};
-pub use place::{Candidate, HasImage, Need, Slot, best_fit, best_fit_of};
+pub use fleet::{Demand, Offer, PendingCapacity, ScaleOutRequest, cheapest_offer, plan_scale_out};
+pub use place::{Candidate, ImagePresence, Need, Slot, best_fit, best_fit_capped};
 pub use preempt::{Claim, Victims, pick_victims};
 pub use progress::{Checkpoints, Progress};
-pub use repack::{DrainRules, RepackPlan, Resident, TaskMove, plan_drain};
-pub use teams::{TeamBook, Teams};
+pub use repack::{RepackPlan, RepackRules, Resident, TaskMove, plan_repack};
+pub use teams::{TeamQuota, Teams};
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -76,7 +76,7 @@
 /// Whether a machine holds an image. The greater value is the better one for
 /// placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum HasImage {
+pub enum ImagePresence {
     /// No.
     No,
     /// It is being fetched.
@@ -93,7 +93,7 @@
     /// What is booked on it.
     pub booked: Amounts,
     /// Whether it has the job's image.
-    pub image: HasImage,
+    pub image: ImagePresence,
     /// Whether it has shown itself to be slow or faulty: taken only last.
     pub doubtful: bool,
     /// For replicas: whether one of the same service is there.
@@ -113,7 +113,7 @@
     /// For replicas: no other one of the service is there.
     no_sibling: bool,
     /// Whether it has the image.
-    image: HasImage,
+    image: ImagePresence,
     /// How quickly it would fetch it.
     fetch: u32,
     /// The dominant share with the task.
@@ -156,12 +156,12 @@
 /// with no more than `count` tasks in all; fewer if room runs out, and none if
 /// `count` is 0 or the task fits nowhere.
 pub fn best_fit(candidates: &[Candidate], need: &Amounts, count: i64) -> Vec<(usize, i64)> {
-    best_fit_of(candidates, need, count, NO_PER_MACHINE_CAP)
+    best_fit_capped(candidates, need, count, NO_PER_MACHINE_CAP)
 }
 
 /// As [`best_fit`], with no more than `max_per_machine` tasks (and at least one)
 /// on each machine, so that the loss of one machine does not take all of them.
-pub fn best_fit_of(
+pub fn best_fit_capped(
     candidates: &[Candidate],
     need: &Amounts,
     count: i64,
--- a/crates/dapplecroft-sched/src/place/tests.rs
+++ b/crates/dapplecroft-sched/src/place/tests.rs
@@ -21,7 +21,7 @@
     Candidate {
         capacity: slot.capacity,
         booked: slot.booked,
-        image: HasImage::No,
+        image: ImagePresence::No,
         doubtful: false,
         sibling: false,
         fetch: 0,
@@ -41,7 +41,7 @@
 #[test]
 fn the_image_decides_between_about_equally_full_machines_and_doubt_before_all() {
     let mut machines = [candidate(16.0, 4.5), candidate(16.0, 4.0)];
-    machines[1].image = HasImage::Yes;
+    machines[1].image = ImagePresence::Yes;
     assert_eq!(best_fit(&machines, &need(1.0).amounts, 1), [(1, 1)]);
     machines[1].doubtful = true;
     assert_eq!(best_fit(&machines, &need(1.0).amounts, 1), [(0, 1)]);
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -10,7 +10,7 @@
     /// The waiting job's rank; lower numbers go first.
     pub rank: u8,
     /// Whether it lies within its team's guaranteed quota.
-    pub within_guarantee: bool,
+    pub within_quota: bool,
 }
 
 /// The tasks to preempt on one machine so that a waiting task fits there.
@@ -50,7 +50,7 @@
             let resident = &residents[index];
             !resident.leaving
                 && resident.loss <= limit
-                && (claim.rank < resident.rank || (claim.within_guarantee && resident.beyond_guarantee))
+                && (claim.rank < resident.rank || (claim.within_quota && resident.over_quota))
         })
         .collect();
     // A preempted task saves its checkpoint before its room is free, and the
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -30,12 +30,12 @@
     /// Its job's rank; lower numbers go first.
     pub rank: u8,
     /// Whether its team uses more than its guaranteed quota.
-    pub beyond_guarantee: bool,
+    pub over_quota: bool,
 }
 
 /// The bounds of a repack.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct DrainRules {
+pub struct RepackRules {
     /// Machines whose dominant booked share is at most this fraction may be
     /// emptied.
     pub trigger: f64,
@@ -69,11 +69,11 @@
 /// help. Waiting tasks are given in the order in which they should start; all
 /// of them fit nowhere now. Returns `None` if no machine can be emptied for any
 /// of them within `rules`.
-pub fn plan_drain(
+pub fn plan_repack(
     waiting: &[Need],
     slots: &[Slot],
     residents: &[Resident],
-    rules: DrainRules,
+    rules: RepackRules,
 ) -> Option<RepackPlan> {
     // The machine whose tasks lose least goes first: without checkpoints, the one
     // whose tasks have run least.
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -11,7 +11,7 @@
 
 /// One team's quota: its guarantee, its limit and its use.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct TeamBook {
+pub struct TeamQuota {
     /// Guaranteed CPUs and GPUs; memory is not counted.
     pub guarantee: Amounts,
     /// Limits on CPUs and GPUs; 0 in a resource means none there.
@@ -20,7 +20,7 @@
     pub used: Amounts,
 }
 
-impl TeamBook {
+impl TeamQuota {
     /// Whether a task of this size may start without exceeding a limit.
     pub fn allocates(&self, task: &Amounts) -> bool {
         let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
@@ -43,7 +43,7 @@
     }
 
     /// Whether the team runs more than its guarantee.
-    pub fn beyond_guarantee(&self) -> bool {
+    pub fn over_quota(&self) -> bool {
         self.used.cpus > self.guarantee.cpus || self.used.gpus > self.guarantee.gpus
     }
 }
@@ -51,7 +51,7 @@
 /// The quotas and use of all teams, by name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Teams {
-    by_name: BTreeMap<String, TeamBook>,
+    by_name: BTreeMap<String, TeamQuota>,
 }
 
 impl Teams {
@@ -59,13 +59,13 @@
     pub fn new(teams: impl IntoIterator<Item = (String, Amounts, Amounts)>) -> Self {
         let by_name = teams
             .into_iter()
-            .map(|(name, guarantee, limit)| (name, TeamBook { guarantee, limit, used: Amounts::default() }))
+            .map(|(name, guarantee, limit)| (name, TeamQuota { guarantee, limit, used: Amounts::default() }))
             .collect();
         Teams { by_name }
     }
 
     /// A team's quota and use; `None` for a team that is not known.
-    pub fn get(&self, name: &str) -> Option<&TeamBook> {
+    pub fn get(&self, name: &str) -> Option<&TeamQuota> {
         self.by_name.get(name)
     }
 
@@ -75,7 +75,7 @@
         if let Some(book) = self.by_name.get_mut(name) {
             book.used += task;
         } else {
-            self.by_name.insert(name.to_string(), TeamBook { used: task, ..TeamBook::default() });
+            self.by_name.insert(name.to_string(), TeamQuota { used: task, ..TeamQuota::default() });
         }
     }
 
--- a/crates/dapplecroft-sched/src/teams/tests.rs
+++ b/crates/dapplecroft-sched/src/teams/tests.rs
@@ -13,7 +13,7 @@
     teams.book("tight", task.times(2));
     let tight = teams.get("tight").unwrap();
     assert!(!tight.allocates(&task) && tight.headroom(&task) == 0);
-    assert!(tight.beyond_guarantee() && tight.guarantees(&task));
+    assert!(tight.over_quota() && tight.guarantees(&task));
     teams.unbook("tight", task);
     assert!(teams.get("tight").unwrap().allocates(&task));
 }
