--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -2,7 +2,9 @@
 
 use async_trait::async_trait;
 use dapplecroft_controller::{Cells, NoCells, Node, Options, Parts, PeerService, Peers, Reply};
-use dapplecroft_fakes::{Action, FakeCloud, FakeState, Handler, Net, Referee, Rule, Told, WorkerTiming};
+use dapplecroft_fakes::{
+    Action, FakeCloud, FakeState, Handler, InvariantChecker, Net, Rule, Told, WorkerTiming,
+};
 use dapplecroft_net::Response;
 use dapplecroft_wire::peer::{DemandReply, ForwardRequest, RoomReply, SightReply};
 use dapplecroft_wire::settings::{Peer, Settings};
@@ -74,7 +76,7 @@
     pub net: Arc<Net>,
     pub state: Arc<FakeState>,
     pub cloud: Arc<FakeCloud>,
-    pub referee: Arc<Referee>,
+    pub referee: Arc<InvariantChecker>,
     pub options: Options,
     /// How many controllers there are.
     pub nodes: usize,
@@ -195,7 +197,7 @@
         next: Value,
         prepare: impl FnOnce(&Cluster),
     ) -> Cluster {
-        let (net, state, referee) = (Net::new(), FakeState::new(), Referee::new(CANCEL));
+        let (net, state, referee) = (Net::new(), FakeState::new(), InvariantChecker::new(CANCEL));
         referee.limit("tight", 16.0);
         let nodes: Vec<(String, String)> = (0..size).map(|n| (host(n), address(n))).collect();
         let mut timing = WorkerTiming {
--- a/crates/dapplecroft-controller/tests/stories/zones.rs
+++ b/crates/dapplecroft-controller/tests/stories/zones.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{CANCEL, Cluster, STATE, address, host, job, pause};
 use dapplecroft_controller::Options;
-use dapplecroft_fakes::{Action, Bound, Rule, WorkerTiming};
+use dapplecroft_fakes::{Action, PlacementConstraint, Rule, WorkerTiming};
 use std::time::Duration;
 
 async fn two_zones(block_machines: Option<usize>) -> Cluster {
@@ -23,7 +23,7 @@
         body["apart"] = (id == "run-4").into();
         let apart = (id == "run-4").then_some(4);
         let zone = zone.map(str::to_string);
-        c.referee.bind(id, Bound { zone, same_place: id == "run-3", apart });
+        c.referee.bind(id, PlacementConstraint { zone, same_place: id == "run-3", apart });
         c.referee.job(id, "free", 5.0);
         c.hand_in(id, &body).await;
     }
@@ -129,7 +129,10 @@
         for (id, zone) in [("run-1", Some("y")), ("run-2", Some("z")), ("run-3", None)] {
             let mut body = job(id, "free", 4, 8.0, "normal");
             body["yard"] = zone.into();
-            c.referee.bind(id, Bound { zone: zone.map(str::to_string), ..Bound::default() });
+            c.referee.bind(
+                id,
+                PlacementConstraint { zone: zone.map(str::to_string), ..PlacementConstraint::default() },
+            );
             c.referee.job(id, "free", 8.0);
             c.hand_in(id, &body).await;
         }
--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -1,7 +1,7 @@
 //! An in-memory cloud provider: machines are scaled out and in, boot with a
 //! worker agent, and on demand fail to come up, vanish, or run out of capacity.
 
-use crate::invariants::Referee;
+use crate::invariants::InvariantChecker;
 use crate::net::{Handler, Net, Query};
 use crate::worker::{FakeWorker, WorkerTiming};
 use async_trait::async_trait;
@@ -43,7 +43,7 @@
 pub struct FakeCloud {
     inner: Mutex<Inner>,
     net: Arc<Net>,
-    referee: Arc<Referee>,
+    referee: Arc<InvariantChecker>,
     nodes: Vec<(String, String)>,
     timing: WorkerTiming,
     lag: Duration,
@@ -59,7 +59,7 @@
     /// A cloud with room for so many machines.
     pub fn new(
         net: &Arc<Net>,
-        referee: &Arc<Referee>,
+        referee: &Arc<InvariantChecker>,
         nodes: &[(String, String)],
         timing: WorkerTiming,
         capacity: usize,
--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -31,7 +31,7 @@
     reported: HashMap<String, Told>,
     machine_cpus: BTreeMap<String, f64>,
     machine_zones: HashMap<String, String>,
-    constraints: HashMap<String, Bound>,
+    constraints: HashMap<String, PlacementConstraint>,
     neglected_since: HashMap<String, Instant>,
     placement_history: Vec<Stay>,
 }
@@ -51,7 +51,7 @@
 
 /// Placement constraint of a job's tasks.
 #[derive(Debug, Clone, Default)]
-pub struct Bound {
+pub struct PlacementConstraint {
     /// The only allowed zone.
     pub zone: Option<String>,
     /// All in one zone.
@@ -78,7 +78,7 @@
 
 /// Checks the protocol's invariants over the events that tests report.
 #[derive(Default)]
-pub struct Referee {
+pub struct InvariantChecker {
     inner: Mutex<Inner>,
     cancel_after: Mutex<Duration>,
 }
@@ -92,11 +92,11 @@
     task.rsplit_once('/').map_or(task, |(job, _)| job)
 }
 
-impl Referee {
+impl InvariantChecker {
     /// A checker that allows tasks of a cancelled job to run this long after
     /// the cancellation.
-    pub fn new(cancel_after: Duration) -> Arc<Referee> {
-        let referee = Referee::default();
+    pub fn new(cancel_after: Duration) -> Arc<InvariantChecker> {
+        let referee = InvariantChecker::default();
         *referee.cancel_after.lock().unwrap() = cancel_after;
         Arc::new(referee)
     }
--- a/crates/dapplecroft-fakes/src/invariants/answers.rs
+++ b/crates/dapplecroft-fakes/src/invariants/answers.rs
@@ -1,6 +1,6 @@
 //! What users are told of their jobs, and the checks at the end of a day.
 
-use super::{JobDemand, Referee, Told};
+use super::{InvariantChecker, JobDemand, Told};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -11,9 +11,9 @@
 /// Even the largest jobs must begin within this time.
 const BEGIN_WITHIN: Duration = Duration::from_secs(240);
 
-impl Referee {
+impl InvariantChecker {
     /// What users have been told of a job so far; to be asked before a question
-    /// is sent, and handed to [`Referee::heard`] with its answer.
+    /// is sent, and handed to [`InvariantChecker::heard`] with its answer.
     pub fn known(&self, id: &str) -> Told {
         self.inner.lock().unwrap().reported.get(id).cloned().unwrap_or_default()
     }
--- a/crates/dapplecroft-fakes/src/invariants/placement.rs
+++ b/crates/dapplecroft-fakes/src/invariants/placement.rs
@@ -1,6 +1,6 @@
 //! Where the tasks of a job may run: zones and spread.
 
-use super::{Bound, Inner, Referee, job_of};
+use super::{Inner, InvariantChecker, PlacementConstraint, job_of};
 
 impl Inner {
     /// What is wrong with where a task starts, given the job's other tasks, those on
@@ -23,9 +23,9 @@
     }
 }
 
-impl Referee {
+impl InvariantChecker {
     /// A job's tasks may be there alone.
-    pub fn bind(&self, id: &str, bound: Bound) {
+    pub fn bind(&self, id: &str, bound: PlacementConstraint) {
         self.inner.lock().unwrap().constraints.insert(id.into(), bound);
     }
 
--- a/crates/dapplecroft-fakes/src/invariants/quota.rs
+++ b/crates/dapplecroft-fakes/src/invariants/quota.rs
@@ -1,6 +1,6 @@
 //! Team limits and machines' room: whether waiting jobs are neglected.
 
-use super::{CPU_TOLERANCE, JobDemand, Referee, job_of};
+use super::{CPU_TOLERANCE, InvariantChecker, JobDemand, job_of};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -8,7 +8,7 @@
 /// A job that has not begun waits no longer than this while there is room.
 const NEGLECTED_AFTER: Duration = Duration::from_secs(90);
 
-impl Referee {
+impl InvariantChecker {
     /// Makes a team's limit known.
     pub fn limit(&self, team: &str, cpus: f64) {
         self.inner.lock().unwrap().quotas.insert(team.into(), cpus);
--- a/crates/dapplecroft-fakes/src/invariants/services.rs
+++ b/crates/dapplecroft-fakes/src/invariants/services.rs
@@ -1,10 +1,10 @@
 //! Services: their replicas must keep running and are never called done.
 
-use super::Referee;
+use super::InvariantChecker;
 use std::time::Duration;
 use tokio::time::Instant;
 
-impl Referee {
+impl InvariantChecker {
     /// Makes a service known that has so many replicas.
     pub fn service(&self, id: &str, team: &str, cpus: f64, replicas: u32) {
         self.job(id, team, cpus);
--- a/crates/dapplecroft-fakes/src/invariants/tests.rs
+++ b/crates/dapplecroft-fakes/src/invariants/tests.rs
@@ -3,7 +3,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_broken_end_of_a_day_is_caught() {
-    let referee = Referee::new(Duration::from_secs(47));
+    let referee = InvariantChecker::new(Duration::from_secs(47));
     for id in ["run-1", "run-2", "run-3", "run-4"] {
         referee.job(id, if id == "run-1" { "a" } else { "b" }, 1.0);
         referee.accepted(id);
@@ -26,7 +26,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_service_that_is_lost_or_called_done_is_caught() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     referee.limit("a", 4.0);
     referee.service("run-1", "a", 2.0, 2);
     referee.told("run-1", "running", 0);
@@ -49,7 +49,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_broken_rule_is_caught() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     referee.limit("a", 2.0);
     referee.job("run-1", "a", 2.0);
     referee.started("run-1/0", 1, "m");
@@ -66,7 +66,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_older_answer_after_a_newer_one_is_caught() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     let asked = referee.known("run-1");
     referee.heard("run-1", &asked, 201, "queued");
     // Sent before the job was accepted, answered after: no fault.
@@ -89,7 +89,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_job_that_waits_while_there_is_room_is_caught() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     referee.limit("a", 4.0);
     referee.machine("m", Some(8.0));
     for (id, team, cpus) in
@@ -117,7 +117,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_start_after_a_confirmed_cancellation_is_counted() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     referee.started("run-1/0", 1, "m");
     referee.cancelled("run-1");
     assert!(referee.late_starts().is_empty());
@@ -128,13 +128,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_start_in_a_wrong_place_is_caught() {
-    let referee = Referee::new(Duration::from_secs(10));
+    let referee = InvariantChecker::new(Duration::from_secs(10));
     for (machine, zone) in [("m", "a"), ("n", "b"), ("o", "b")] {
         referee.zone(machine, zone);
     }
-    referee.bind("run-1", Bound { zone: Some("a".into()), ..Bound::default() });
-    referee.bind("run-2", Bound { same_place: true, ..Bound::default() });
-    referee.bind("run-3", Bound { apart: Some(3), ..Bound::default() });
+    referee.bind("run-1", PlacementConstraint { zone: Some("a".into()), ..PlacementConstraint::default() });
+    referee.bind("run-2", PlacementConstraint { same_place: true, ..PlacementConstraint::default() });
+    referee.bind("run-3", PlacementConstraint { apart: Some(3), ..PlacementConstraint::default() });
     referee.started("run-1/0", 1, "m");
     referee.started("run-2/0", 1, "n");
     referee.started("run-2/1", 1, "o");
--- a/crates/dapplecroft-fakes/src/lib.rs
+++ b/crates/dapplecroft-fakes/src/lib.rs
@@ -11,7 +11,7 @@
 mod worker;
 
 pub use cloud::FakeCloud;
-pub use invariants::{Bound, Referee, Stay, Told};
+pub use invariants::{InvariantChecker, PlacementConstraint, Stay, Told};
 pub use net::{Action, Handler, Net, Rule};
 pub use state::{FakeState, Limits, Refusals};
 pub use worker::{FakeWorker, Saves, WorkerTiming};
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -2,7 +2,7 @@
 //! and an agent epoch, runs tasks with checkpoints, and can hang, restart or
 //! be destroyed on demand.
 
-use crate::invariants::Referee;
+use crate::invariants::InvariantChecker;
 use crate::net::Net;
 use dapplecroft_net::Transport;
 use dapplecroft_wire::workers::{ExitReason, TaskState};
@@ -91,7 +91,7 @@
     nodes: Vec<(String, String)>,
     port: Arc<dyn Transport>,
     net: Arc<Net>,
-    referee: Arc<Referee>,
+    referee: Arc<InvariantChecker>,
     inner: Mutex<Inner>,
     changed: Notify,
     weak_self: Weak<FakeWorker>,
@@ -104,7 +104,7 @@
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         net: &Arc<Net>,
-        referee: &Arc<Referee>,
+        referee: &Arc<InvariantChecker>,
         nodes: &[(String, String)],
         timing: &WorkerTiming,
         machine: &str,
