--- a/crates/dapplecroft-controller/examples/fleet_cost.rs
+++ b/crates/dapplecroft-controller/examples/fleet_cost.rs
@@ -58,12 +58,12 @@
     for n in 0..3 {
         let node = c.node(n);
         let now = tokio::time::Instant::now().into_std();
-        let (blocks, open) = node.with(|core| {
+        let (shards, open) = node.with(|core| {
             let summary = core.summary(now);
-            (summary.blocks, summary.open_machines)
+            (summary.shards, summary.open_machines)
         });
         let begun = Instant::now();
         node.with(|core| core.fleet_step(now));
-        println!("{}: {blocks} blocks, {open} machines, a fleet step takes {:?}", host(n), begun.elapsed());
+        println!("{}: {shards} blocks, {open} machines, a fleet step takes {:?}", host(n), begun.elapsed());
     }
 }
--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -1,4 +1,4 @@
-//! The leader's allocation of waiting tasks to blocks, within team limits.
+//! The leader's allocation of waiting tasks to shards, within team limits.
 
 use super::Core;
 use super::placing::Round;
@@ -13,15 +13,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A job with so many tasks for each block has a part for each, where there are so many
-/// blocks that its record could not name several ranges of each.
+/// A job with so many tasks for each shard has a part for each, where there are so many
+/// shards that its record could not name several ranges of each.
 const LARGE_PART: usize = 16;
-const MANY_BLOCKS: usize = 16;
+const MANY_SHARDS: usize = 16;
 
-/// Tasks that a block could not start for so long are taken back, if another
-/// block can start some.
+/// Tasks that a shard could not start for so long are taken back, if another
+/// shard can start some.
 const STALLED: Duration = Duration::from_secs(8);
-/// Part of a block's processors for which work may wait there, so that its
+/// Part of a shard's processors for which work may wait there, so that its
 /// holder fills what becomes free without asking; more for urgent work, for
 /// which other work gives way there.
 const BACKLOG: i64 = 8;
@@ -38,9 +38,9 @@
     pub(super) freed: HashMap<Arc<str>, Amounts>,
 }
 
-/// What a block could start of a job.
-struct BlockFit {
-    block: u32,
+/// What a shard could start of a job.
+struct ShardFit {
+    shard: u32,
     /// Tasks that may start.
     total: i64,
     /// Those on machines that are in use already.
@@ -51,52 +51,52 @@
     used: bool,
 }
 
-/// How well a block suits `wanted` tasks of a job; the greatest is the best.
+/// How well a shard suits `wanted` tasks of a job; the greatest is the best.
 /// Fields are compared in the order in which they stand here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct BlockScore {
+struct ShardScore {
     /// Whether all may start there.
     all: bool,
     with_image: i64,
     tight: i64,
     used: bool,
-    /// Of blocks that take all, the one with the least room; of others, the one
+    /// Of shards that take all, the one with the least room; of others, the one
     /// with the most.
     room: i64,
     /// Of equal ones the first.
-    block: Reverse<u32>,
+    shard: Reverse<u32>,
 }
 
-impl BlockFit {
-    fn score(&self, wanted: i64) -> BlockScore {
+impl ShardFit {
+    fn score(&self, wanted: i64) -> ShardScore {
         let all = self.total >= wanted;
-        BlockScore {
+        ShardScore {
             all,
             with_image: self.with_image.min(wanted),
             tight: self.tight.min(wanted),
             used: self.used,
             room: if all { -self.total } else { self.total },
-            block: Reverse(self.block),
+            shard: Reverse(self.shard),
         }
     }
 }
 
-/// The block that a job is bound to whose zones depend on each other: its
+/// The shard that a job is bound to whose zones depend on each other: its
 /// constraints hold across all its tasks, so one holder has to see all of them.
-fn bound_block(job: &OpenJob) -> Option<u32> {
-    // What was taken back from a block may be on a machine there all the same,
+fn bound_shard(job: &OpenJob) -> Option<u32> {
+    // What was taken back from a shard may be on a machine there all the same,
     // placed just before. What is done binds nothing any more, though the record
     // still says where it was allocated.
-    let placed = job.placed.values().map(|placed| placed.home.block);
+    let placed = job.placed.values().map(|placed| placed.home.shard);
     let waiting = job.waiting.keys().chain(job.revoking.keys());
     placed.chain(waiting.copied()).next()
 }
 
 impl Core {
-    /// What has become free in this holder's blocks since their records.
+    /// What has become free in this holder's shards since their records.
     pub fn freed_room(&self) -> RoomReply {
         let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
-        for machine in self.machines.values().filter(|m| self.is_holder(m.block)) {
+        for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
             let mut freed = Amounts::default();
             let mut home = None;
             for task in &machine.tasks {
@@ -109,7 +109,7 @@
             if let Some(home) = home {
                 let version = self.segments.get(&home).map_or(0, |l| l.version);
                 let entry = parts.entry(home).or_insert_with(|| BlockRoom {
-                    block: home.block,
+                    block: home.shard,
                     version,
                     freed: Vec::new(),
                     part: home.segment,
@@ -125,16 +125,16 @@
         RoomReply { blocks: parts.into_values().collect(), spare_changes: 0.0 }
     }
 
-    /// Takes over what has become free in another holder's blocks. It counts
+    /// Takes over what has become free in another holder's shards. It counts
     /// only on top of the record that it was told with, and not for long.
     pub fn take_room(&mut self, reply: &RoomReply, now: Instant) {
-        for block in &reply.blocks {
-            let home = SegmentId { block: block.block, segment: block.part };
+        for shard in &reply.blocks {
+            let home = SegmentId { shard: shard.block, segment: shard.part };
             let current = self.segments.get(&home).map_or(0, |l| l.version);
-            if current != block.version || self.is_holder(block.block) {
+            if current != shard.version || self.is_holder(shard.block) {
                 continue;
             }
-            let freed = block
+            let freed = shard
                 .freed
                 .iter()
                 .map(|f| {
@@ -148,8 +148,8 @@
     }
 
     /// What another holder has told to be free on machines since their records.
-    pub(super) fn hinted(&self, block: u32, now: Instant) -> Vec<&Hint> {
-        let of = SegmentId::whole(block)..=SegmentId::new(block, u32::MAX);
+    pub(super) fn hinted(&self, shard: u32, now: Instant) -> Vec<&Hint> {
+        let of = SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX);
         let fresh = |id: &SegmentId, hint: &Hint| {
             let current = self.segments.get(id).map_or(0, |l| l.version);
             now.saturating_duration_since(hint.at) < HINT_LASTS && hint.version == current
@@ -157,9 +157,9 @@
         self.hints.range(of).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
     }
 
-    /// Whether a block has a holder that is up.
-    fn is_served(&self, block: u32) -> bool {
-        self.is_holder(block) || self.holder_host(block).is_some()
+    /// Whether a shard has a holder that is up.
+    fn is_served(&self, shard: u32) -> bool {
+        self.is_holder(shard) || self.holder_host(shard).is_some()
     }
 
     /// Sets room aside for what other holders have been given and have not
@@ -167,34 +167,34 @@
     pub(super) fn reserve_backlog(&self, round: &mut Round, now: Instant) {
         for id in &self.waiting {
             let Some(job) = self.open_job(id) else { continue };
-            for (block, waiting) in &job.waiting {
+            for (shard, waiting) in &job.waiting {
                 let count = i64::from(waiting.len());
-                *round.backlog.entry(*block).or_default() += job.need.amounts.cpus * count;
-                if self.is_holder(*block) {
+                *round.backlog.entry(*shard).or_default() += job.need.amounts.cpus * count;
+                if self.is_holder(*shard) {
                     continue;
                 }
-                self.reserve(id, job, *block, count, round, now);
+                self.reserve(id, job, *shard, count, round, now);
             }
         }
     }
 
-    fn reserve(&self, id: &Arc<str>, job: &OpenJob, block: u32, count: i64, round: &mut Round, now: Instant) {
-        let machines = self.candidates(id, job, block, &round.reserved, now);
+    fn reserve(&self, id: &Arc<str>, job: &OpenJob, shard: u32, count: i64, round: &mut Round, now: Instant) {
+        let machines = self.candidates(id, job, shard, &round.reserved, now);
         let candidates: Vec<Candidate> = machines.iter().map(|(_, c)| *c).collect();
         for (index, n) in best_fit(&candidates, &job.need.amounts, count) {
             *round.reserved.entry(machines[index].0.clone()).or_default() += job.need.amounts.times(n);
         }
     }
 
-    fn fit(&self, id: &Arc<str>, job: &OpenJob, block: u32, round: &Round, now: Instant) -> BlockFit {
-        let mut fit = BlockFit {
-            block,
+    fn fit(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round, now: Instant) -> ShardFit {
+        let mut fit = ShardFit {
+            shard,
             total: 0,
             tight: 0,
             with_image: 0,
-            used: job.record.allocated.contains_key(&block),
+            used: job.record.allocated.contains_key(&shard),
         };
-        for (_, c) in self.candidates(id, job, block, &round.reserved, now) {
+        for (_, c) in self.candidates(id, job, shard, &round.reserved, now) {
             let n = job.need.amounts.times_in(&(c.capacity - c.booked)).max(1);
             fit.total += n;
             if c.booked != Amounts::default() {
@@ -207,14 +207,14 @@
         fit
     }
 
-    /// Allocates what of a job can start somewhere, to as few blocks as will do,
+    /// Allocates what of a job can start somewhere, to as few shards as will do,
     /// since each costs records of its own; and a little of what can't yet.
     pub(super) fn allocate(&mut self, id: &Arc<str>, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open() && !j.unallocated.is_empty()) else {
             return;
         };
         if job.revoked > self.followed {
-            // What was taken back from a block may have been placed there just
+            // What was taken back from a shard may have been placed there just
             // before: that is known once the copy has caught up.
             return;
         }
@@ -231,7 +231,7 @@
             return self.allocate_ahead(id, left, round, now);
         }
         let constrained = job.is_constrained();
-        let mut fits = self.block_fits(id, job, left, round, now);
+        let mut fits = self.shard_fits(id, job, left, round, now);
         if constrained {
             fits.truncate(1);
             if let Some(fit) = fits.first_mut() {
@@ -243,18 +243,18 @@
             if left <= 0 {
                 break;
             }
-            let own = self.is_holder(fit.block);
+            let own = self.is_holder(fit.shard);
             let most = if own { fit.total.min(round.left as i64) } else { fit.total };
-            // The replicas of a service are not all in one block.
+            // The replicas of a service are not all in one shard.
             let most = if service && several { most.min((all + 1) / 2) } else { most };
             let n = left.min(most);
             if n > 0 {
-                if !self.allocate_to(id, fit.block, n as u32, round, now) {
+                if !self.allocate_to(id, fit.shard, n as u32, round, now) {
                     return;
                 }
                 left -= n;
                 if own {
-                    self.place_in(id, fit.block, round, now);
+                    self.place_in(id, fit.shard, round, now);
                 }
             }
         }
@@ -266,32 +266,32 @@
         }
     }
 
-    /// The blocks in which a job's tasks may start now, the best for `wanted` tasks
-    /// first. Best fit among blocks as within them: small tasks fill what is in
+    /// The shards in which a job's tasks may start now, the best for `wanted` tasks
+    /// first. Best fit among shards as within them: small tasks fill what is in
     /// use, and leave whole machines to large ones.
-    fn block_fits(
+    fn shard_fits(
         &self,
         id: &Arc<str>,
         job: &OpenJob,
         wanted: i64,
         round: &Round,
         now: Instant,
-    ) -> Vec<BlockFit> {
-        let may_fit = |block: u32, machines: &BTreeSet<(i64, Arc<str>)>| {
+    ) -> Vec<ShardFit> {
+        let may_fit = |shard: u32, machines: &BTreeSet<(i64, Arc<str>)>| {
             let most = machines.last().map_or(-1, |(free, _)| *free);
-            most >= job.need.amounts.cpus || !self.hinted(block, now).is_empty()
+            most >= job.need.amounts.cpus || !self.hinted(shard, now).is_empty()
         };
-        let mut fits: Vec<BlockFit> = self
+        let mut fits: Vec<ShardFit> = self
             .machines_by_free_cpus
             .iter()
-            .filter(|(block, machines)| may_fit(**block, machines) && self.is_served(**block))
-            .map(|(block, _)| self.fit(id, job, *block, round, now))
+            .filter(|(shard, machines)| may_fit(**shard, machines) && self.is_served(**shard))
+            .map(|(shard, _)| self.fit(id, job, *shard, round, now))
             .filter(|fit| fit.total > 0)
             .collect();
         if job.is_constrained()
-            && let Some(bound) = bound_block(job)
+            && let Some(bound) = bound_shard(job)
         {
-            fits.retain(|fit| fit.block == bound);
+            fits.retain(|fit| fit.shard == bound);
         }
         fits.sort_by_key(|fit| Reverse(fit.score(wanted)));
         fits
@@ -302,16 +302,16 @@
     fn allocate_to(
         &mut self,
         id: &Arc<str>,
-        block: u32,
+        shard: u32,
         count: u32,
         round: &mut Round,
         now: Instant,
     ) -> bool {
         let Some(job) = self.open_job(id) else { return false };
-        let ranges = job.unallocated.head_from(self.allocation_start(job, block), count);
+        let ranges = job.unallocated.head_from(self.allocation_start(job, shard), count);
         let Some(job) = self.open_job_mut(id) else { return false };
         let before = job.allocating.clone();
-        let own = job.allocating.entry(block).or_default();
+        let own = job.allocating.entry(shard).or_default();
         *own = own.union(&ranges);
         let Some(job) = self.open_job(id) else { return false };
         let allocated = self.allocations(job);
@@ -324,29 +324,29 @@
         self.rederive(id);
         self.mark_job(id);
         let Some(job) = self.open_job(id) else { return false };
-        if !self.is_holder(block) {
-            self.reserve(id, job, block, i64::from(count), round, now);
+        if !self.is_holder(shard) {
+            self.reserve(id, job, shard, i64::from(count), round, now);
         }
-        if !self.is_holder(block) || round.scarce {
-            *round.backlog.entry(block).or_default() += job.need.amounts.cpus * i64::from(count);
+        if !self.is_holder(shard) || round.scarce {
+            *round.backlog.entry(shard).or_default() += job.need.amounts.cpus * i64::from(count);
         }
         true
     }
 
-    /// The task from which on a job's next tasks are allocated to a block. Each block
+    /// The task from which on a job's next tasks are allocated to a shard. Each shard
     /// goes on where it left off in a part of a large job of its own: allocated as they
-    /// come, to many blocks by turns, its tasks would be in so many ranges that its
+    /// come, to many shards by turns, its tasks would be in so many ranges that its
     /// record, which names them, is full long before the fleet is.
-    fn allocation_start(&self, job: &OpenJob, block: u32) -> u32 {
-        let blocks = self.blocks.len();
-        if blocks < MANY_BLOCKS || (job.record.tasks as usize) < LARGE_PART * blocks {
+    fn allocation_start(&self, job: &OpenJob, shard: u32) -> u32 {
+        let shards = self.shards.len();
+        if shards < MANY_SHARDS || (job.record.tasks as usize) < LARGE_PART * shards {
             return 0;
         }
-        let last = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&block).and_then(Ranges::last);
+        let last = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&shard).and_then(Ranges::last);
         if let Some(last) = last(&job.record.allocated).max(last(&job.allocating)) {
             return last + 1;
         }
-        // As many as a block full of the largest machines takes: this does not change
+        // As many as a shard full of the largest machines takes: this does not change
         // while the fleet grows.
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let allowed = types.filter(|t| job.need.types.as_ref().is_none_or(|names| names.contains(&t.name)));
@@ -354,23 +354,23 @@
             let capacity = Amounts::new(t.cpus, t.gpus, t.memory_gb);
             job.need.amounts.times_in(&capacity)
         });
-        let part = on_one.max().unwrap_or(1).max(1) as u64 * self.block_machines() as u64;
-        (u64::from(block) * part % u64::from(job.record.tasks)) as u32
+        let part = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
+        (u64::from(shard) * part % u64::from(job.record.tasks)) as u32
     }
 
-    /// How many processors each block has that are up.
-    pub(super) fn measure_blocks(&self, round: &mut Round) {
+    /// How many processors each shard has that are up.
+    pub(super) fn measure_shards(&self, round: &mut Round) {
         for machine in self.machines.values().filter(|m| m.seems_open()) {
-            *round.sizes.entry(machine.block).or_default() += machine.capacity.cpus;
+            *round.sizes.entry(machine.shard).or_default() += machine.capacity.cpus;
             if !machine.spot {
-                *round.ordinary.entry(machine.block).or_default() += machine.capacity.cpus;
+                *round.ordinary.entry(machine.shard).or_default() += machine.capacity.cpus;
             }
         }
     }
 
-    /// Allocates a little of what fits nowhere now to a block where it starts as
+    /// Allocates a little of what fits nowhere now to a shard where it starts as
     /// soon as something there becomes free. The leader needs no such stock in
-    /// its own blocks, unless changes are scarce: then a job that is allocated
+    /// its own shards, unless changes are scarce: then a job that is allocated
     /// in larger ranges takes fewer of them.
     fn allocate_ahead(&mut self, id: &Arc<str>, left: i64, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
@@ -385,7 +385,7 @@
             return;
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
-        // What waits in a block is taken from the team's limit: not all of it.
+        // What waits in a shard is taken from the team's limit: not all of it.
         let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
         let left = if unlimited { left } else { left.min(book.headroom(&need.amounts) / 2) };
         let part = if urgent { URGENT_BACKLOG } else { BACKLOG };
@@ -400,41 +400,41 @@
             .filter(|(_, n, _)| *n > 0)
             .max();
         match best {
-            Some((_, most, Reverse(block))) if left > 0 => {
-                self.allocate_to(id, block, left.min(most) as u32, round, now);
+            Some((_, most, Reverse(shard))) if left > 0 => {
+                self.allocate_to(id, shard, left.min(most) as u32, round, now);
             }
             None if !urgent => round.ahead_full = Some(cpus),
             _ => {}
         }
     }
 
-    /// Takes back what a block could not start soon, if others could.
+    /// Takes back what a shard could not start soon, if others could.
     pub(super) fn take_back_stalled(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
         let Some(job) = self.open_job_mut(id) else { return };
         let (waiting, old) = (&job.waiting, &job.stalled);
         job.stalled = waiting
             .iter()
-            .map(|(block, ranges)| {
-                let same = old.get(block).filter(|(_, first)| Some(*first) == ranges.first());
-                (*block, same.copied().unwrap_or((now, ranges.first().unwrap_or(0))))
+            .map(|(shard, ranges)| {
+                let same = old.get(shard).filter(|(_, first)| Some(*first) == ranges.first());
+                (*shard, same.copied().unwrap_or((now, ranges.first().unwrap_or(0))))
             })
             .collect();
         let stalled: Vec<u32> = job
             .stalled
             .iter()
             .filter(|(_, (since, _))| now.saturating_duration_since(*since) >= STALLED)
-            .map(|(block, _)| *block)
+            .map(|(shard, _)| *shard)
             .collect();
-        for block in stalled {
+        for shard in stalled {
             let Some(job) = self.open_job(id) else { return };
             let elsewhere = self
                 .machines_by_free_cpus
                 .iter()
                 .filter(|(b, m)| {
-                    **b != block && m.last().is_some_and(|(free, _)| *free >= job.need.amounts.cpus)
+                    **b != shard && m.last().is_some_and(|(free, _)| *free >= job.need.amounts.cpus)
                 })
                 .any(|(b, _)| self.is_served(*b) && self.fit(id, job, *b, round, now).total > 0);
-            let served = self.is_served(block);
+            let served = self.is_served(shard);
             // Constraints on zones hold across all tasks of a job: as long as one is
             // on a machine, the others stay with the holder that sees it.
             let constrained = job.is_constrained();
@@ -442,17 +442,17 @@
                 continue;
             }
             let most = if constrained { job.record.tasks } else { 1000 };
-            let ranges: Ranges = job.waiting.get(&block).cloned().unwrap_or_default().head(most);
-            let allocated = job.record.allocated.get(&block).cloned().unwrap_or_default();
+            let ranges: Ranges = job.waiting.get(&shard).cloned().unwrap_or_default().head(most);
+            let allocated = job.record.allocated.get(&shard).cloned().unwrap_or_default();
             // What is not committed yet can't be taken back yet.
             let ranges = ranges.without(&ranges.without(&allocated));
             if ranges.is_empty() {
                 continue;
             }
-            tracing::debug!(job = %id, block, tasks = ranges.len(), "taken back from a block");
+            tracing::debug!(job = %id, block = shard, tasks = ranges.len(), "taken back from a block");
             if let Some(job) = self.open_job_mut(id) {
-                job.stalled.remove(&block);
-                let own = job.revoking.entry(block).or_default();
+                job.stalled.remove(&shard);
+                let own = job.revoking.entry(shard).or_default();
                 *own = own.union(&ranges);
             }
             self.rederive(id);
--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -66,12 +66,12 @@
 }
 
 impl Core {
-    /// What the processors of own blocks' machines are used for now.
+    /// What the processors of own shards' machines are used for now.
     pub(super) fn capacity_usage(&self, now: Instant) -> CapacityUsage {
         let silence = self.silence();
         let mut usage = CapacityUsage::default();
         for machine in self.machines.values() {
-            let Some(lease) = self.role.leased_blocks.get(&machine.block) else { continue };
+            let Some(lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             usage.add_machine(self, machine, machine.open(lease.epoch, silence, now));
         }
         usage.in_whole_cpus()
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -1,5 +1,5 @@
 //! What has to be committed, as units that are made whole or not at all: of a
-//! job by the leader, of a block by its holder.
+//! job by the leader, of a shard by its holder.
 
 use super::Core;
 use super::commit_queue::NextSubject;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A proposal that found no room in its block's record for so long is decided
+/// A proposal that found no room in its shard's record for so long is decided
 /// again.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(4);
 
@@ -21,7 +21,7 @@
 pub enum Subject {
     /// A job's.
     Job(Arc<str>),
-    /// A block's, or a segment's of it.
+    /// A shard's, or a segment's of it.
     Segment(SegmentId),
     /// A record that says nothing any more.
     ObsoleteKey(String),
@@ -91,7 +91,7 @@
         if let Subject::Segment(id) = subject
             && id.segment.is_some()
         {
-            let whole = Subject::Segment(SegmentId::whole(id.block));
+            let whole = Subject::Segment(SegmentId::whole(id.shard));
             if self.commits.is_in_flight(&whole) {
                 self.commits.block_on(whole, subject.clone());
                 return true;
@@ -108,9 +108,9 @@
     fn work_unit(&mut self, next: NextSubject, now: Instant) -> Option<WorkUnit> {
         let NextSubject { subject, urgent } = next;
         let absorbed = match &subject {
-            // Nothing can be committed of a block that is no longer leased. Taken in
+            // Nothing can be committed of a shard that is no longer leased. Taken in
             // and restored, its segments would queue each other without end.
-            Subject::Segment(id) if self.is_holder(id.block) => self.make_segment_fit(*id),
+            Subject::Segment(id) if self.is_holder(id.shard) => self.make_segment_fit(*id),
             _ => None,
         };
         let unit = match &subject {
@@ -137,7 +137,7 @@
     /// Sends machines elsewhere if a segment would outgrow a value, or takes in
     /// another segment, which it returns, if both are light.
     fn make_segment_fit(&mut self, id: SegmentId) -> Option<SegmentId> {
-        if self.segments.contains_key(&SegmentId::whole(id.block)) {
+        if self.segments.contains_key(&SegmentId::whole(id.shard)) {
             self.relieve(id);
             return None;
         }
@@ -187,7 +187,7 @@
         self.obsolete_keys.pop_first()
     }
 
-    /// Notes that an end of one of a job's tasks has to be committed in a block.
+    /// Notes that an end of one of a job's tasks has to be committed in a shard.
     pub(super) fn note_end(&mut self, id: &Arc<str>, segment: SegmentId, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
         let more = job.exits.values().filter(|e| e.done).count() as u32;
@@ -244,7 +244,7 @@
 
     fn unit_not_made(&mut self, unit: &WorkUnit) {
         if let (Some(other), Subject::Segment(by)) = (unit.absorbed, &unit.subject)
-            && self.is_holder(by.block)
+            && self.is_holder(by.shard)
         {
             self.restore(other, *by);
         }
@@ -287,8 +287,8 @@
     }
 
     fn segment_unit_ended(&mut self, id: SegmentId, end: UnitEnd, now: Instant) {
-        if !self.role.leased_blocks.contains_key(&id.block) {
-            self.drop_proposals_in(id.block);
+        if !self.role.leased_shards.contains_key(&id.shard) {
+            self.drop_proposals_in(id.shard);
         } else {
             self.drop_void(id, now);
             if end == UnitEnd::NotMade {
@@ -298,7 +298,7 @@
             }
         }
         self.reweigh(id);
-        self.continue_move(id.block, now);
+        self.continue_move(id.shard, now);
     }
 
     /// Takes back proposals that found no room in their segment's record, and those
@@ -306,22 +306,22 @@
     /// could not be told from what is in it, and nothing else would come to them.
     fn drop_void(&mut self, segment: SegmentId, now: Instant) {
         let old = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
-        self.drop_placed(segment.block, |job, index, p| {
-            p.home == segment && (old(p) || !job.allocates(segment.block, index))
+        self.drop_placed(segment.shard, |job, index, p| {
+            p.home == segment && (old(p) || !job.allocates(segment.shard, index))
         });
     }
 
-    /// Takes back all that is proposed in a block and not on its way.
-    pub(super) fn drop_proposals_in(&mut self, block: u32) {
-        self.drop_placed(block, |_, _, _| true);
+    /// Takes back all that is proposed in a shard and not on its way.
+    pub(super) fn drop_proposals_in(&mut self, shard: u32) {
+        self.drop_placed(shard, |_, _, _| true);
     }
 
-    fn drop_placed(&mut self, block: u32, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
+    fn drop_placed(&mut self, shard: u32, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
         let mut proposed: Vec<(TaskId, Placed)> = Vec::new();
-        for task in self.machines.values().filter(|m| m.block == block).flat_map(|m| &m.tasks) {
+        for task in self.machines.values().filter(|m| m.shard == shard).flat_map(|m| &m.tasks) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
-            let own = !p.committed && p.home.block == block;
+            let own = !p.committed && p.home.shard == shard;
             if own && void(job, task.index, p) && !self.commits.is_in_flight(&Subject::Segment(p.home)) {
                 proposed.push((task.clone(), p.clone()));
             }
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::BlockLease;
+use crate::core::ShardLease;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Job;
 use crate::records::{SegmentRecord, Span};
@@ -7,8 +7,8 @@
 use serde_json::json;
 
 // A storm (seed 504): a task was proposed while its segment was being committed, and
-// taken back from the block meanwhile. Its proposal stayed: it could not be committed,
-// kept the task from being allocated elsewhere, and on a quiet block nothing ever came
+// taken back from the shard meanwhile. Its proposal stayed: it could not be committed,
+// kept the task from being allocated elsewhere, and on a quiet shard nothing ever came
 // to it again.
 #[test]
 fn what_is_taken_back_while_its_part_is_on_its_way_can_be_allocated_elsewhere() {
@@ -17,7 +17,7 @@
         let mut core = core();
         let job = |allocated| job_record("run-1", 2, allocated);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 1]]}))), 5, now);
-        core.role.leased_blocks.insert(0, BlockLease { epoch: 1, version: 1 });
+        core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
         let segment = SegmentId::new(0, 0);
         let placed = proposed("i-1", segment, 1, now);
         let task = TaskId { job: "run-1".into(), index: 1 };
@@ -64,7 +64,7 @@
     let (one, other) = (SegmentId::new(0, 0), SegmentId::new(0, 1));
     core.apply(&one.key(), Some(span("run-1", "i-1", 0)), 4, now);
     core.apply(&other.key(), Some(span("run-2", "i-2", 0)), 5, now);
-    core.role.leased_blocks.insert(0, BlockLease { epoch: 1, version: 1 });
+    core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     core.learn_parts(0);
     // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
@@ -94,11 +94,11 @@
     assert!(unit.conditions.contains(&Condition { key: other.key(), version: 9 }), "{:?}", unit.conditions);
 }
 
-// A day took over 400 s of processor time: a segment of a block that had been lost was
+// A day took over 400 s of processor time: a segment of a shard that had been lost was
 // still queued. It took another in, had nothing to commit, and queued the other, which
 // did the same, without end.
 #[test]
-fn segments_of_a_block_that_is_not_leased_do_not_queue_each_other() {
+fn segments_of_a_shard_that_is_not_leased_do_not_queue_each_other() {
     let now = Instant::now();
     let mut core = core();
     core.apply("dc/format", Some(json!({"layout": 2})), 1, now);
@@ -114,8 +114,8 @@
     let (one, other) = (SegmentId::new(0, 0), SegmentId::new(0, 1));
     core.apply(&one.key(), Some(record("run-1", "i-1")), 4, now);
     core.apply(&other.key(), Some(record("run-2", "i-2")), 5, now);
-    // Another block is leased, so this process goes on committing.
-    core.role.leased_blocks.insert(1, BlockLease { epoch: 1, version: 1 });
+    // Another shard is leased, so this process goes on committing.
+    core.role.leased_shards.insert(1, ShardLease { epoch: 1, version: 1 });
     let next = NextSubject { subject: Subject::Segment(one), urgent: false };
     assert!(core.work_unit(next, now).is_none());
     assert_eq!(core.commits.backlog(), 0, "nothing is queued again");
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -78,7 +78,7 @@
     /// Processors that are proposed in each segment, by how long they have waited.
     fn compute_segment_priorities(&self, now: Instant) -> HashMap<SegmentId, f64> {
         let mut priorities: HashMap<SegmentId, f64> = HashMap::new();
-        for machine in self.machines.values().filter(|m| self.is_holder(m.block)) {
+        for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
                 let Some(placed) = job.placed.get(&task.index).filter(|p| !p.committed) else { continue };
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -127,9 +127,9 @@
         self.deferred_ends.push_back((now, to));
     }
 
-    /// Drops the deferred ends of a block that is no longer leased.
-    pub fn drop_deferred_ends_of(&mut self, block: u32) {
-        self.deferred_ends.retain(|(_, segment)| segment.block != block);
+    /// Drops the deferred ends of a shard that is no longer leased.
+    pub fn drop_deferred_ends_of(&mut self, shard: u32) {
+        self.deferred_ends.retain(|(_, segment)| segment.shard != shard);
     }
 
     /// How many subjects have allocations or placements that wait.
@@ -218,11 +218,11 @@
         self.in_flight.contains_key(subject)
     }
 
-    /// Whether a unit of any segment of a block is in flight.
-    pub fn is_block_in_flight(&self, block: u32) -> bool {
+    /// Whether a unit of any segment of a shard is in flight.
+    pub fn is_shard_in_flight(&self, shard: u32) -> bool {
         self.in_flight
             .keys()
-            .any(|subject| matches!(subject, Subject::Segment(segment) if segment.block == block))
+            .any(|subject| matches!(subject, Subject::Segment(segment) if segment.shard == shard))
     }
 
     /// A number for a new unit.
--- a/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
@@ -50,7 +50,7 @@
     let mut queue = CommitQueue::default();
     let number = queue.next_number();
     queue.begin(segment(1), number);
-    assert!(queue.is_in_flight(&segment(1)) && queue.is_block_in_flight(0) && !queue.is_block_in_flight(1));
+    assert!(queue.is_in_flight(&segment(1)) && queue.is_shard_in_flight(0) && !queue.is_shard_in_flight(1));
     queue.recheck_later(segment(1));
     queue.block_on(segment(1), segment(2));
     // The end of an earlier unit ends no later one.
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/copy.rs
@@ -4,8 +4,8 @@
 use crate::jobs::{AwayJob, Job, OpenJob, Placed, Stop, TaskId};
 use crate::legacy;
 use crate::records::{
-    BlockRecord, CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord,
-    SegmentId, SegmentRecord,
+    CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord, SegmentId,
+    SegmentRecord, ShardRecord,
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Followed, Item};
@@ -79,8 +79,8 @@
         self.settle_departed(Instant::now());
         // What was leased to this process may be known well enough by now.
         let waits = |version: u64| version <= followed;
-        let leased = self.blocks.iter().any(|(n, (b, version))| {
-            b.identity == self.identity && waits(*version) && !self.role.leased_blocks.contains_key(n)
+        let leased = self.shards.iter().any(|(n, (b, version))| {
+            b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
         });
         if leased || self.role.leadership.is_some_and(waits) && !self.fleet.ready() {
             self.wakeups.role = true;
@@ -160,9 +160,9 @@
                 let record = self.read(key, value);
                 self.apply_leader(record, version, now);
             }
-            Some(Key::Block(block)) => {
+            Some(Key::Shard(shard)) => {
                 let record = self.read(key, value);
-                self.apply_block(block, record, version, now);
+                self.apply_shard(shard, record, version, now);
             }
             Some(Key::Live(host)) => {
                 let record = self.read(key, value);
@@ -179,10 +179,10 @@
                 let record = self.read(key, value);
                 self.apply_catalog_segment(number, record);
             }
-            Some(Key::Drain(block)) => {
+            Some(Key::Drain(shard)) => {
                 match self.read(key, value) {
-                    Some(record) => self.drains.insert(block, (record, version)),
-                    None => self.drains.remove(&block),
+                    Some(record) => self.drains.insert(shard, (record, version)),
+                    None => self.drains.remove(&shard),
                 };
             }
             None => tracing::debug!(key, "a key of another version of the program"),
@@ -230,14 +230,14 @@
         }
     }
 
-    fn apply_block(&mut self, block: u32, record: Option<BlockRecord>, version: u64, now: Instant) {
+    fn apply_shard(&mut self, shard: u32, record: Option<ShardRecord>, version: u64, now: Instant) {
         match record {
-            Some(record) => self.blocks.insert(block, (record, version)),
-            None => self.blocks.remove(&block),
+            Some(record) => self.shards.insert(shard, (record, version)),
+            None => self.shards.remove(&shard),
         };
         self.wakeups.role = true;
-        if self.role.leased_blocks.get(&block).is_some_and(|own| own.version != version) {
-            self.lose_block(block, "leased anew", now);
+        if self.role.leased_shards.get(&shard).is_some_and(|own| own.version != version) {
+            self.lose_shard(shard, "leased anew", now);
         }
     }
 
@@ -361,8 +361,8 @@
             Some(Job::Final { .. }) => return,
             Some(Job::Open(job)) => {
                 // What was being allocated or taken back is in the record now.
-                for (block, allocated) in &record.allocated {
-                    if let Some(own) = job.allocating.get_mut(block) {
+                for (shard, allocated) in &record.allocated {
+                    if let Some(own) = job.allocating.get_mut(shard) {
                         *own = own.without(allocated);
                     }
                 }
@@ -370,8 +370,8 @@
                     job.revoked = version;
                     self.unsettled.insert(id.clone());
                 }
-                for (block, revoked) in &mut job.revoking {
-                    let still = record.allocated.get(block).cloned().unwrap_or_default();
+                for (shard, revoked) in &mut job.revoking {
+                    let still = record.allocated.get(shard).cloned().unwrap_or_default();
                     *revoked = revoked.without(&revoked.without(&still));
                 }
                 job.allocating.retain(|_, r| !r.is_empty());
--- a/crates/dapplecroft-controller/src/core/copy/tests.rs
+++ b/crates/dapplecroft-controller/src/core/copy/tests.rs
@@ -51,22 +51,22 @@
     assert_eq!((placed.committed, placed.session), (true, 2));
 }
 
-// After a cut, ten tasks ran twice: a block's newest record was read by
+// After a cut, ten tasks ran twice: a shard's newest record was read by
 // itself after a conflict, then the watch caught up with older ones.
 #[test]
-fn an_older_record_of_another_block_hides_no_task_that_a_newer_one_has() {
+fn an_older_record_of_another_shard_hides_no_task_that_a_newer_one_has() {
     let now = Instant::now();
     let mut core = core();
     let mut allocated = job();
     allocated["to"] = json!({"0": [[1, 3]], "8": [[0, 0]]});
     core.apply("dc/j/run-1", Some(allocated), 200, now);
-    // The task has moved from block 0 to block 8.
+    // The task has moved from shard 0 to shard 8.
     core.apply("dc/p/8", Some(json!({"j": ["run-1"], "m": {"i-8": [[0, 0, 0, 2]]}})), 210, now);
     let set =
         |data: Value, version| Logged { set: Some("dc/p/0".into()), drop: None, data: Some(data), version };
     let there = json!({"j": ["run-1"], "m": {"i-1": [[0, 0, 0]]}});
     core.follow(Followed { revision: 150, log: vec![set(there, 150)] }, now);
-    let at = |core: &Core| core.open_job("run-1").unwrap().placed.get(&0).map(|p| (p.home.block, p.attempt));
+    let at = |core: &Core| core.open_job("run-1").unwrap().placed.get(&0).map(|p| (p.home.shard, p.attempt));
     assert_eq!(at(&core), Some((8, 2)));
     assert!(core.machines.get("i-1").is_none_or(|m| m.tasks.is_empty()));
     let gone = json!({"t": {"run-1": {"0": 1}}});
@@ -94,7 +94,7 @@
     assert_eq!(used(&core), 2000);
 }
 
-// The leader had taken a task back from a block just as it was placed there; a
+// The leader had taken a task back from a shard just as it was placed there; a
 // node that had read the job by itself, and not that placement yet, made the
 // withdrawn job final: its task still ran, and counted against no team.
 #[test]
@@ -118,7 +118,7 @@
     assert!(is_final(&core));
 }
 
-// What the leader took back from a block was free for other jobs of the team at
+// What the leader took back from a shard was free for other jobs of the team at
 // once, although it may have been placed there just before.
 #[test]
 fn what_is_taken_back_stays_counted_until_all_that_came_before_is_known() {
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/displace.rs
@@ -17,7 +17,7 @@
 
 /// A machine with work that may have to give way.
 struct Host {
-    block: u32,
+    shard: u32,
     slot: Slot,
     tasks: Vec<TaskId>,
     residents: Vec<Resident>,
@@ -110,9 +110,9 @@
 }
 
 impl Core {
-    /// A machine of an own block as drains and displacement see it.
+    /// A machine of an own shard as drains and displacement see it.
     pub(super) fn slot(&self, machine: &Machine, now: Instant) -> Slot {
-        let epoch = self.role.leased_blocks.get(&machine.block).map(|h| h.epoch);
+        let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
         Slot {
             machine: machine.id.to_string(),
             machine_type: machine.machine_type.clone(),
@@ -166,7 +166,7 @@
         let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| urgent(u)).collect();
         let recent =
             self.displaced.is_some_and(|at| now.saturating_duration_since(at) < DISPLACEMENT_INTERVAL);
-        if claimants.is_empty() || recent || self.role.leased_blocks.is_empty() {
+        if claimants.is_empty() || recent || self.role.leased_shards.is_empty() {
             return;
         }
         self.displaced = Some(now);
@@ -178,11 +178,11 @@
             .values()
             .filter(|m| {
                 let lower = |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.rank() > best);
-                self.is_holder(m.block) && m.tasks.iter().any(lower)
+                self.is_holder(m.shard) && m.tasks.iter().any(lower)
             })
             .map(|m| {
                 let (tasks, residents) = self.residents(m, 0, Duration::MAX, now).into_iter().unzip();
-                Host { block: m.block, slot: self.slot(m, now), tasks, residents }
+                Host { shard: m.shard, slot: self.slot(m, now), tasks, residents }
             })
             .collect();
         let mut left = MAX_DISPLACED;
@@ -195,11 +195,11 @@
             let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
-            for (&block, &wanted) in &unplaced.here {
-                // What waits in a block can use room in that block alone: room
+            for (&shard, &wanted) in &unplaced.here {
+                // What waits in a shard can use room in that shard alone: room
                 // made elsewhere would be filled by others and made again.
                 let mut own: Vec<&mut Host> =
-                    hosts.iter_mut().filter(|h| block.is_none_or(|b| b == h.block)).collect();
+                    hosts.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
                 let request = RoomRequest { need: &unplaced.need, claim, wanted, most: left, limit };
                 let displacement = make_room(&mut own, &request, fetch_time);
                 left -= displacement.tasks.len();
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -1,4 +1,4 @@
-//! Adaptive repacking: at most one drain at a time in a holder's blocks, each
+//! Adaptive repacking: at most one drain at a time in a holder's shards, each
 //! with a record.
 
 use super::Core;
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks, which go over a block's machines.
+/// Pause between two looks, which go over a shard's machines.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a holder remembers of drains and of how full machines were.
@@ -28,13 +28,13 @@
 impl Core {
     /// The next step of repacking: a change of a drain's record, if any.
     pub fn drain_step(&mut self, now: Instant) -> Option<Unit> {
-        if self.role.leased_blocks.is_empty() || !self.in_contact(now) || self.draining.writing {
+        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.writing {
             return None;
         }
-        let begun = self.drains.iter().find(|(block, _)| self.is_holder(**block));
-        if let Some((&block, (record, version))) = begun {
+        let begun = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
+        if let Some((&shard, (record, version))) = begun {
             let (record, version) = (record.clone(), *version);
-            return self.continue_drain(block, &record, version, now);
+            return self.continue_drain(shard, &record, version, now);
         }
         if self.draining.looked.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL) {
             return None;
@@ -45,12 +45,12 @@
         if self.draining.last.is_some_and(recent) {
             return None;
         }
-        // One block at a look, in turn, beginning with the first.
+        // One shard at a look, in turn, beginning with the first.
         let turn = self.draining.turn;
-        let held = &self.role.leased_blocks;
-        let block = held.range(turn..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
-        self.draining.turn = block + 1;
-        let record = self.new_drain(block, now)?;
+        let held = &self.role.leased_shards;
+        let shard = held.range(turn..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
+        self.draining.turn = shard + 1;
+        let record = self.new_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
         if stored_size(&value) > self.limits().value {
             // So many tasks are not moved at a time.
@@ -63,8 +63,8 @@
             moves = record.moves.len(),
             "draining a machine so that a waiting task can start"
         );
-        let key = records::drain_key(block);
-        let conditions = vec![self.block_condition(block)?, Condition { key: key.clone(), version: 0 }];
+        let key = records::drain_key(shard);
+        let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version: 0 }];
         self.draining.writing = true;
         Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
@@ -74,9 +74,9 @@
         self.draining.writing = false;
     }
 
-    fn block_condition(&self, block: u32) -> Option<Condition> {
-        let block_lease = self.role.leased_blocks.get(&block)?;
-        Some(Condition { key: records::block_key(block), version: block_lease.version })
+    fn shard_condition(&self, shard: u32) -> Option<Condition> {
+        let shard_lease = self.role.leased_shards.get(&shard)?;
+        Some(Condition { key: records::shard_key(shard), version: shard_lease.version })
     }
 
     /// The cap on what a drain fills: the highest share within the window, and
@@ -86,7 +86,7 @@
         let highest = self
             .machines
             .values()
-            .filter(|m| self.role.leased_blocks.get(&m.block).is_some_and(|h| m.open(h.epoch, silence, now)))
+            .filter(|m| self.role.leased_shards.get(&m.shard).is_some_and(|h| m.open(h.epoch, silence, now)))
             .map(|m| m.booked.share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
@@ -107,27 +107,27 @@
         self.draining.shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
     }
 
-    /// Jobs with a waiting task that fits nowhere in a block, and what it needs. Jobs
+    /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
     /// that are put off after failures are not among them.
-    fn without_room_in(&self, block: u32, now: Instant) -> Vec<(&str, Need)> {
+    fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, Need)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
             let ready = job.is_open() && job.not_before.is_none_or(|at| at <= now) && job.failures == 0;
             let team = self.teams.get(&job.spec.team);
             let may_be_allocated =
                 leads && !job.unallocated.is_empty() && team.is_some_and(|t| t.allocates(&job.need.amounts));
-            ready && (job.waiting_in(block) > 0 || may_be_allocated)
+            ready && (job.waiting_in(shard) > 0 || may_be_allocated)
         };
         let waiting = self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?)));
         waiting
             .filter(|(_, job)| may_start(job))
-            .filter(|(id, job)| self.candidates(id, job, block, &Default::default(), now).is_empty())
+            .filter(|(id, job)| self.candidates(id, job, shard, &Default::default(), now).is_empty())
             .map(|(id, job)| (&**id, (*job.need).clone()))
             .collect()
     }
 
-    fn new_drain(&self, block: u32, now: Instant) -> Option<DrainRecord> {
-        let waiting = self.without_room_in(block, now);
+    fn new_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
+        let waiting = self.without_room_in(shard, now);
         if waiting.is_empty() {
             return None;
         }
@@ -135,7 +135,7 @@
         let mut slots: Vec<Slot> = Vec::new();
         let mut tasks: Vec<TaskId> = Vec::new();
         let mut residents: Vec<Resident> = Vec::new();
-        for machine in self.machines.values().filter(|m| m.block == block) {
+        for machine in self.machines.values().filter(|m| m.shard == shard) {
             for (task, resident) in self.residents(machine, slots.len(), self.options.drain_every, now) {
                 tasks.push(task);
                 residents.push(resident);
@@ -169,7 +169,7 @@
     /// elsewhere, or when it has taken too long.
     fn continue_drain(
         &mut self,
-        block: u32,
+        shard: u32,
         record: &DrainRecord,
         version: u64,
         now: Instant,
@@ -186,7 +186,7 @@
             let task = TaskId { job: job.as_str().into(), index: *index };
             let Some(placed) = self.open_job(job).and_then(|j| j.placed.get(index)) else {
                 // Done, or waiting to be placed where the record says.
-                let waits = |j: &OpenJob| j.waiting.get(&block).is_some_and(|r| r.contains(*index));
+                let waits = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
                 left |= self.open_job(job).is_some_and(waits);
                 continue;
             };
@@ -202,8 +202,8 @@
         if (left || (emptied && waits)) && !long {
             return None;
         }
-        let key = records::drain_key(block);
-        let conditions = vec![self.block_condition(block)?, Condition { key: key.clone(), version }];
+        let key = records::drain_key(shard);
+        let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version }];
         self.draining.writing = true;
         Some(Unit { conditions, changes: vec![Change::Drop { key }] })
     }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -121,14 +121,14 @@
         actions
     }
 
-    /// What is to be released: what is due in the leader's own blocks, and what
+    /// What is to be released: what is due in the leader's own shards, and what
     /// other holders have given up or the cloud says has stopped.
     fn releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
-        let leased_blocks = &self.role.leased_blocks;
+        let leased_shards = &self.role.leased_shards;
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
-                || (machine.fate == Fate::Lost && !leased_blocks.contains_key(&machine.block));
+                || (machine.fate == Fate::Lost && !leased_shards.contains_key(&machine.shard));
             let waits = machine.releasing || machine.group.is_none();
             if wanted && !waits && !self.fleet.released.contains(&machine.id) {
                 machine.releasing = true;
@@ -158,8 +158,8 @@
         let orphans: Vec<Arc<str>> = self
             .machines
             .values()
-            .filter(|m| m.group.is_none() && self.role.leased_blocks.contains_key(&m.block))
-            .filter(|m| self.segments_of(m.block).all(|(_, l)| l.version <= self.followed))
+            .filter(|m| m.group.is_none() && self.role.leased_shards.contains_key(&m.shard))
+            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.followed))
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
@@ -182,9 +182,9 @@
         self.wakeups.fleet = true;
     }
 
-    /// How many machines of own blocks have come up.
+    /// How many machines of own shards have come up.
     pub fn heard_machines(&self) -> usize {
-        let own = self.machines.values().filter(|m| self.is_holder(m.block));
+        let own = self.machines.values().filter(|m| self.is_holder(m.shard));
         own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
     }
 
@@ -264,17 +264,17 @@
             plan.extend(self.standby_rental(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
-        for (request, block) in self.fleet.renting.values() {
-            *taken.entry(*block).or_default() += request.count as usize;
+        for (request, shard) in self.fleet.renting.values() {
+            *taken.entry(*shard).or_default() += request.count as usize;
         }
         for rental in plan {
             let offer = &offers[rental.offer];
             let mut left = rental.count;
             while left > 0 && self.fleet.renting.len() < most {
-                let (block, space) = self.block_with_room(&taken);
+                let (shard, space) = self.shard_with_room(&taken);
                 let count = left.min(MAX_RENT).min(space.max(1) as u32);
                 left -= count;
-                *taken.entry(block).or_default() += count as usize;
+                *taken.entry(shard).or_default() += count as usize;
                 // The name is unique without a write of its own: the version of
                 // the leader's key, committed before, belongs to this
                 // leadership alone.
@@ -289,10 +289,10 @@
                     machine_type = request.machine_type,
                     spot = request.spot,
                     count,
-                    block,
+                    block = shard,
                     "renting machines"
                 );
-                self.fleet.renting.insert(request.request.clone(), (request.clone(), block));
+                self.fleet.renting.insert(request.request.clone(), (request.clone(), shard));
                 actions.rent.push(request);
             }
         }
@@ -300,7 +300,7 @@
 
     /// Notes the machines that a request brought; none: there is no capacity.
     pub fn rented(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
-        let Some((_, block)) = self.fleet.renting.remove(&request.request) else { return };
+        let Some((_, shard)) = self.fleet.renting.remove(&request.request) else { return };
         let kind = MachineKind {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
@@ -338,7 +338,7 @@
             .collect();
         if !machines.is_empty() {
             let (machine_type, zone) = (request.machine_type.clone(), request.zone.clone());
-            let record = GroupRecord { block, machine_type, zone, spot: request.spot, machines };
+            let record = GroupRecord { shard, machine_type, zone, spot: request.spot, machines };
             self.new_group(&request.request, record);
         }
         self.wakeups.fleet = true;
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -1,4 +1,4 @@
-//! The records of machines, a group at a time: who belongs to which block,
+//! The records of machines, a group at a time: who belongs to which shard,
 //! where workers listen, what its holder has given up, what the leader has
 //! released.
 
@@ -16,7 +16,7 @@
 /// machines that come up together must not use up the writes.
 const ADDRESSES_EVERY: Duration = Duration::from_millis(1500);
 
-/// Machines whose tasks take about a kilobyte of their block's record, with a
+/// Machines whose tasks take about a kilobyte of their shard's record, with a
 /// wide margin for many small tasks.
 const MACHINES_PER_KB: f64 = 6.0;
 
@@ -161,36 +161,36 @@
     }
 
     /// Whether a machine belongs to a group, committed or about to be. No
-    /// machine may join two: its block would change under the tasks on it. A
+    /// machine may join two: its shard would change under the tasks on it. A
     /// machine can report, or be listed, before the answer to its rental is
     /// known, and is then taken in; the answer must not bring it a second time.
     pub(super) fn is_grouped(&self, machine: &str) -> bool {
         self.machines.get(machine).is_some_and(|m| m.group.is_some()) || self.is_expected(machine)
     }
 
-    /// How many machines a block has at most: what runs on them is one record,
+    /// How many machines a shard has at most: what runs on them is one record,
     /// and the fewer records, the fewer changes.
-    pub(super) fn block_machines(&self) -> usize {
+    pub(super) fn shard_machines(&self) -> usize {
         let by_value = (self.settings.params.state.value_kb * MACHINES_PER_KB) as usize;
-        self.options.block_machines.unwrap_or(by_value.clamp(10, 200))
+        self.options.shard_machines.unwrap_or(by_value.clamp(10, 200))
     }
 
-    /// The block that further machines join, and how many: the fullest with
+    /// The shard that further machines join, and how many: the fullest with
     /// room left, else a new one.
-    pub(super) fn block_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
-        let most = self.block_machines();
-        let sizes = self.block_sizes();
+    pub(super) fn shard_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
+        let most = self.shard_machines();
+        let sizes = self.shard_sizes();
         let size = |b: u32| sizes.get(&b).copied().unwrap_or(0) + taken.get(&b).copied().unwrap_or(0);
-        let mut numbers = self.block_numbers();
+        let mut numbers = self.shard_numbers();
         numbers.extend(taken.keys());
         numbers.sort_unstable();
         numbers.dedup();
         let open = numbers.iter().copied().filter(|b| size(*b) < most);
-        let block = open.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
+        let shard = open.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
         // The lowest number that is not in use.
         let fresh = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
-        let block = block.unwrap_or(fresh);
-        (block, most - size(block))
+        let shard = shard.unwrap_or(fresh);
+        (shard, most - size(shard))
     }
 
     /// Group records that differ from what is known, as far as this process may
@@ -228,7 +228,7 @@
             }
             let record = self.updated_group(group, give_up, released);
             let unchanged = record == group.record && group.version > 0;
-            let held = self.is_holder(group.record.block);
+            let held = self.is_holder(group.record.shard);
             if !unchanged && group.addresses_unrecorded && held {
                 addresses = false;
                 self.fleet.addresses_at = Some(now);
@@ -304,7 +304,7 @@
         released: &BTreeSet<Arc<str>>,
     ) -> GroupRecord {
         let mut record = group.record.clone();
-        if self.is_holder(record.block) {
+        if self.is_holder(record.shard) {
             for (id, member) in &mut record.machines {
                 member.given_up |= give_up.contains(id.as_str());
                 let known = self.machines.get(id.as_str()).and_then(|m| m.address.as_ref());
@@ -334,8 +334,8 @@
                 None if group.version == 0 => return GroupWrite::Forget,
                 None => return GroupWrite::NotAllowed,
             }
-        } else if let Some(lease) = self.role.leased_blocks.get(&group.record.block) {
-            let key = records::block_key(group.record.block);
+        } else if let Some(lease) = self.role.leased_shards.get(&group.record.shard) {
+            let key = records::shard_key(group.record.shard);
             conditions.push(Condition { key, version: lease.version });
         }
         let change = match record.machines.is_empty() {
@@ -373,18 +373,18 @@
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         let mut groups: BTreeMap<(u32, String, String, bool), Vec<Machine>> = BTreeMap::new();
         for machine in found {
-            let (block, _) = self.block_with_room(&taken);
-            *taken.entry(block).or_default() += 1;
-            let key = (block, machine.machine_type.clone(), machine.zone.clone(), machine.spot);
+            let (shard, _) = self.shard_with_room(&taken);
+            *taken.entry(shard).or_default() += 1;
+            let key = (shard, machine.machine_type.clone(), machine.zone.clone(), machine.spot);
             groups.entry(key).or_default().push(machine);
         }
-        for ((block, machine_type, zone, spot), members) in groups {
+        for ((shard, machine_type, zone, spot), members) in groups {
             let name = format!("dc-{term}-{}", self.fleet.next_number());
             let machines = members
                 .into_iter()
                 .map(|m| (m.id.to_string(), MemberRecord { address: m.address, given_up: false }))
                 .collect();
-            self.new_group(&name, GroupRecord { block, machine_type, zone, spot, machines });
+            self.new_group(&name, GroupRecord { shard, machine_type, zone, spot, machines });
         }
     }
 
@@ -414,7 +414,7 @@
             for (id, member) in &record.machines {
                 let id: Arc<str> = id.as_str().into();
                 let machine =
-                    self.machines.entry(id.clone()).or_insert_with(|| Machine::new(&id, record.block, now));
+                    self.machines.entry(id.clone()).or_insert_with(|| Machine::new(&id, record.shard, now));
                 let fresh = machine.group.is_none();
                 // A newer group that it has moved to keeps it.
                 let other = machine.group.as_ref().filter(|g| **g != name).and_then(|g| self.groups.get(g));
@@ -422,7 +422,7 @@
                     continue;
                 }
                 machine.group = Some(name.clone());
-                machine.block = record.block;
+                machine.shard = record.shard;
                 if fresh {
                     machine.machine_type.clone_from(&record.machine_type);
                     machine.zone.clone_from(&record.zone);
@@ -449,9 +449,9 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.group = None;
         if machine.tasks.is_empty() {
-            let (room, block, id) = (machine.room().cpus, machine.block, machine.id.clone());
-            if let Some(block) = self.machines_by_free_cpus.get_mut(&block) {
-                block.remove(&(room, id.clone()));
+            let (room, shard, id) = (machine.room().cpus, machine.shard, machine.id.clone());
+            if let Some(shard) = self.machines_by_free_cpus.get_mut(&shard) {
+                shard.remove(&(room, id.clone()));
             }
             self.machines.swap_remove(&id);
         }
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -75,7 +75,7 @@
 }
 
 impl Core {
-    /// Machines of own blocks that are idle beyond this holder's part of the
+    /// Machines of own shards that are idle beyond this holder's part of the
     /// reserve. None, if operators have set how long idle machines are kept.
     pub(super) fn surplus_machines(&mut self, now: Instant) -> BTreeSet<Arc<str>> {
         if self.options.idle_return.is_some() {
@@ -85,14 +85,14 @@
         let expected = self.arrivals.keep_busy(window, now);
         let keeps = |m: &&Machine| m.group.is_some() && m.fate == Fate::Keep && !m.given_up;
         let capacity = |own: bool| -> i64 {
-            let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.block));
+            let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.shard));
             counted.map(|m| m.capacity.cpus).sum()
         };
         let (own, all) = (capacity(true), capacity(false).max(1));
         let reserve = (expected as f64 * own as f64 / all as f64) as i64;
         let is_idle = |m: &&Machine| {
             let since = m.idle_since.is_some_and(|at| now.saturating_duration_since(at) > SURPLUS_AFTER);
-            self.is_holder(m.block) && m.tasks.is_empty() && m.heard.is_some() && since
+            self.is_holder(m.shard) && m.tasks.is_empty() && m.heard.is_some() && since
         };
         let idle = self.machines.values().filter(keeps).filter(is_idle).map(|m| Idle {
             id: m.id.clone(),
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -60,8 +60,8 @@
         }
         self.format = layout;
         tracing::info!(layout, "all members know the new layout of the records: it is in force");
-        let held: Vec<u32> = self.role.leased_blocks.keys().copied().collect();
-        held.into_iter().for_each(|block| self.plan_migration(block, now));
+        let held: Vec<u32> = self.role.leased_shards.keys().copied().collect();
+        held.into_iter().for_each(|shard| self.plan_migration(shard, now));
         self.wakeups.role = true;
         self.wakeups.flush = true;
         self.wakeups.fleet = true;
--- a/crates/dapplecroft-controller/src/core/machine_fate.rs
+++ b/crates/dapplecroft-controller/src/core/machine_fate.rs
@@ -1,4 +1,4 @@
-//! The fate of machines in own blocks: which are probed, which are given up, and
+//! The fate of machines in own shards: which are probed, which are given up, and
 //! which are returned because nothing needs them.
 
 use super::{Core, FleetActions};
@@ -17,7 +17,7 @@
 /// The same for machines that have fallen silent: most will not answer, and what
 /// ran on them waits for that.
 const MAX_SILENT_PROBES: usize = 128;
-/// Most workers of a block that is taken up come by themselves so soon; the
+/// Most workers of a shard that is taken up come by themselves so soon; the
 /// others are asked then.
 const TAKE_UP: Duration = Duration::from_millis(1500);
 
@@ -138,14 +138,14 @@
 }
 
 impl Core {
-    /// Decides the fate of each machine of own blocks, and which are to be
+    /// Decides the fate of each machine of own shards, and which are to be
     /// probed; returns those that are due to be released.
     pub(super) fn judge_machines(&mut self, actions: &mut FleetActions, now: Instant) -> BTreeSet<Arc<str>> {
         let surplus = self.surplus_machines(now);
         let rules = self.fate_rules(surplus, now);
         let mut wanted = self.wanted_needs();
-        let leased = &self.role.leased_blocks;
-        let own = |m: &Machine| m.group.is_some() && leased.contains_key(&m.block);
+        let leased = &self.role.leased_shards;
+        let own = |m: &Machine| m.group.is_some() && leased.contains_key(&m.shard);
         let mut probes = self.machines.values().filter(|m| own(m) && m.probing).count();
         let mut due = BTreeSet::new();
         for machine in self.machines.values_mut().filter(|m| own(m)) {
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -3,7 +3,6 @@
 //! wanted and what is. The loops around it carry out what it asks for.
 
 mod allocation;
-mod blocks;
 mod capacity_usage;
 mod commit;
 mod commit_priority;
@@ -26,11 +25,11 @@
 mod segments;
 mod serving_order;
 mod session;
+mod shards;
 #[cfg(test)]
 mod testing;
 mod units;
 
-pub use blocks::{BlockLease, LeaseGrant};
 pub use capacity_usage::CapacityUsage;
 pub use commit::{Subject, UnitEnd, WorkUnit};
 pub use credit::{Ruling, SubmissionPlan};
@@ -38,13 +37,14 @@
 pub use fleet::{FleetActions, MAX_CONSULTED};
 pub use groups::GroupUnit;
 pub use session::{CommandEnd, ReportAnswer};
+pub use shards::{LeaseGrant, ShardLease};
 
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::options::Options;
 use crate::ranges::Ranges;
 use crate::records::{
-    BlockRecord, DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord,
+    DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord, ShardRecord,
 };
 use commit_queue::CommitQueue;
 use dapplecroft_sched::{Amounts, Demand, Teams};
@@ -63,8 +63,8 @@
     pub lease: Option<u64>,
     /// Version of the leader's key, if this process wrote it.
     pub leadership: Option<u64>,
-    /// The blocks that this process holds.
-    pub leased_blocks: BTreeMap<u32, BlockLease>,
+    /// The shards that this process holds.
+    pub leased_shards: BTreeMap<u32, ShardLease>,
     /// When a request was sent that confirmed its role, once the copy of the
     /// records had caught up with that confirmation.
     pub contact: Option<Instant>,
@@ -85,7 +85,7 @@
     pub flush: bool,
     /// Machines have direct commands to receive.
     pub command: BTreeSet<Arc<str>>,
-    /// The leader's key or a block changed.
+    /// The leader's key or a shard changed.
     pub role: bool,
     /// The fleet may need a change.
     pub fleet: bool,
@@ -113,8 +113,8 @@
 pub struct Summary {
     /// Whether it leads.
     pub leads: bool,
-    /// Blocks that it holds.
-    pub blocks: usize,
+    /// Shards that it holds.
+    pub shards: usize,
     /// Machines in them.
     pub machines: usize,
     /// Those that take work.
@@ -125,9 +125,9 @@
     pub waiting: u32,
     /// Jobs that are not over, anywhere.
     pub jobs: usize,
-    /// Tasks that no block has.
+    /// Tasks that no shard has.
     pub unallocated: u32,
-    /// Records of what runs in its blocks, and their bytes.
+    /// Records of what runs in its shards, and their bytes.
     pub segments: usize,
     /// How many bytes they take together.
     pub bytes: usize,
@@ -139,7 +139,7 @@
     pub layout: u32,
 }
 
-/// What runs in a block, as recorded.
+/// What runs in a shard, as recorded.
 #[derive(Debug, Clone, Default)]
 pub struct Segment {
     /// The record.
@@ -196,12 +196,12 @@
     unsettled: BTreeSet<Arc<str>>,
     /// Machines, in an order that does not hang on chance.
     pub machines: IndexMap<Arc<str>, Machine, RandomState>,
-    /// Machines of each block by what is free of their processors, so that a
+    /// Machines of each shard by what is free of their processors, so that a
     /// task looks only at those where it may fit.
     machines_by_free_cpus: BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     /// Room that other holders have told of.
     hints: BTreeMap<SegmentId, allocation::Hint>,
-    /// What runs in each block, by its records.
+    /// What runs in each shard, by its records.
     pub segments: BTreeMap<SegmentId, Segment>,
     /// What proposals add to the weight of segments.
     pending: BTreeMap<SegmentId, usize>,
@@ -225,15 +225,15 @@
     pub teams: Teams,
     /// The leader's record and version.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The blocks' records and versions.
-    pub blocks: BTreeMap<u32, (BlockRecord, u64)>,
+    /// The shards' records and versions.
+    pub shards: BTreeMap<u32, (ShardRecord, u64)>,
     /// Live controllers.
     pub live: BTreeMap<String, LiveRecord>,
     /// Since when this process knows each of them.
     pub live_since: BTreeMap<String, Instant>,
     /// Machine types.
     pub catalog: Option<Catalog>,
-    /// The drains under way, by block.
+    /// The drains under way, by shard.
     pub drains: BTreeMap<u32, (DrainRecord, u64)>,
     /// What this process is entitled to.
     pub role: Role,
@@ -298,7 +298,7 @@
             groups: BTreeMap::new(),
             teams,
             leader: None,
-            blocks: BTreeMap::new(),
+            shards: BTreeMap::new(),
             live: BTreeMap::new(),
             live_since: BTreeMap::new(),
             catalog: None,
@@ -319,12 +319,12 @@
     }
 
     /// Counts a task on a machine.
-    fn book(&mut self, task: &TaskId, machine: &Arc<str>, block: u32, now: Instant) {
+    fn book(&mut self, task: &TaskId, machine: &Arc<str>, shard: u32, now: Instant) {
         let Some(job) = self.open_job(&task.job) else { return };
         let (amounts, image) = (job.need.amounts, job.need.image.clone());
         // A placement can name a machine that was released since.
         let machine =
-            self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, block, now));
+            self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, shard, now));
         if machine.tasks.insert(task.clone()) {
             let before = machine.room().cpus;
             machine.booked += amounts;
@@ -369,7 +369,7 @@
     fn rederive(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         job.derive();
-        // A withdrawal, or what was taken back from a block, can be known before
+        // A withdrawal, or what was taken back from a shard, can be known before
         // a placement that came before it: what was counted stays counted until
         // the copy has caught up.
         let settled = job.settles_at() <= self.followed;
@@ -420,12 +420,12 @@
     }
 
     /// Takes back proposals for tasks that the leader has taken back since from
-    /// the block: the record that they would be bound to no longer allows them.
+    /// the shard: the record that they would be bound to no longer allows them.
     fn drop_unallocated(&mut self, id: &Arc<str>) {
-        self.drop_if(id, |job, index, p| !job.allocates(p.home.block, index));
+        self.drop_if(id, |job, index, p| !job.allocates(p.home.shard, index));
     }
 
-    /// Takes back proposed placements. Those in a block with a unit on its way
+    /// Takes back proposed placements. Those in a shard with a unit on its way
     /// may be in it: they are settled with it.
     fn drop_if(&mut self, id: &Arc<str>, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
         let Some(job) = self.open_job(id) else { return };
@@ -461,24 +461,24 @@
         let silence = self.silence();
         let mut summary = Summary {
             leads: self.leads(now),
-            blocks: self.role.leased_blocks.len(),
+            shards: self.role.leased_shards.len(),
             jobs: self.open.len(),
             ..Summary::default()
         };
         summary.usage = self.capacity_usage(now);
         let (mut free, mut all) = (0, 0);
         for machine in self.machines.values() {
-            let Some(block_lease) = self.role.leased_blocks.get(&machine.block) else { continue };
+            let Some(shard_lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             summary.machines += 1;
             summary.placed += machine.tasks.len();
-            if machine.open(block_lease.epoch, silence, now) {
+            if machine.open(shard_lease.epoch, silence, now) {
                 summary.open_machines += 1;
                 free += machine.room().cpus;
                 all += machine.capacity.cpus;
             }
         }
         summary.free_percent = (free * 100).checked_div(all).unwrap_or(0);
-        let own = self.segments.iter().filter(|(id, load)| self.is_holder(id.block) && !load.is_empty());
+        let own = self.segments.iter().filter(|(id, load)| self.is_holder(id.shard) && !load.is_empty());
         for (_, load) in own {
             summary.segments += 1;
             summary.bytes += load.size;
@@ -504,7 +504,7 @@
     machine: &Machine,
     before: i64,
 ) {
-    let block = machines_by_free_cpus.entry(machine.block).or_default();
-    block.remove(&(before, machine.id.clone()));
-    block.insert((machine.room().cpus, machine.id.clone()));
+    let shard = machines_by_free_cpus.entry(machine.shard).or_default();
+    shard.remove(&(before, machine.id.clone()));
+    shard.insert((machine.room().cpus, machine.id.clone()));
 }
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -1,5 +1,5 @@
 //! A round of placement: jobs in the order in which they are served, each by
-//! best fit decreasing on the dominant share inside this holder's blocks.
+//! best fit decreasing on the dominant share inside this holder's shards.
 
 use super::Core;
 use super::serving_order::STARTER_TASKS;
@@ -22,14 +22,14 @@
 pub(super) struct Round {
     /// Placements that may still be made.
     pub left: usize,
-    /// Room that the leader counts on in other holders' blocks.
+    /// Room that the leader counts on in other holders' shards.
     pub reserved: HashMap<Arc<str>, Amounts>,
-    /// Processors of work that other holders have waiting, by block.
+    /// Processors of work that other holders have waiting, by shard.
     pub backlog: BTreeMap<u32, i64>,
-    /// What found too little room in a block, or (`None`) in all blocks: room
+    /// What found too little room in a shard, or (`None`) in all shards: room
     /// only shrinks within a round, so what needs no less finds none either.
     pub full: Vec<(Option<u32>, Arc<Need>)>,
-    /// Processors of the machines that are up, by block.
+    /// Processors of the machines that are up, by shard.
     pub sizes: BTreeMap<u32, i64>,
     /// The same of the ordinary ones alone.
     pub ordinary: BTreeMap<u32, i64>,
@@ -45,9 +45,9 @@
 
 impl Round {
     /// Whether it is known that a need finds no room any more.
-    pub fn is_full(&self, block: Option<u32>, need: &Need) -> bool {
+    pub fn is_full(&self, shard: Option<u32>, need: &Need) -> bool {
         self.full.iter().any(|(b, full)| {
-            (*b == block || b.is_none())
+            (*b == shard || b.is_none())
                 && full.amounts.fits(&need.amounts)
                 && (full.types.is_none() || full.types == need.types)
                 && (full.zone.is_none() || full.zone == need.zone)
@@ -60,7 +60,7 @@
 pub(super) struct Unplaced {
     pub job: Arc<str>,
     pub need: Arc<Need>,
-    /// Tasks that wait in each own block, and (`None`) those that the leader may
+    /// Tasks that wait in each own shard, and (`None`) those that the leader may
     /// still allocate to any.
     pub here: BTreeMap<Option<u32>, i64>,
     /// All tasks for which machines are wanted.
@@ -94,7 +94,7 @@
         let order = self.serving_order(wall, now);
         let mut round = Round { left: MAX_PER_ROUND, scarce, ..Round::default() };
         if leads {
-            self.measure_blocks(&mut round);
+            self.measure_shards(&mut round);
             self.reserve_backlog(&mut round, now);
         }
         let mut unplaced = Vec::new();
@@ -102,8 +102,8 @@
             let Some(job) = self.open_job(id) else { continue };
             round.most = if self.effective_rank(job) < job.rank() { STARTER_TASKS } else { usize::MAX };
             let here: Vec<u32> = job.waiting.keys().copied().filter(|b| self.is_holder(*b)).collect();
-            for block in here {
-                self.place_in(id, block, &mut round, now);
+            for shard in here {
+                self.place_in(id, shard, &mut round, now);
             }
             if leads {
                 self.take_back_stalled(id, &round, now);
@@ -146,10 +146,10 @@
         let need = &job.need;
         let mut here = BTreeMap::new();
         let mut waiting = 0;
-        for (block, ranges) in &job.waiting {
+        for (shard, ranges) in &job.waiting {
             waiting += i64::from(ranges.len());
-            if self.is_holder(*block) {
-                here.insert(Some(*block), i64::from(ranges.len()));
+            if self.is_holder(*shard) {
+                here.insert(Some(*shard), i64::from(ranges.len()));
             }
         }
         if leads && !job.unallocated.is_empty() {
@@ -167,30 +167,30 @@
         (waiting > 0).then(|| Unplaced { job: id.clone(), need: need.clone(), here, count: waiting })
     }
 
-    /// Machines of a block on which a task of a job may start now, as far as
-    /// this process knows: in its own blocks exactly, in others by what their
+    /// Machines of a shard on which a task of a job may start now, as far as
+    /// this process knows: in its own shards exactly, in others by what their
     /// holders have committed.
     pub(super) fn candidates(
         &self,
         id: &Arc<str>,
         job: &OpenJob,
-        block: u32,
+        shard: u32,
         reserved: &HashMap<Arc<str>, Amounts>,
         now: Instant,
     ) -> Vec<(Arc<str>, Candidate)> {
         let need = &job.need;
         let Some(machines_by_free_cpus) =
-            self.machines_by_free_cpus.get(&block).filter(|_| !self.is_record_full(block))
+            self.machines_by_free_cpus.get(&shard).filter(|_| !self.is_record_full(shard))
         else {
             return Vec::new();
         };
-        let epoch = self.role.leased_blocks.get(&block).map(|h| h.epoch);
+        let epoch = self.role.leased_shards.get(&shard).map(|h| h.epoch);
         let silence = self.silence();
-        let kept = self.drains.get(&block).map(|(d, _)| d).filter(|d| *d.for_job != **id);
+        let kept = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
         // Where it failed, unless it fails everywhere.
         let avoid = job.failed_on.len() < 2;
-        let hints = if epoch.is_none() { self.hinted(block, now) } else { Vec::new() };
+        let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
         let consider = |name: &Arc<str>| {
             let machine = self.machines.get(name)?;
             let open = match epoch {
@@ -243,20 +243,20 @@
         self.settings.report_every().mul_f64(1.5)
     }
 
-    /// Places what waits in a block of this holder.
-    pub(super) fn place_in(&mut self, id: &Arc<str>, block: u32, round: &mut Round, now: Instant) {
+    /// Places what waits in a shard of this holder.
+    pub(super) fn place_in(&mut self, id: &Arc<str>, shard: u32, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { return };
         let need = job.need.clone();
-        let mut waiting = self.placeable(id, job, block, round);
-        if waiting.is_empty() || round.is_full(Some(block), &need) {
+        let mut waiting = self.placeable(id, job, shard, round);
+        if waiting.is_empty() || round.is_full(Some(shard), &need) {
             return;
         }
         let before = waiting.len();
-        self.place_drained(id, block, &mut waiting, now);
+        self.place_drained(id, shard, &mut waiting, now);
         let Some(job) = self.open_job(id) else { return };
         let (constrained, service) = (job.is_constrained(), job.is_service());
         while !waiting.is_empty() {
-            let placed = self.place_some(id, block, &waiting, now);
+            let placed = self.place_some(id, shard, &waiting, now);
             waiting.drain(..placed);
             // With constraints on zones each task may change what the next may do;
             // replicas go to one machine each while there is a choice.
@@ -266,7 +266,7 @@
         }
         let never_failed = self.open_job(id).is_some_and(|j| j.failed_on.is_empty());
         if !waiting.is_empty() && !constrained && !service && never_failed {
-            round.full.push((Some(block), need));
+            round.full.push((Some(shard), need));
         }
         let placed = before - waiting.len();
         if placed > 0 {
@@ -275,26 +275,26 @@
         }
     }
 
-    /// Tasks of a job that wait in a block and may be placed in this round. One
+    /// Tasks of a job that wait in a shard and may be placed in this round. One
     /// that is still on a machine, against all records, waits.
-    fn placeable(&self, id: &Arc<str>, job: &OpenJob, block: u32, round: &Round) -> Vec<u32> {
+    fn placeable(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round) -> Vec<u32> {
         let most = round.left.min(round.most);
         let is_elsewhere = |index: u32| {
             let task = TaskId { job: id.clone(), index };
             !self.unexpected_tasks.is_empty() && self.unexpected_tasks.contains_key(&task)
         };
-        let waiting = job.waiting.get(&block).into_iter().flat_map(|ranges| ranges.iter());
+        let waiting = job.waiting.get(&shard).into_iter().flat_map(|ranges| ranges.iter());
         waiting.take(most).filter(|index| !is_elsewhere(*index)).collect()
     }
 
     /// What a drain moves goes where the drain says, if it still fits.
-    fn place_drained(&mut self, id: &Arc<str>, block: u32, waiting: &mut Vec<u32>, now: Instant) {
-        let Some((drain, _)) = self.drains.get(&block).cloned() else { return };
+    fn place_drained(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
+        let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
         for DrainMove { index, to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
             let Some(position) = waiting.iter().position(|waits| waits == index) else { continue };
             let to: Arc<str> = to.as_str().into();
             let Some(job) = self.open_job(id) else { return };
-            let machines = self.candidates(id, job, block, &HashMap::new(), now);
+            let machines = self.candidates(id, job, shard, &HashMap::new(), now);
             if machines.iter().any(|(name, _)| *name == to) {
                 waiting.remove(position);
                 self.propose(&TaskId { job: id.clone(), index: *index }, &to, now);
@@ -304,9 +304,9 @@
 
     /// Places the first of the waiting tasks by best fit, as many as find room at
     /// once; returns how many.
-    fn place_some(&mut self, id: &Arc<str>, block: u32, waiting: &[u32], now: Instant) -> usize {
+    fn place_some(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
         let Some(job) = self.open_job(id) else { return 0 };
-        let mut machines = self.candidates(id, job, block, &HashMap::new(), now);
+        let mut machines = self.candidates(id, job, shard, &HashMap::new(), now);
         if job.is_constrained() {
             let zones = self.zones_of(job);
             machines.retain(|(name, _)| {
@@ -375,7 +375,7 @@
                 freed: false,
             },
         );
-        self.book(task, machine, home.block, now);
+        self.book(task, machine, home.shard, now);
         self.mark_segment(home, urgent);
         true
     }
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -33,13 +33,13 @@
     }
 
     /// The conditions that confirm this process's role: the leader's key and
-    /// its blocks are unchanged.
+    /// its shards are unchanged.
     pub fn role_conditions(&self) -> Vec<Condition> {
         let leader = self.role.leadership.map(|version| Condition { key: records::LEADER.into(), version });
-        let blocks = self.role.leased_blocks.iter();
+        let shards = self.role.leased_shards.iter();
         leader
             .into_iter()
-            .chain(blocks.map(|(n, h)| Condition { key: records::block_key(*n), version: h.version }))
+            .chain(shards.map(|(n, h)| Condition { key: records::shard_key(*n), version: h.version }))
             .collect()
     }
 
@@ -52,7 +52,7 @@
                 // take up its old role by that: not before a confirmation.
                 self.forget_contact();
             }
-            Some(records::Key::Block(block)) => self.lose_block(block, "leased to another", now),
+            Some(records::Key::Shard(shard)) => self.lose_shard(shard, "leased to another", now),
             _ => {}
         }
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Gives up leadership. Blocks stay with their holder: the next leader
+    /// Gives up leadership. Shards stay with their holder: the next leader
     /// finds them in their records.
     pub fn resign(&mut self, why: &str, _now: Instant) {
         if self.role.leadership.take().is_some() {
@@ -111,9 +111,9 @@
     /// Gives up everything that hangs on this process's lease.
     pub fn step_down(&mut self, why: &str, now: Instant) {
         self.resign(why, now);
-        let blocks: Vec<u32> = self.role.leased_blocks.keys().copied().collect();
-        for block in blocks {
-            self.lose_block(block, why, now);
+        let shards: Vec<u32> = self.role.leased_shards.keys().copied().collect();
+        for shard in shards {
+            self.lose_shard(shard, why, now);
         }
         self.forget_contact();
     }
@@ -128,7 +128,7 @@
     /// leases' term, or less if a cancellation that it has not heard of asks
     /// for it.
     pub fn contact_limit(&self) -> Duration {
-        self.settings.contact_limit().min(self.options.block_lease)
+        self.settings.contact_limit().min(self.options.shard_lease)
     }
 
     /// How long ago the request was sent that last confirmed this process's role.
@@ -155,23 +155,23 @@
 
     /// Whether this process is leader or holder.
     pub fn has_role(&self) -> bool {
-        self.role.leadership.is_some() || !self.role.leased_blocks.is_empty()
+        self.role.leadership.is_some() || !self.role.leased_shards.is_empty()
     }
 
     /// This node's part of the state service's writes: users write at every
-    /// node, the leader a little more, and placements go with the blocks.
+    /// node, the leader a little more, and placements go with the shards.
     pub fn write_share(&self) -> f64 {
         let nodes = f64::from(self.settings.params.nodes.max(1));
-        let sizes = self.block_sizes();
+        let sizes = self.shard_sizes();
         let all: usize = sizes.values().sum();
-        let own: usize = self.role.leased_blocks.keys().filter_map(|b| sizes.get(b)).sum();
+        let own: usize = self.role.leased_shards.keys().filter_map(|b| sizes.get(b)).sum();
         let machines = match all {
             0 => f64::from(u8::from(self.role.leadership.is_some())),
             _ => own as f64 / all as f64,
         };
         // Many small tasks take more changes than a few large ones.
         let bytes = |mine: bool| -> usize {
-            let of = self.segments.iter().filter(|(id, _)| !mine || self.is_holder(id.block));
+            let of = self.segments.iter().filter(|(id, _)| !mine || self.is_holder(id.shard));
             of.map(|(_, l)| l.size).sum()
         };
         let held = match bytes(false) {
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,4 +1,4 @@
-//! What runs in each block, as its record says, taken over into the copy.
+//! What runs in each shard, as its record says, taken over into the copy.
 
 use super::{Core, Segment};
 use crate::jobs::{Job, Placed, Stop, TaskId};
@@ -26,7 +26,7 @@
 }
 
 impl Core {
-    /// Brings what runs in a block up to a segment's record. Only machines whose
+    /// Brings what runs in a shard up to a segment's record. Only machines whose
     /// spans changed are looked at.
     pub(super) fn apply_segment(
         &mut self,
@@ -49,7 +49,7 @@
             let weight = super::segments::weight(&record);
             self.segments.insert(id, Segment { record, version, size, weight });
         }
-        if self.is_holder(id.block) && id.segment.is_some() && !self.absorbs(id) {
+        if self.is_holder(id.shard) && id.segment.is_some() && !self.absorbs(id) {
             self.follow_segment(id);
         }
         for job in &jobs {
@@ -66,9 +66,9 @@
         new: &SegmentRecord,
     ) -> SegmentDifference {
         let (before, mut after) = (tasks_of(old), tasks_of(new));
-        // Segments speak for their machines, whatever a whole block's record says.
+        // Segments speak for their machines, whatever a whole shard's record says.
         let elsewhere =
-            |machine: &str| id.segment.is_none() && self.recorded_segment(id.block, machine).is_some();
+            |machine: &str| id.segment.is_none() && self.recorded_segment(id.shard, machine).is_some();
         after.retain(|machine, _| !elsewhere(machine));
         let names: BTreeSet<&str> = before.keys().chain(after.keys()).copied().collect();
         let mut difference = SegmentDifference::default();
@@ -106,7 +106,7 @@
             let stays = there.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
             // What another segment has is for that one to say, unless this one takes
             // over from a record of the first layout.
-            let whole = SegmentId::whole(id.block);
+            let whole = SegmentId::whole(id.shard);
             let own = placed.home == id || (placed.home == whole && id.segment.is_some());
             if placed.committed && own && !stays {
                 difference.departed.push((task.clone(), placed.clone()));
@@ -150,7 +150,7 @@
                 continue;
             }
             let machine = arrival.machine.clone();
-            if self.add_task(id, arrival, now) && self.is_holder(id.block) {
+            if self.add_task(id, arrival, now) && self.is_holder(id.shard) {
                 self.wakeups.command.insert(machine);
             }
         }
@@ -207,7 +207,7 @@
         if let Some(lost) = job.placed.insert(task.index, placed) {
             self.unbook(&task, &lost, amounts);
         }
-        self.book(&task, &machine, id.block, now);
+        self.book(&task, &machine, id.shard, now);
         true
     }
 
@@ -242,7 +242,7 @@
         job.exits.retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
     }
 
-    /// A block's record can be known before a job that runs there, when it was
+    /// A shard's record can be known before a job that runs there, when it was
     /// read by itself or keys were read page by page: what it says of the job is
     /// taken over once the job is known. Else its tasks would seem to wait, and
     /// be started a second time.
@@ -273,7 +273,7 @@
         let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
         for (segment, load) in &self.segments {
             for (machine, spans) in tasks_of(&load.record) {
-                if segment.segment.is_none() && self.recorded_segment(segment.block, machine).is_some() {
+                if segment.segment.is_none() && self.recorded_segment(segment.shard, machine).is_some() {
                     continue;
                 }
                 for (id, span) in spans {
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -1,4 +1,4 @@
-//! The segments of what runs in a block: each machine is in one, and each is a
+//! The segments of what runs in a shard: each machine is in one, and each is a
 //! record of its own that no value's limit is too small for.
 //!
 //! A segment's *weight* is what its record takes and what ends of what it has may
@@ -107,17 +107,17 @@
 }
 
 impl Core {
-    /// The records of a block: the whole one of the first layout, then segments.
-    pub(super) fn segments_of(&self, block: u32) -> impl Iterator<Item = (&SegmentId, &super::Segment)> {
-        self.segments.range(SegmentId::whole(block)..=SegmentId::new(block, u32::MAX))
+    /// The records of a shard: the whole one of the first layout, then segments.
+    pub(super) fn segments_of(&self, shard: u32) -> impl Iterator<Item = (&SegmentId, &super::Segment)> {
+        self.segments.range(SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX))
     }
 
     /// The segment whose record speaks for a machine, if any does.
-    pub(super) fn recorded_segment(&self, block: u32, machine: &str) -> Option<u32> {
+    pub(super) fn recorded_segment(&self, shard: u32, machine: &str) -> Option<u32> {
         let in_it = |id: &SegmentId, l: &super::Segment| {
             id.segment.filter(|_| l.record.machines.contains_key(machine))
         };
-        self.segments_of(block).find_map(|(id, l)| in_it(id, l))
+        self.segments_of(shard).find_map(|(id, l)| in_it(id, l))
     }
 
     /// What a segment weighs with all that is proposed in it.
@@ -134,38 +134,38 @@
     /// Whether a machine's segment has no room for more, and it can't change it.
     pub(super) fn is_recordless(&self, machine: &Machine) -> bool {
         let Some(segment) = machine.segment.filter(|_| !machine.tasks.is_empty()) else { return false };
-        self.is_segment_full(&SegmentId::new(machine.block, segment))
+        self.is_segment_full(&SegmentId::new(machine.shard, segment))
     }
 
     /// The segment that a machine is in from now on. One on which nothing is and
     /// which no record names may change it; no other.
     pub(super) fn assign_segment(&mut self, id: &str) -> Option<SegmentId> {
         let machine = self.machines.get(id)?;
-        let block = machine.block;
+        let shard = machine.shard;
         if self.is_mixed() {
-            return Some(SegmentId::whole(block));
+            return Some(SegmentId::whole(shard));
         }
-        if let Some(segment) = machine.segment.map(|segment| SegmentId::new(block, segment)) {
-            let fixed = !machine.tasks.is_empty() || self.recorded_segment(block, id).is_some();
+        if let Some(segment) = machine.segment.map(|segment| SegmentId::new(shard, segment)) {
+            let fixed = !machine.tasks.is_empty() || self.recorded_segment(shard, id).is_some();
             if fixed || !self.is_segment_full(&segment) {
                 return Some(segment);
             }
         }
         let most = (self.limits().value as f64 * JOIN) as usize;
-        let own = machine_weight(id) + self.weight_of(machine, |_| true).max(self.usual_weight(block));
-        let known = self.segment_numbers(block);
+        let own = machine_weight(id) + self.weight_of(machine, |_| true).max(self.usual_weight(shard));
+        let known = self.segment_numbers(shard);
         let open =
-            known.iter().copied().find(|n| self.segment_weight(&SegmentId::new(block, *n)) + own <= most);
+            known.iter().copied().find(|n| self.segment_weight(&SegmentId::new(shard, *n)) + own <= most);
         let number = open.or_else(|| (0..).find(|n| !known.contains(n)))?;
-        let segment = SegmentId::new(block, number);
+        let segment = SegmentId::new(shard, number);
         *self.pending.entry(segment).or_default() += own;
         self.machines.get_mut(id)?.segment = Some(number);
         Some(segment)
     }
 
-    /// What machines of a block usually weigh.
-    fn usual_weight(&self, block: u32) -> usize {
-        let segments = self.segments_of(block).filter(|(id, _)| id.segment.is_some());
+    /// What machines of a shard usually weigh.
+    fn usual_weight(&self, shard: u32) -> usize {
+        let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
         let used =
             segments.map(|(_, l)| (l.weight, l.record.machines.values().filter(|s| !s.is_empty()).count()));
         let (weight, machines) = used.fold((0, 0), |(w, m), (own, n)| (w + own, m + n));
@@ -182,7 +182,7 @@
                 let same = last.filter(|(t, _)| t.job == task.job);
                 let joins = same.is_some_and(|(t, n)| t.index + 1 == task.index && n == p.attempt);
                 // Other machines of the segment may have tasks of the job, too.
-                // Those that move here from a whole block's record bring names.
+                // Those that move here from a whole shard's record bring names.
                 let named = if p.home.segment.is_some() { NAMED } else { task.job.len() + NAMED };
                 sum += task_weight(joins) + if same.is_some() { 0 } else { named };
                 last = Some((task, p.attempt));
@@ -191,13 +191,13 @@
         sum
     }
 
-    /// Takes another segment of the block into this one if both together leave
+    /// Takes another segment of the shard into this one if both together leave
     /// enough room: the fewer segments, the fewer changes. The other one is emptied
     /// in the transaction that writes this one.
     pub(super) fn absorb(&mut self, id: SegmentId) -> Option<SegmentId> {
         let segment = id.segment?;
         let (own, most) = (self.segment_weight(&id), (self.limits().value as f64 * MERGE) as usize);
-        let of = SegmentId::new(id.block, 0)..=SegmentId::new(id.block, u32::MAX);
+        let of = SegmentId::new(id.shard, 0)..=SegmentId::new(id.shard, u32::MAX);
         let lightest = self
             .segments
             .range(of)
@@ -210,11 +210,11 @@
         }
         let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
         self.inherited.insert(id, super::migration::Inherited { done: record.done, tries: record.tries });
-        let moved = |m: &&mut Machine| m.block == id.block && m.segment == lightest.segment;
+        let moved = |m: &&mut Machine| m.shard == id.shard && m.segment == lightest.segment;
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
         }
-        self.rehome(id.block);
+        self.rehome(id.shard);
         self.pending.remove(&lightest);
         self.absorbing.insert(lightest);
         Some(lightest)
@@ -243,7 +243,7 @@
                 machine.segment = other.segment;
             }
         }
-        self.rehome(other.block);
+        self.rehome(other.shard);
         self.mark_segment(other, false);
     }
 
@@ -254,7 +254,7 @@
         let mut moved = false;
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str())
-                && machine.block == id.block
+                && machine.shard == id.shard
                 && machine.segment != id.segment
             {
                 machine.segment = id.segment;
@@ -262,22 +262,22 @@
             }
         }
         if moved {
-            self.rehome(id.block);
+            self.rehome(id.shard);
         }
     }
 
     /// What is proposed on a machine is recorded in the segment that it is in.
-    fn rehome(&mut self, block: u32) {
+    fn rehome(&mut self, shard: u32) {
         let proposed: Vec<(TaskId, Option<u32>)> = self
             .machines
             .values()
-            .filter(|m| m.block == block)
+            .filter(|m| m.shard == shard)
             .flat_map(|m| m.tasks.iter().map(|t| (t.clone(), m.segment)))
             .collect();
         for (task, segment) in proposed {
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             let Some(p) = job.placed.get_mut(&task.index).filter(|p| !p.committed) else { continue };
-            let home = SegmentId { block, segment };
+            let home = SegmentId { shard, segment };
             if p.home != home && segment.is_some() {
                 p.home = home;
                 self.mark_segment(home, false);
@@ -298,7 +298,7 @@
             }
             let known = self.segments.get(&id).map(|l| &l.record.machines);
             let new = |m: &&Machine| {
-                let here = m.block == id.block && m.segment == Some(segment) && !m.tasks.is_empty();
+                let here = m.shard == id.shard && m.segment == Some(segment) && !m.tasks.is_empty();
                 here && !known.is_some_and(|k| k.contains_key(&*m.id))
             };
             let Some(machine) = self.machines.values().rfind(new).map(|m| m.id.clone()) else {
@@ -328,7 +328,7 @@
         let Some(segment) = id.segment else { return };
         let record = self.segments.get(&id).map(|l| &l.record);
         let mut sum = 0;
-        for machine in self.machines.values().filter(|m| m.block == id.block && m.segment == Some(segment)) {
+        for machine in self.machines.values().filter(|m| m.shard == id.shard && m.segment == Some(segment)) {
             if record.is_some_and(|r| r.machines.contains_key(&*machine.id)) {
                 sum += self.weight_of(machine, |p| !p.committed);
             } else {
@@ -351,8 +351,8 @@
     }
 
     /// Numbers of segments that are in use, recorded or not.
-    pub(super) fn segment_numbers(&self, block: u32) -> BTreeSet<u32> {
-        let of = SegmentId::new(block, 0)..=SegmentId::new(block, u32::MAX);
+    pub(super) fn segment_numbers(&self, shard: u32) -> BTreeSet<u32> {
+        let of = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
         let used = self.segments.range(of.clone()).filter(|(_, load)| !load.is_empty());
         let recorded = used.filter_map(|(id, _)| id.segment);
         recorded.chain(self.pending.range(of).filter_map(|(id, _)| id.segment)).collect()
@@ -374,16 +374,16 @@
     }
 
     /// As holder, learns from the records which machine is in which segment.
-    pub(super) fn learn_parts(&mut self, block: u32) {
+    pub(super) fn learn_parts(&mut self, shard: u32) {
         let mut segments: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-        for (id, load) in self.segments_of(block) {
+        for (id, load) in self.segments_of(shard) {
             let Some(segment) = id.segment else { continue };
             segments.extend(load.record.machines.keys().map(|m| (Arc::from(m.as_str()), segment)));
         }
-        for machine in self.machines.values_mut().filter(|m| m.block == block) {
+        for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.segment = segments.get(&machine.id).copied();
         }
-        self.pending.retain(|id, _| id.block != block);
-        self.absorbing.retain(|id| id.block != block);
+        self.pending.retain(|id, _| id.shard != shard);
+        self.absorbing.retain(|id| id.shard != shard);
     }
 }
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -43,17 +43,17 @@
             let unexpected = self.leads(now) && !self.is_expected(id);
             return (!unexpected).then(|| self.not_here());
         };
-        let block = machine.block;
-        let Some(block_lease) = self.active_lease(block, now) else {
+        let shard = machine.shard;
+        let Some(shard_lease) = self.active_lease(shard, now) else {
             // A holder that has lost the state service stops answering, so that
             // its workers' leases end before a cancellation's limit.
-            return Some(match self.holder_host(block) {
-                _ if self.is_holder(block) => ReportAnswer::Unavailable,
+            return Some(match self.holder_host(shard) {
+                _ if self.is_holder(shard) => ReportAnswer::Unavailable,
                 Some(host) => ReportAnswer::Redirect(Some(host.to_string())),
                 None => ReportAnswer::Unavailable,
             });
         };
-        if head.token > machine.token(block_lease.epoch) {
+        if head.token > machine.token(shard_lease.epoch) {
             // Someone with a newer lease commands this worker.
             tracing::info!(machine = id, "a worker knows a newer token than this holder's");
             return Some(ReportAnswer::Redirect(None));
@@ -75,14 +75,14 @@
             return answer;
         }
         let id = report.machine.as_str();
-        let block = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.block);
-        let Some(block_lease) = block.and_then(|b| self.active_lease(b, now)) else {
+        let shard = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.shard);
+        let Some(shard_lease) = shard.and_then(|b| self.active_lease(b, now)) else {
             self.found(report, now);
             return self.not_here();
         };
         self.take_report(report, now);
         let Some(machine) = self.machines.get(id) else { return ReportAnswer::Unavailable };
-        let token = machine.token(block_lease.epoch);
+        let token = machine.token(shard_lease.epoch);
         // Only the worker's newest message is answered with commands.
         let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
         let orders = if newest { self.orders(id, true, now) } else { Vec::new() };
@@ -93,7 +93,7 @@
     /// Takes over a report, however it came. Late copies are ignored.
     pub fn take_report(&mut self, report: &Report, now: Instant) {
         let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
-        let Some(block_lease) = self.role.leased_blocks.get(&machine.block).copied() else { return };
+        let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if self.gone.contains_key(&machine.id)
             || (report.session, report.sequence) <= (machine.session, machine.sequence)
         {
@@ -132,7 +132,7 @@
             }
         }
         machine.reported = tasks;
-        let synced = machine.synced(block_lease.epoch);
+        let synced = machine.synced(shard_lease.epoch);
         machine.deaf_since = if synced { None } else { machine.deaf_since.or(Some(now)) };
         if first || synced {
             self.wakeups.place = true;
@@ -151,8 +151,8 @@
     /// Works out what a machine's newest message proves.
     fn take_proof(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
-        let Some(block_lease) = self.role.leased_blocks.get(&machine.block).copied() else { return };
-        let token = machine.token(block_lease.epoch);
+        let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
+        let token = machine.token(shard_lease.epoch);
         let session = machine.session;
         let mut ends = Vec::new();
         let mut raise = false;
@@ -295,7 +295,7 @@
         let Some(machine) = self.machines.get(id) else { return };
         for task in machine.tasks.clone() {
             let placed = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
-            let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.home.block));
+            let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.home.shard));
             if let Some(attempt) = own.map(|p| p.attempt) {
                 self.end(&task, attempt, None, id, now);
             }
@@ -326,7 +326,7 @@
     /// would have to be missed, and proven gone, first.
     pub(super) fn move_replicas(&mut self, now: Instant) {
         let soon = |m: &&Machine| m.taken_at.is_some_and(|at| at <= now + LAST_MOMENT);
-        let held = |m: &&Machine| self.is_holder(m.block);
+        let held = |m: &&Machine| self.is_holder(m.shard);
         let leaving: Vec<TaskId> =
             self.machines.values().filter(soon).filter(held).flat_map(|m| m.tasks.iter().cloned()).collect();
         for task in leaving {
@@ -341,10 +341,10 @@
     /// one command that must not be overtaken by a repeated start.
     fn orders(&self, id: &str, in_answer: bool, now: Instant) -> Vec<Order> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
-        let Some(block_lease) = self.role.leased_blocks.get(&machine.block).copied() else {
+        let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
             return Vec::new();
         };
-        let synced = machine.synced(block_lease.epoch);
+        let synced = machine.synced(shard_lease.epoch);
         let mut orders = Vec::new();
         for (task, report) in &machine.reported {
             let own = self
@@ -414,7 +414,7 @@
     /// Direct commands that a machine should receive now, with its address.
     pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectOrders)> {
         let machine = self.machines.get(id)?;
-        let block_lease = self.active_lease(machine.block, now)?;
+        let shard_lease = self.active_lease(machine.shard, now)?;
         let unknown = machine.session == 0 || machine.commanding || machine.releasing;
         if unknown || machine.command_after.is_some_and(|at| at > now) {
             return None;
@@ -423,13 +423,13 @@
         let machine = self.machines.get_mut(id)?;
         // Without commands a message still brings the present token to the
         // worker, so that its tasks are known and it can take work soon.
-        let behind = !machine.synced(block_lease.epoch);
+        let behind = !machine.synced(shard_lease.epoch);
         if orders.is_empty() && !behind {
             return None;
         }
         let address = machine.address.clone()?;
         machine.commanding = true;
-        let (token, session) = (machine.token(block_lease.epoch), machine.session);
+        let (token, session) = (machine.token(shard_lease.epoch), machine.session);
         self.note_sent(id, &orders, token);
         Some((address, DirectOrders { token, session, orders }))
     }
@@ -438,9 +438,9 @@
     /// if it could be read; certainly not delivered; or unknown.
     pub fn command_ended(&mut self, id: &str, sent: &DirectOrders, end: CommandEnd<'_>, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(block_lease) = self.role.leased_blocks.get(&machine.block).copied() else { return };
-        if !machine.is_present(sent.token, block_lease.epoch) {
-            // Sent before the block was lost, or taken up anew.
+        let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
+        if !machine.is_present(sent.token, shard_lease.epoch) {
+            // Sent before the shard was lost, or taken up anew.
             return;
         }
         machine.commanding = false;
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::BlockLease;
+use crate::core::ShardLease;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Placed;
 use crate::records::SegmentId;
@@ -10,7 +10,7 @@
 fn with_a_saving_task(stop: Stop, now: Instant) -> Core {
     let mut core = core();
     core.apply("dc/j/run-1", Some(job_record("run-1", 1, json!({"0": [[0, 0]]}))), 5, now);
-    core.role.leased_blocks.insert(0, BlockLease { epoch: 1, version: 1 });
+    core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     let task = TaskId { job: "run-1".into(), index: 0 };
     let placed = Placed {
         committed: true,
--- a/crates/dapplecroft-controller/src/core/blocks.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -1,66 +1,66 @@
-//! Leases of machine blocks: which the leader gives to whom, and what a holder
+//! Leases of machine shards: which the leader gives to whom, and what a holder
 //! does when it gains or loses one.
 
 use super::{Core, reindex};
 use crate::jobs::Job;
-use crate::records::{self, BlockRecord};
+use crate::records::{self, ShardRecord};
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A lease of a block of machines.
+/// A lease of a shard of machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BlockLease {
+pub struct ShardLease {
     /// Its epoch.
     pub epoch: u64,
-    /// Version of the block's record.
+    /// Version of the shard's record.
     pub version: u64,
 }
 
-/// A block that the leader leases to a controller.
+/// A shard that the leader leases to a controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The block.
-    pub block: u32,
+    /// The shard.
+    pub shard: u32,
     /// The record.
-    pub record: BlockRecord,
+    pub record: ShardRecord,
     /// The version that it replaces.
     pub version: u64,
 }
 
 impl Core {
-    /// All blocks that exist: those with a record, and those that machines name.
-    pub(super) fn block_numbers(&self) -> Vec<u32> {
-        let mut numbers: Vec<u32> = self.blocks.keys().copied().collect();
-        numbers.extend(self.groups.values().map(|g| g.record.block));
+    /// All shards that exist: those with a record, and those that machines name.
+    pub(super) fn shard_numbers(&self) -> Vec<u32> {
+        let mut numbers: Vec<u32> = self.shards.keys().copied().collect();
+        numbers.extend(self.groups.values().map(|g| g.record.shard));
         numbers.push(0);
         numbers.sort_unstable();
         numbers.dedup();
         numbers
     }
 
-    /// How many machines each block has.
-    pub(super) fn block_sizes(&self) -> BTreeMap<u32, usize> {
+    /// How many machines each shard has.
+    pub(super) fn shard_sizes(&self) -> BTreeMap<u32, usize> {
         let mut sizes = BTreeMap::new();
         for group in self.groups.values() {
-            *sizes.entry(group.record.block).or_default() += group.record.machines.len();
+            *sizes.entry(group.record.shard).or_default() += group.record.machines.len();
         }
         sizes
     }
 
-    /// The leases that the leader should give now: blocks whose holder is gone
-    /// go to the least loaded controllers, and one block at a time moves from
+    /// The leases that the leader should give now: shards whose holder is gone
+    /// go to the least loaded controllers, and one shard at a time moves from
     /// the most to the least loaded if that evens them out. The leader's own
-    /// work grows with the number of blocks, so it holds fewer of many.
+    /// work grows with the number of shards, so it holds fewer of many.
     pub fn wanted_leases(&self, now: Instant) -> Vec<LeaseGrant> {
         let Some(leadership) = self.role.leadership.filter(|l| *l <= self.followed) else {
             return Vec::new();
         };
-        let numbers = self.block_numbers();
-        let sizes = self.block_sizes();
-        let size = |block: &u32| sizes.get(block).copied().unwrap_or(0);
-        let own_work = (numbers.len() - 1) * self.block_machines() / 8;
+        let numbers = self.shard_numbers();
+        let sizes = self.shard_sizes();
+        let size = |shard: &u32| sizes.get(shard).copied().unwrap_or(0);
+        let own_work = (numbers.len() - 1) * self.shard_machines() / 8;
         let mut load: BTreeMap<&str, usize> = self
             .live
             .iter()
@@ -68,18 +68,18 @@
             .collect();
         let mut vacant = Vec::new();
         let mut held: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
-        for block in &numbers {
+        for shard in &numbers {
             let holder = self
-                .blocks
-                .get(block)
+                .shards
+                .get(shard)
                 .map(|(b, _)| b)
                 .filter(|b| self.live.get(&b.host).is_some_and(|live| live.identity == b.identity));
             match holder {
                 Some(holder) => {
-                    *load.entry(holder.host.as_str()).or_default() += size(block);
-                    held.entry(holder.host.as_str()).or_default().push(*block);
+                    *load.entry(holder.host.as_str()).or_default() += size(shard);
+                    held.entry(holder.host.as_str()).or_default().push(*shard);
                 }
-                None => vacant.push(*block),
+                None => vacant.push(*shard),
             }
         }
         let leader = self.live.iter().find(|(_, l)| l.identity == self.identity).map(|(h, _)| h.as_str());
@@ -100,14 +100,14 @@
         };
         let mut leases = Vec::new();
         vacant.sort_by_key(|b| std::cmp::Reverse(size(b)));
-        for block in vacant {
+        for shard in vacant {
             let Some((host, _)) = least(&load, &counts) else { break };
             if let Some((name, n)) = load.iter_mut().find(|(name, _)| **name == host) {
                 *counts.entry(name).or_default() += 1;
-                // An empty block will not stay empty.
-                *n += size(&block).max(self.block_machines() / 2);
+                // An empty shard will not stay empty.
+                *n += size(&shard).max(self.shard_machines() / 2);
             }
-            leases.extend(self.lease(block, &host, leadership));
+            leases.extend(self.lease(shard, &host, leadership));
         }
         if leases.is_empty()
             && let Some((to, low)) = least(&load, &counts)
@@ -120,18 +120,18 @@
                 .flatten()
                 .filter(|b| size(b) > 0 && low + size(b) * 2 <= *high)
                 .max_by_key(|b| size(b));
-            leases.extend(moved.and_then(|block| self.lease(*block, &to, leadership)));
+            leases.extend(moved.and_then(|shard| self.lease(*shard, &to, leadership)));
         }
         leases
     }
 
-    fn lease(&self, block: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
+    fn lease(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
         let live = self.live.get(host)?;
-        let (old, version) = self.blocks.get(&block).map_or((0, 0), |(b, v)| (b.epoch, *v));
+        let (old, version) = self.shards.get(&shard).map_or((0, 0), |(b, v)| (b.epoch, *v));
         // The epoch comes from a revision of the state service, and only grows.
         let epoch = (old + 1).max(leadership);
-        let record = BlockRecord { host: host.to_string(), identity: live.identity.clone(), epoch };
-        Some(LeaseGrant { block, record, version })
+        let record = ShardRecord { host: host.to_string(), identity: live.identity.clone(), epoch };
+        Some(LeaseGrant { shard, record, version })
     }
 
     /// The transaction that gives leases, as many as one holds.
@@ -140,7 +140,7 @@
         let mut conditions = vec![Condition { key: records::LEADER.into(), version: leadership }];
         let mut changes = Vec::new();
         for lease in leases.iter().take(self.limits().changes) {
-            let key = records::block_key(lease.block);
+            let key = records::shard_key(lease.shard);
             conditions.push(Condition { key: key.clone(), version: lease.version });
             let value = serde_json::to_value(&lease.record).ok()?;
             changes.push(Change::Set { key, value, lease: None });
@@ -148,41 +148,41 @@
         (!changes.is_empty()).then_some(Transaction { conditions, changes })
     }
 
-    /// Takes up the blocks that were leased to this process, once its copy of
+    /// Takes up the shards that were leased to this process, once its copy of
     /// the records has caught up with the lease: what earlier holders committed
     /// is known then, and nothing of theirs can be committed any more, since
-    /// every such commit names the block's version.
-    pub fn take_blocks(&mut self, now: Instant) {
+    /// every such commit names the shard's version.
+    pub fn take_leased_shards(&mut self, now: Instant) {
         if self.role.lease.is_none() {
-            // It has just stepped down: the leader sees nobody behind these blocks.
+            // It has just stepped down: the leader sees nobody behind these shards.
             return;
         }
-        let taken: Vec<(u32, BlockLease)> = self
-            .blocks
+        let taken: Vec<(u32, ShardLease)> = self
+            .shards
             .iter()
             .filter(|(n, (b, version))| {
                 b.identity == self.identity
                     && *version <= self.followed
-                    && !self.role.leased_blocks.contains_key(n)
+                    && !self.role.leased_shards.contains_key(n)
             })
-            .map(|(n, (b, version))| (*n, BlockLease { epoch: b.epoch, version: *version }))
+            .map(|(n, (b, version))| (*n, ShardLease { epoch: b.epoch, version: *version }))
             .collect();
         if taken.is_empty() {
             return;
         }
         tracing::info!(blocks = ?taken.iter().map(|(n, h)| (*n, h.epoch)).collect::<Vec<_>>(), "blocks taken up");
-        for (block, block_lease) in taken {
-            self.hold(block, block_lease, now);
+        for (shard, shard_lease) in taken {
+            self.hold(shard, shard_lease, now);
         }
     }
 
-    /// Takes note of holding a block, and forgets what was believed of its
+    /// Takes note of holding a shard, and forgets what was believed of its
     /// machines: only what they tell this holder counts.
-    fn hold(&mut self, block: u32, block_lease: BlockLease, now: Instant) {
-        self.role.leased_blocks.insert(block, block_lease);
-        self.learn_parts(block);
+    fn hold(&mut self, shard: u32, shard_lease: ShardLease, now: Instant) {
+        self.role.leased_shards.insert(shard, shard_lease);
+        self.learn_parts(shard);
         let mut jobs: Vec<Arc<str>> = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.block == block) {
+        for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.reset(now);
             jobs.extend(machine.tasks.iter().map(|t| t.job.clone()));
         }
@@ -190,31 +190,31 @@
         jobs.dedup();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
-            for placed in job.placed.values_mut().filter(|p| p.home.block == block) {
+            for placed in job.placed.values_mut().filter(|p| p.home.shard == shard) {
                 placed.sent = 0;
                 placed.running = None;
                 placed.since = now;
             }
         }
-        self.plan_migration(block, now);
+        self.plan_migration(shard, now);
         self.wakeups.place = true;
         self.wakeups.flush = true;
         self.wakeups.fleet = true;
     }
 
-    /// Takes note of having lost a block. Proposals that are on their way are
-    /// settled by their commits, which name the block's version; the others are
+    /// Takes note of having lost a shard. Proposals that are on their way are
+    /// settled by their commits, which name the shard's version; the others are
     /// void, and what its workers proved is proven again to the next holder.
-    pub(super) fn lose_block(&mut self, block: u32, why: &str, now: Instant) {
-        if self.role.leased_blocks.remove(&block).is_none() {
+    pub(super) fn lose_shard(&mut self, shard: u32, why: &str, now: Instant) {
+        if self.role.leased_shards.remove(&shard).is_none() {
             return;
         }
-        tracing::info!(block, why, "block lost");
+        tracing::info!(block = shard, why, "block lost");
         let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let amounts = job.need.amounts;
-            for p in job.placed.values_mut().filter(|p| p.home.block == block && p.freed) {
+            for p in job.placed.values_mut().filter(|p| p.home.shard == shard && p.freed) {
                 p.freed = false;
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
                     let before = machine.room().cpus;
@@ -223,40 +223,40 @@
                 }
             }
             let placed = &job.placed;
-            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.home.block != block));
+            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.home.shard != shard));
         }
-        self.drop_proposals_in(block);
-        self.commits.drop_deferred_ends_of(block);
-        self.inherited.retain(|id, _| id.block != block);
-        self.pending.retain(|id, _| id.block != block);
+        self.drop_proposals_in(shard);
+        self.commits.drop_deferred_ends_of(shard);
+        self.inherited.retain(|id, _| id.shard != shard);
+        self.pending.retain(|id, _| id.shard != shard);
         let machines = &self.machines;
-        self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.block != block));
-        for machine in self.machines.values_mut().filter(|m| m.block == block) {
+        self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.shard != shard));
+        for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.reset(now);
         }
         let empty: Vec<Arc<str>> = self
             .machines
             .values()
-            .filter(|m| m.block == block && m.group.is_none() && m.tasks.is_empty())
+            .filter(|m| m.shard == shard && m.group.is_none() && m.tasks.is_empty())
             .map(|m| m.id.clone())
             .collect();
         empty.into_iter().for_each(|id| self.forget_machine(&id));
     }
 
     /// A holding under which this process may act now.
-    pub fn active_lease(&self, block: u32, now: Instant) -> Option<BlockLease> {
-        self.role.leased_blocks.get(&block).copied().filter(|_| self.in_contact(now))
+    pub fn active_lease(&self, shard: u32, now: Instant) -> Option<ShardLease> {
+        self.role.leased_shards.get(&shard).copied().filter(|_| self.in_contact(now))
     }
 
-    /// Whether this process holds a block, in contact or not.
-    pub fn is_holder(&self, block: u32) -> bool {
-        self.role.leased_blocks.contains_key(&block)
+    /// Whether this process holds a shard, in contact or not.
+    pub fn is_holder(&self, shard: u32) -> bool {
+        self.role.leased_shards.contains_key(&shard)
     }
 
-    /// The node, other than this one, that workers of a block should report to.
-    pub fn holder_host(&self, block: u32) -> Option<&str> {
-        let (block, _) = self.blocks.get(&block)?;
-        let live = self.live.get(&block.host).is_some_and(|l| l.identity == block.identity);
-        (live && block.identity != self.identity).then_some(block.host.as_str())
+    /// The node, other than this one, that workers of a shard should report to.
+    pub fn holder_host(&self, shard: u32) -> Option<&str> {
+        let (shard, _) = self.shards.get(&shard)?;
+        let live = self.live.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
+        (live && shard.identity != self.identity).then_some(shard.host.as_str())
     }
 }
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -21,7 +21,7 @@
 }
 
 /// The record of an open job, as the first layout wrote it, with tasks of one
-/// CPU and what is allocated of them to each block.
+/// CPU and what is allocated of them to each shard.
 pub(super) fn job_record(id: &str, tasks: u32, allocated: Value) -> Value {
     json!({"stage": "open", "tasks": tasks, "to": allocated, "spec": {"id": id, "lane": "c", "crew": "t",
         "form": "sweep", "rank": "normal", "shares": tasks, "cpus": 1.0, "gpus": 0.0, "memory_gb": 1.0,
--- a/crates/dapplecroft-controller/src/core/units.rs
+++ b/crates/dapplecroft-controller/src/core/units.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Nothing more is placed in a block whose record of the first layout has so
+/// Nothing more is placed in a shard whose record of the first layout has so
 /// much of a value's limit: what is left is for the ends of what is placed.
 const SPARE: f64 = 0.7;
 /// Bytes of a record of completed tasks.
@@ -93,11 +93,11 @@
         let mut waiting: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
         let whole = id.segment.is_none();
         let here =
-            |m: &&Machine| m.block == id.block && (whole || m.segment == id.segment) && !m.tasks.is_empty();
+            |m: &&Machine| m.shard == id.shard && (whole || m.segment == id.segment) && !m.tasks.is_empty();
         for machine in self.machines.values().filter(here) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
-                let Some(p) = job.placed.get(&task.index).filter(|p| p.home.block == id.block) else {
+                let Some(p) = job.placed.get(&task.index).filter(|p| p.home.shard == id.shard) else {
                     continue;
                 };
                 if !p.committed {
@@ -125,9 +125,9 @@
         let mut scale = Scale::new(&record, limits.value, whole);
         for (_, _, task, p) in waiting {
             // A task is placed only while its job is open and the record of the
-            // job, to whose version the unit is bound, allocates it to the block.
+            // job, to whose version the unit is bound, allocates it to the shard.
             let Some(job) = self.open_job(&task.job) else { continue };
-            let allocated = job.record.allocated.get(&id.block).is_some_and(|r| r.contains(task.index));
+            let allocated = job.record.allocated.get(&id.shard).is_some_and(|r| r.contains(task.index));
             if !job.is_open() || !allocated {
                 continue;
             }
@@ -150,15 +150,15 @@
     /// What is to be committed of a segment, with what is proposed in it.
     pub(super) fn segment_unit(&self, id: SegmentId) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
         // A stale holder can commit nothing, hence start nothing.
-        let block_lease = self.role.leased_blocks.get(&id.block)?;
+        let shard_lease = self.role.leased_shards.get(&id.shard)?;
         let mut conditions =
-            vec![Condition { key: records::block_key(id.block), version: block_lease.version }];
+            vec![Condition { key: records::shard_key(id.shard), version: shard_lease.version }];
         let key = id.key();
         let old = self.segments.get(&id);
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
         if !self.is_mixed() && id.segment.is_none() {
             // Never written again: dropped once segments have all of it.
-            let moved = old.is_some() && self.is_moved(id.block);
+            let moved = old.is_some() && self.is_moved(id.shard);
             let changes = vec![Change::Drop { key }];
             return moved.then_some((Unit { conditions, changes }, Vec::new()));
         }
@@ -166,9 +166,9 @@
         if old.is_some_and(|o| o.record == record) || (old.is_none() && record == SegmentRecord::default()) {
             return None;
         }
-        if let Some(whole) = self.segments.get(&SegmentId::whole(id.block)).filter(|_| id.segment.is_some()) {
+        if let Some(whole) = self.segments.get(&SegmentId::whole(id.shard)).filter(|_| id.segment.is_some()) {
             // No late write of it may come between this segment and its being dropped.
-            conditions.push(Condition { key: SegmentId::whole(id.block).key(), version: whole.version });
+            conditions.push(Condition { key: SegmentId::whole(id.shard).key(), version: whole.version });
         }
         let jobs: BTreeSet<&Arc<str>> = proposals.iter().map(|(t, _)| &t.job).collect();
         for id in jobs {
@@ -179,11 +179,11 @@
     }
 
     /// The record of a job once its user has withdrawn it, and the version that it
-    /// replaces. If none of its tasks was allocated to a block, none was placed,
+    /// replaces. If none of its tasks was allocated to a shard, none was placed,
     /// and none ever will be, since every placement is bound to the record: then
     /// this is its final form already. That none was placed is certain only once
     /// the copy has caught up with the record, which may have been read by itself:
-    /// what the leader took back from a block may have been placed there before.
+    /// what the leader took back from a shard may have been placed there before.
     pub fn withdrawal(&self, id: &str) -> Option<(JobRecord, u64)> {
         let job = self.open_job(id)?;
         let done = job.done.len();
@@ -264,18 +264,18 @@
     }
 
     /// A job's record with this leader's decisions. While the first layout is in
-    /// force, what is done is noted in it as well, so that blocks need not.
+    /// force, what is done is noted in it as well, so that shards need not.
     pub(super) fn allocations(&self, job: &OpenJob) -> JobRecord {
         let mut record = job.record.clone();
         if job.allocating.is_empty() && job.revoking.is_empty() {
             return record;
         }
-        for (block, ranges) in &job.allocating {
-            let allocated = record.allocated.entry(*block).or_default();
+        for (shard, ranges) in &job.allocating {
+            let allocated = record.allocated.entry(*shard).or_default();
             *allocated = allocated.union(ranges);
         }
-        for (block, ranges) in &job.revoking {
-            if let Some(allocated) = record.allocated.get_mut(block) {
+        for (shard, ranges) in &job.revoking {
+            if let Some(allocated) = record.allocated.get_mut(shard) {
                 *allocated = allocated.without(ranges);
             }
         }
@@ -302,10 +302,10 @@
         (version > 0).then_some((Unit { conditions, changes }, Vec::new()))
     }
 
-    /// Whether a block's one record of the first layout has no room for more.
-    pub(super) fn is_record_full(&self, block: u32) -> bool {
+    /// Whether a shard's one record of the first layout has no room for more.
+    pub(super) fn is_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * SPARE;
-        self.is_mixed() && self.segments.get(&SegmentId::whole(block)).is_some_and(|l| l.size as f64 > limit)
+        self.is_mixed() && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
     }
 }
 
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as the records say, with what a block holder knows besides.
+//! Jobs as the records say, with what a shard holder knows besides.
 
 use crate::ranges::Ranges;
 use crate::records::{JobRecord, JobStage, SegmentId};
@@ -53,7 +53,7 @@
     pub attempt: u64,
     /// The machine.
     pub machine: Arc<str>,
-    /// The segment of its block in whose record it is, or will be.
+    /// The segment of its shard in whose record it is, or will be.
     pub home: SegmentId,
     /// The worker's session that it was placed in.
     pub session: u64,
@@ -95,7 +95,7 @@
     pub spec: JobSpec,
     /// What each task needs.
     pub need: Arc<Need>,
-    /// Completed tasks by the record of a block in which they are.
+    /// Completed tasks by the record of a shard in which they are.
     pub done_in: BTreeMap<SegmentId, Ranges>,
     /// Completed tasks that records of their own have.
     pub completed_records: BTreeMap<u32, Ranges>,
@@ -105,17 +105,17 @@
     pub placed: BTreeMap<u32, Placed>,
     /// Completed tasks.
     pub done: Ranges,
-    /// Tasks that no block has, nor is being given.
+    /// Tasks that no shard has, nor is being given.
     pub unallocated: Ranges,
-    /// Tasks that wait in each block that they are allocated to, or will be.
+    /// Tasks that wait in each shard that they are allocated to, or will be.
     pub waiting: BTreeMap<u32, Ranges>,
     /// Allocations by this leader that are not committed yet.
     pub allocating: BTreeMap<u32, Ranges>,
     /// Waiting tasks that this leader takes back, not committed yet.
     pub revoking: BTreeMap<u32, Ranges>,
-    /// Version of the record with which tasks were last taken back from blocks.
+    /// Version of the record with which tasks were last taken back from shards.
     pub revoked: u64,
-    /// Since when which task has been the first to wait in a block.
+    /// Since when which task has been the first to wait in a shard.
     pub stalled: BTreeMap<u32, (Instant, u32)>,
     /// How many tasks are counted against the team.
     pub counted: i64,
@@ -226,29 +226,29 @@
             return;
         }
         let taken = self.done.union(&Ranges::ascending(self.placed.keys().copied()));
-        // One that was taken back from a block while it was being placed there
+        // One that was taken back from a shard while it was being placed there
         // is on its machine all the same.
         let mut allocated = taken.clone();
-        let blocks: BTreeSet<u32> =
+        let shards: BTreeSet<u32> =
             self.record.allocated.keys().chain(self.allocating.keys()).copied().collect();
-        for block in blocks {
-            let mut own = self.record.allocated.get(&block).cloned().unwrap_or_default();
-            if let Some(more) = self.allocating.get(&block) {
+        for shard in shards {
+            let mut own = self.record.allocated.get(&shard).cloned().unwrap_or_default();
+            if let Some(more) = self.allocating.get(&shard) {
                 own = own.union(more);
             }
             allocated = allocated.union(&own);
             let mut waiting = own.without(&taken);
-            if let Some(less) = self.revoking.get(&block) {
+            if let Some(less) = self.revoking.get(&shard) {
                 waiting = waiting.without(less);
             }
             if !waiting.is_empty() {
-                self.waiting.insert(block, waiting);
+                self.waiting.insert(shard, waiting);
             }
         }
         self.unallocated = Ranges::below(self.record.tasks).without(&allocated);
     }
 
-    /// Completed tasks that no block's record needs to have.
+    /// Completed tasks that no shard's record needs to have.
     pub fn recorded_done(&self) -> Ranges {
         self.completed_records.values().fold(self.record.legacy_done.clone(), |all, own| all.union(own))
     }
@@ -309,15 +309,15 @@
         if self.is_open() { self.revoked } else { self.version }
     }
 
-    /// Whether a task is allocated to a block, or is being allocated.
-    pub fn allocates(&self, block: u32, index: u32) -> bool {
-        let within = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&block).is_some_and(|r| r.contains(index));
+    /// Whether a task is allocated to a shard, or is being allocated.
+    pub fn allocates(&self, shard: u32, index: u32) -> bool {
+        let within = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&shard).is_some_and(|r| r.contains(index));
         within(&self.record.allocated) || within(&self.allocating)
     }
 
-    /// How many tasks wait in a block.
-    pub fn waiting_in(&self, block: u32) -> u32 {
-        self.waiting.get(&block).map_or(0, Ranges::len)
+    /// How many tasks wait in a shard.
+    pub fn waiting_in(&self, shard: u32) -> u32 {
+        self.waiting.get(&shard).map_or(0, Ranges::len)
     }
 
     /// Whether any task waits anywhere.
--- a/crates/dapplecroft-controller/src/legacy.rs
+++ b/crates/dapplecroft-controller/src/legacy.rs
@@ -51,7 +51,8 @@
 
 #[derive(Serialize, Deserialize)]
 struct OldGroup {
-    block: u32,
+    #[serde(rename = "block")]
+    shard: u32,
     #[serde(rename = "type")]
     machine_type: String,
     zone: String,
@@ -114,7 +115,7 @@
     })
 }
 
-/// What runs in a whole block.
+/// What runs in a whole shard.
 pub fn read_segment(value: Value) -> Result<SegmentRecord, Error> {
     let old: OldLoad = serde_json::from_value(value)?;
     let mut machines = BTreeMap::new();
@@ -131,7 +132,7 @@
     })
 }
 
-/// What runs in a whole block, as the first version reads it.
+/// What runs in a whole shard, as the first version reads it.
 pub fn write_segment(load: &SegmentRecord) -> Value {
     let spans = |spans: &Vec<Span>| spans.iter().map(write_span).collect();
     value(&OldLoad {
@@ -169,7 +170,7 @@
 /// A group of machines of either layout.
 pub fn read_group(value: Value) -> Result<GroupRecord, Error> {
     read(value, "block", |old: OldGroup| GroupRecord {
-        block: old.block,
+        shard: old.shard,
         machine_type: old.machine_type,
         zone: old.zone,
         spot: old.spot,
@@ -185,7 +186,7 @@
 pub fn write_group(group: &GroupRecord) -> Value {
     let member = |m: &MemberRecord| OldMember { address: m.address.clone(), given_up: m.given_up };
     value(&OldGroup {
-        block: group.block,
+        shard: group.shard,
         machine_type: group.machine_type.clone(),
         zone: group.zone.clone(),
         spot: group.spot,
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -1,4 +1,4 @@
-//! Liveness, the election of the leader, and the leases of blocks.
+//! Liveness, the election of the leader, and the leases of shards.
 
 use crate::core::Core;
 use crate::node::{Node, lock, now};
@@ -37,7 +37,7 @@
     }
 
     /// Stands for election when there is no leader, takes up what was won or
-    /// leased, and as leader leases blocks.
+    /// leased, and as leader leases shards.
     pub(crate) async fn role_loop(self: Arc<Self>) {
         let mut random = StdRng::seed_from_u64(self.seed);
         let heartbeat_interval = self.options.node_lease / 4;
@@ -46,7 +46,7 @@
                 self.stand(&mut random).await;
                 self.settle_layout().await;
                 self.take_up().await;
-                self.lease_blocks().await;
+                self.lease_shards().await;
             }
             let _ = timeout(heartbeat_interval, self.wake_role.notified()).await;
         }
@@ -203,11 +203,11 @@
     /// records has caught up, and has it confirmed at once.
     async fn take_up(&self) {
         let changed = self.with(|core| {
-            let before = (core.role.leased_blocks.len(), core.leads(now()));
+            let before = (core.role.leased_shards.len(), core.leads(now()));
             core.begin_to_lead(now());
-            core.take_blocks(now());
+            core.take_leased_shards(now());
             core.role.contact.is_none() && core.has_role()
-                || before != (core.role.leased_blocks.len(), core.leads(now()))
+                || before != (core.role.leased_shards.len(), core.leads(now()))
         });
         if changed {
             self.set_rates();
@@ -215,8 +215,8 @@
         }
     }
 
-    /// As leader, leases blocks that nobody holds, and evens out the others.
-    async fn lease_blocks(&self) {
+    /// As leader, leases shards that nobody holds, and evens out the others.
+    async fn lease_shards(&self) {
         let (leases, transaction) = self.with(|core| {
             let leases = core.wanted_leases(now());
             let transaction = core.lease_transaction(&leases);
@@ -226,7 +226,7 @@
         match self.state.transact(&transaction, true).await {
             Outcome::Done(Verdicts::Committed(revision)) => {
                 let given: Vec<(u32, &str)> =
-                    leases.iter().map(|l| (l.block, l.record.host.as_str())).collect();
+                    leases.iter().map(|l| (l.shard, l.record.host.as_str())).collect();
                 tracing::info!(?given, "blocks leased");
                 self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                 self.wake_role.notify_one();
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Placements go with the blocks; all nodes write what users ask of them.
+    /// Placements go with the shards; all nodes write what users ask of them.
     pub(crate) fn set_rates(&self) {
         let params = &self.settings.params;
         let (share, mixed, limits) = self.with(|core| (core.write_share(), core.is_mixed(), core.limits()));
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -149,7 +149,7 @@
             let s = self.with(|core| core.summary(now()));
             tracing::info!(
                 leads = s.leads,
-                blocks = s.blocks,
+                blocks = s.shards,
                 machines = s.machines,
                 open = s.open_machines,
                 jobs = s.jobs,
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bits of a fencing token below the block's epoch. A holder raises them for
+/// Bits of a fencing token below the shard's epoch. A holder raises them for
 /// one worker without a write to the state service.
 const COUNTER_BITS: u32 = 20;
 
@@ -27,9 +27,9 @@
 pub struct Machine {
     /// Its name.
     pub id: Arc<str>,
-    /// The block that it belongs to.
-    pub block: u32,
-    /// The segment of the block in whose record it is, or will be; none yet.
+    /// The shard that it belongs to.
+    pub shard: u32,
+    /// The segment of the shard in whose record it is, or will be; none yet.
     pub segment: Option<u32>,
     /// The group whose record has it; none once it was released.
     pub group: Option<Arc<str>>,
@@ -94,10 +94,10 @@
 
 impl Machine {
     /// A machine that has not been heard.
-    pub fn new(id: &str, block: u32, now: Instant) -> Self {
+    pub fn new(id: &str, shard: u32, now: Instant) -> Self {
         Machine {
             id: id.into(),
-            block,
+            shard,
             segment: None,
             group: None,
             capacity: Amounts::default(),
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -9,8 +9,8 @@
 pub struct Options {
     /// How long the leader's and the nodes' keys outlive their process.
     pub node_lease: Duration,
-    /// Longest time that a block lease is good for without a confirmation.
-    pub block_lease: Duration,
+    /// Longest time that a shard lease is good for without a confirmation.
+    pub shard_lease: Duration,
     /// Interval between drains.
     pub drain_every: Duration,
     /// Machines up to this dominant share may be drained.
@@ -27,9 +27,9 @@
     /// Whether to rent the cheapest machines that do, or those that are up
     /// soonest. The platform's settings do not say which the users want.
     pub thrift: bool,
-    /// Machines of a block; unset: as many as the limit of a value lets one
+    /// Machines of a shard; unset: as many as the limit of a value lets one
     /// record describe.
-    pub block_machines: Option<usize>,
+    pub shard_machines: Option<usize>,
     /// Ordinary machines that are kept up for services to come, where the aims
     /// name any.
     pub standby_machines: usize,
@@ -45,7 +45,7 @@
     fn default() -> Self {
         Options {
             node_lease: Duration::from_secs(4),
-            block_lease: Duration::from_secs(30),
+            shard_lease: Duration::from_secs(30),
             drain_every: Duration::from_secs(10),
             drain_trigger: 0.5,
             drain_window: Duration::from_secs(10),
@@ -53,7 +53,7 @@
             preempt_limit: Duration::from_secs(60),
             idle_return: None,
             thrift: true,
-            block_machines: None,
+            shard_machines: None,
             standby_machines: 6,
             max_requests: 256,
             federation: None,
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -33,7 +33,7 @@
     async fn probe(&self, peer: &Peer, addresses: Vec<String>) -> Option<Vec<String>>;
     /// How the peer sees the world.
     async fn sight(&self, peer: &Peer) -> Option<SightReply>;
-    /// Room that has become free in the peer's blocks and is not recorded yet.
+    /// Room that has become free in the peer's shards and is not recorded yet.
     async fn room(&self, peer: &Peer) -> Option<RoomReply>;
     /// Has a user's request answered by the peer.
     async fn forward(&self, peer: &Peer, request: ForwardRequest) -> Option<Reply>;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Room that has become free in this node's blocks and is not recorded yet.
+    /// Room that has become free in this node's shards and is not recorded yet.
     /// What of this node's changes nobody here needs is left to the asking one
     /// for as long as that may count on it.
     pub fn own_room(&self) -> RoomReply {
@@ -173,7 +173,7 @@
         loop {
             tokio::time::sleep(ROOM_EVERY).await;
             let ask =
-                self.with(|core| core.leads(now()) && core.blocks.len() > core.role.leased_blocks.len());
+                self.with(|core| core.leads(now()) && core.shards.len() > core.role.leased_shards.len());
             if !ask {
                 continue;
             }
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -48,14 +48,14 @@
     format!("dc/c/{part}")
 }
 
-/// A block's key.
-pub fn block_key(block: u32) -> String {
-    format!("dc/b/{block}")
+/// A shard's key.
+pub fn shard_key(shard: u32) -> String {
+    format!("dc/b/{shard}")
 }
 
-/// The key of the drain under way in a block.
-pub fn drain_key(block: u32) -> String {
-    format!("dc/d/{block}")
+/// The key of the drain under way in a shard.
+pub fn drain_key(shard: u32) -> String {
+    format!("dc/d/{shard}")
 }
 
 /// A job's key.
@@ -93,31 +93,31 @@
     format!("dc/x/w/{cell}")
 }
 
-/// A segment of what runs in a block: a bounded record of some of its machines.
+/// A segment of what runs in a shard: a bounded record of some of its machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId {
-    /// The block.
-    pub block: u32,
-    /// The segment; none: the whole block's record, as the first version has it.
+    /// The shard.
+    pub shard: u32,
+    /// The segment; none: the whole shard's record, as the first version has it.
     pub segment: Option<u32>,
 }
 
 impl SegmentId {
-    /// A segment of a block.
-    pub fn new(block: u32, segment: u32) -> SegmentId {
-        SegmentId { block, segment: Some(segment) }
+    /// A segment of a shard.
+    pub fn new(shard: u32, segment: u32) -> SegmentId {
+        SegmentId { shard, segment: Some(segment) }
     }
 
-    /// A block's one record of the first layout.
-    pub fn whole(block: u32) -> SegmentId {
-        SegmentId { block, segment: None }
+    /// A shard's one record of the first layout.
+    pub fn whole(shard: u32) -> SegmentId {
+        SegmentId { shard, segment: None }
     }
 
     /// The key.
     pub fn key(&self) -> String {
         match self.segment {
-            Some(segment) => format!("dc/q/{}/{segment}", self.block),
-            None => format!("dc/p/{}", self.block),
+            Some(segment) => format!("dc/q/{}/{segment}", self.shard),
+            None => format!("dc/p/{}", self.shard),
         }
     }
 }
@@ -131,15 +131,15 @@
     Format,
     /// The machine types, all or (a number) a part.
     Catalog(Option<u32>),
-    /// The drain in a block.
+    /// The drain in a shard.
     Drain(u32),
-    /// A block.
-    Block(u32),
+    /// A shard.
+    Shard(u32),
     /// A job.
     Job(&'a str),
     /// Completed tasks of a job that was moved over.
     CompletedTasks(&'a str, u32),
-    /// What runs in a block, or a segment of it.
+    /// What runs in a shard, or a segment of it.
     Segment(SegmentId),
     /// A group of machines.
     Group(&'a str),
@@ -172,18 +172,18 @@
                 ("a", rest) => Key::parse_admission(rest)?,
                 ("j", id) => Key::Job(id),
                 ("m", name) => Key::Group(name),
-                ("b", block) => Key::Block(block.parse().ok()?),
+                ("b", shard) => Key::Shard(shard.parse().ok()?),
                 ("c", part) => Key::Catalog(Some(part.parse().ok()?)),
-                ("d", block) => Key::Drain(block.parse().ok()?),
+                ("d", shard) => Key::Drain(shard.parse().ok()?),
                 ("f", rest) => {
                     let (id, part) = rest.split_once('/')?;
                     Key::CompletedTasks(id, part.parse().ok()?)
                 }
                 ("n", host) => Key::Live(host),
-                ("p", block) => Key::Segment(SegmentId::whole(block.parse().ok()?)),
+                ("p", shard) => Key::Segment(SegmentId::whole(shard.parse().ok()?)),
                 ("q", rest) => {
-                    let (block, segment) = rest.split_once('/')?;
-                    Key::Segment(SegmentId::new(block.parse().ok()?, segment.parse().ok()?))
+                    let (shard, segment) = rest.split_once('/')?;
+                    Key::Segment(SegmentId::new(shard.parse().ok()?, segment.parse().ok()?))
                 }
                 ("v", host) => Key::Mark(host),
                 ("x", rest) => Key::parse_transfer(rest)?,
@@ -252,8 +252,8 @@
     /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Tasks that the leader has allocated to each block. Only the holder of
-    /// that block places them. Completed tasks between them may be named too.
+    /// Tasks that the leader has allocated to each shard. Only the holder of
+    /// that shard places them. Completed tasks between them may be named too.
     #[serde(rename = "to", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub allocated: BTreeMap<u32, Ranges>,
     /// Completed tasks that a record of the first layout named; in this one
@@ -345,9 +345,9 @@
     pub layout: u32,
 }
 
-/// A block of machines, leased by the leader to a holder.
+/// A shard of machines, leased by the leader to a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BlockRecord {
+pub struct ShardRecord {
     /// The holder's name.
     pub host: String,
     /// The identity of the holder's process.
--- a/crates/dapplecroft-controller/src/records/group.rs
+++ b/crates/dapplecroft-controller/src/records/group.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "WrittenGroup", into = "WrittenGroup")]
 pub struct GroupRecord {
-    /// The block that the machines belong to, for good.
-    pub block: u32,
+    /// The shard that the machines belong to, for good.
+    pub shard: u32,
     /// Their type.
     pub machine_type: String,
     /// Their zone.
@@ -27,7 +27,7 @@
 pub struct MemberRecord {
     /// Where its worker listens, once it has reported.
     pub address: Option<String>,
-    /// Whether the block's holder has given it up: the leader releases it.
+    /// Whether the shard's holder has given it up: the leader releases it.
     pub given_up: bool,
 }
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 struct WrittenGroup {
     #[serde(rename = "b")]
-    block: u32,
+    shard: u32,
     #[serde(rename = "t")]
     machine_type: String,
     #[serde(rename = "z")]
@@ -60,7 +60,7 @@
             (id, member)
         });
         GroupRecord {
-            block: w.block,
+            shard: w.shard,
             machine_type: w.machine_type,
             zone: w.zone,
             spot: w.spot,
@@ -72,7 +72,7 @@
 impl From<GroupRecord> for WrittenGroup {
     fn from(g: GroupRecord) -> Self {
         WrittenGroup {
-            block: g.block,
+            shard: g.shard,
             machine_type: g.machine_type,
             zone: g.zone,
             spot: g.spot,
--- a/crates/dapplecroft-controller/src/records/group/tests.rs
+++ b/crates/dapplecroft-controller/src/records/group/tests.rs
@@ -5,7 +5,7 @@
 fn groups_are_split_so_that_each_fits_with_all_addresses_and_all_given_up() {
     let machines: BTreeMap<String, MemberRecord> =
         (0..200).map(|n| (format!("i-{n:06}"), MemberRecord::default())).collect();
-    let group = GroupRecord { block: 3, machine_type: "m".into(), zone: "z".into(), spot: true, machines };
+    let group = GroupRecord { shard: 3, machine_type: "m".into(), zone: "z".into(), spot: true, machines };
     let groups = group.clone().split(2048);
     assert!(groups.len() < 8);
     let mut all = BTreeMap::new();
--- a/crates/dapplecroft-controller/src/records/segment.rs
+++ b/crates/dapplecroft-controller/src/records/segment.rs
@@ -1,5 +1,5 @@
-//! How what runs on some machines of a block is written, as briefly as can be:
-//! a value has a limit, and a block may have thousands of tasks.
+//! How what runs on some machines of a shard is written, as briefly as can be:
+//! a value has a limit, and a shard may have thousands of tasks.
 
 use crate::ranges::Ranges;
 use serde::de::Error;
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-/// What runs on some machines of a block; written by its holder alone. One
+/// What runs on some machines of a shard; written by its holder alone. One
 /// record for all jobs, so that what its holder writes follows the machines and
 /// the time between two writes, and not the number of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
--- a/crates/dapplecroft-controller/src/records/tests.rs
+++ b/crates/dapplecroft-controller/src/records/tests.rs
@@ -8,7 +8,7 @@
         (SegmentId::new(3, 14).key(), Key::Segment(SegmentId::new(3, 14))),
         (job_key("run-1"), Key::Job("run-1")),
         (completed_tasks_key("run-1", 2), Key::CompletedTasks("run-1", 2)),
-        (block_key(12), Key::Block(12)),
+        (shard_key(12), Key::Shard(12)),
         (drain_key(12), Key::Drain(12)),
         (group_key("dc-7-1.2"), Key::Group("dc-7-1.2")),
         (mark_key("c-0"), Key::Mark("c-0")),
--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -283,7 +283,7 @@
         self.running.lock().unwrap()[&host(n)].clone()
     }
 
-    /// The node that holds the block, by its own belief and the records.
+    /// The node that holds the shard, by its own belief and the records.
     pub fn leader(&self) -> Option<usize> {
         let record = self.state.value("dc/leader")?;
         let n = (0..self.nodes).find(|n| record["host"] == host(*n))?;
@@ -448,7 +448,7 @@
         self.assert_rules_kept();
     }
 
-    /// Controllers that hold blocks now, by the records.
+    /// Controllers that hold shards now, by the records.
     pub fn holders(&self) -> BTreeMap<String, String> {
         let held = |key: String| Some((key.clone(), self.state.value(&key)?["host"].as_str()?.to_string()));
         self.state.keys("dc/b/").into_iter().filter_map(held).collect()
--- a/crates/dapplecroft-controller/tests/stories/combined_faults.rs
+++ b/crates/dapplecroft-controller/tests/stories/combined_faults.rs
@@ -15,7 +15,7 @@
     }
 }
 
-// A controller that is alone takes up its own blocks again after its lease has
+// A controller that is alone takes up its own shards again after its lease has
 // ended, under the epoch that they had. The counters of its workers' tokens began
 // anew then, and starts from before were valid under them.
 #[tokio::test(start_paused = true)]
@@ -50,12 +50,12 @@
     c.assert_rules_kept();
 }
 
-// A job whose tasks have to be in one zone, or apart, stayed with the block that
+// A job whose tasks have to be in one zone, or apart, stayed with the shard that
 // it was allocated to although nothing of it ran any more and other machines idled.
 #[tokio::test(start_paused = true)]
 async fn a_job_bound_to_zones_that_lost_its_machine_goes_where_there_is_room() {
     for constraint in ["same_place", "apart"] {
-        let options = Options { block_machines: Some(1), ..Options::default() };
+        let options = Options { shard_machines: Some(1), ..Options::default() };
         let c = Cluster::with(2, long(&["run-1"]), options).await;
         let mut body = job("run-1", "free", 1, 16.0, "normal");
         body[constraint] = true.into();
@@ -76,10 +76,10 @@
 }
 
 // Its team's limit lets one task run at a time. The first has ended, and what the
-// record says of it bound the second to the block, which has no machine any more.
+// record says of it bound the second to the shard, which has no machine any more.
 #[tokio::test(start_paused = true)]
 async fn a_job_bound_to_zones_goes_on_elsewhere_once_what_ran_has_ended() {
-    let options = Options { block_machines: Some(1), ..Options::default() };
+    let options = Options { shard_machines: Some(1), ..Options::default() };
     let c = Cluster::with(2, |_| {}, options).await;
     let mut body = job("run-1", "tight", 2, 16.0, "normal");
     body["same_place"] = true.into();
@@ -184,11 +184,11 @@
     }
 }
 
-// Blocks change hands while jobs in them are cancelled by all nodes.
+// Shards change hands while jobs in them are cancelled by all nodes.
 #[tokio::test(start_paused = true)]
 async fn jobs_cancelled_while_a_controllers_work_changes_hands_are_gone_in_time() {
     for step in 0..10 {
-        let options = Options { block_machines: Some(1), ..Options::default() };
+        let options = Options { shard_machines: Some(1), ..Options::default() };
         let c = Cluster::with(6, long(&["run-1", "run-2", "run-3", "run-4"]), options).await;
         for id in ["run-1", "run-2", "run-3", "run-4"] {
             c.submit(id, "free", 6, 3.0, "normal").await;
@@ -242,7 +242,7 @@
         c.net.deliver().await;
         c.until_stage("run-1", "done").await;
         assert!(c.net.matched(Action::LoseAnswer) > 0 && old.is_some());
-        // Every machine is in one group, hence one block, or returned.
+        // Every machine is in one group, hence one shard, or returned.
         for machine in c.cloud.machines() {
             assert_eq!(c.groups_with(&machine), 1, "{machine}");
         }
@@ -259,7 +259,7 @@
 async fn old_reports_that_reach_every_controller_as_a_leader_begins_prove_nothing() {
     let everywhere: Vec<String> = (0..3).map(address).collect();
     for step in 0..8 {
-        let options = Options { block_machines: Some(2), ..Options::default() };
+        let options = Options { shard_machines: Some(2), ..Options::default() };
         let c = Cluster::with(4, long(&["run-1", "run-2"]), options).await;
         // These are from before the tasks are there.
         c.net.rule(Rule::all("", "", Action::Copy).path("/hello").times(60));
@@ -346,7 +346,7 @@
 // Leaders change ten times in two minutes, four of them while the state service is out.
 #[tokio::test(start_paused = true)]
 async fn ten_leaders_in_two_minutes_lose_nothing() {
-    let options = Options { block_machines: Some(2), ..Options::default() };
+    let options = Options { shard_machines: Some(2), ..Options::default() };
     let runs = |t: &mut WorkerTiming| {
         for (id, s) in [("run-1", 60), ("run-2", 170), ("run-3", 20), ("run-4", 5)] {
             t.runs.insert(id.into(), Duration::from_secs(s));
@@ -390,7 +390,7 @@
 #[tokio::test(start_paused = true)]
 async fn jobs_whose_tasks_end_far_apart_across_leaders_are_done_once() {
     for step in 0..6 {
-        let options = Options { block_machines: Some(1), ..Options::default() };
+        let options = Options { shard_machines: Some(1), ..Options::default() };
         let runs = |t: &mut WorkerTiming| {
             t.per_task = true;
             t.runs.extend(["run-1", "run-2", "run-3"].map(|id| (id.into(), Duration::from_secs(10))));
@@ -443,7 +443,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_only_workers_and_users_reach_keeps_no_cancelled_task() {
     for (action, several) in [(Action::Drop, false), (Action::Refuse, false), (Action::Drop, true)] {
-        let options = Options { block_machines: several.then_some(2), ..Options::default() };
+        let options = Options { shard_machines: several.then_some(2), ..Options::default() };
         let c = Cluster::with(4, long(&["run-1", "run-2", "run-3"]), options).await;
         for id in ["run-1", "run-2", "run-3"] {
             c.submit(id, "free", 4, 4.0, "normal").await;
--- a/crates/dapplecroft-controller/tests/stories/five.rs
+++ b/crates/dapplecroft-controller/tests/stories/five.rs
@@ -8,13 +8,13 @@
 
 const NODES: usize = 5;
 
-async fn five(block_machines: Option<usize>) -> Cluster {
+async fn five(shard_machines: Option<usize>) -> Cluster {
     let runs = |t: &mut WorkerTiming| {
         for (id, seconds) in [("run-1", 300), ("run-2", 300), ("run-3", 5)] {
             t.runs.insert(id.into(), Duration::from_secs(seconds));
         }
     };
-    let options = Options { block_machines, ..Options::default() };
+    let options = Options { shard_machines, ..Options::default() };
     let c = Cluster::of(NODES, 10, runs, options, serde_json::Value::Null, |_| {}).await;
     c.submit("run-1", "free", 10, 8.0, "normal").await;
     c.submit("run-2", "tight", 2, 8.0, "normal").await;
@@ -48,8 +48,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_zone_of_five_controllers_is_cut_off_with_its_workers_and_comes_back() {
-    for (leads, block) in [(true, Some(2)), (false, Some(2)), (true, None)] {
-        let c = five(block).await;
+    for (leads, shard) in [(true, Some(2)), (false, Some(2)), (true, None)] {
+        let c = five(shard).await;
         let leader = c.leader().unwrap();
         // Two of five: with the leader, or without it.
         let first = if leads { leader } else { (leader + 1) % NODES };
--- a/crates/dapplecroft-controller/tests/stories/fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/fleet.rs
@@ -44,7 +44,7 @@
         c.net.rule(Rule::all(&machine, &address(cut), Action::Drop));
         c.net.rule(Rule::all(&host(cut), &format!("w:{machine}"), Action::Drop));
     }
-    c.until("it steps back", || c.node(cut).with(|core| core.role.leased_blocks.is_empty())).await;
+    c.until("it steps back", || c.node(cut).with(|core| core.role.leased_shards.is_empty())).await;
     c.net.clear_rules();
     c.until_stage("run-1", "done").await;
     let again = (0..450).filter(|i| c.referee.starts(&format!("run-1/{i}")) > 1).count();
@@ -55,7 +55,7 @@
 // Records of machines once kept allocations from being committed for 25 s.
 #[tokio::test(start_paused = true)]
 async fn a_wave_of_lost_machines_holds_up_no_allocation() {
-    let options = Options { block_machines: Some(1), ..Options::default() };
+    let options = Options { shard_machines: Some(1), ..Options::default() };
     let c = running(40, 300, options).await;
     // Half of what runs can't end; room is on the other machines.
     let lost: BTreeSet<String> = c.cloud.machines().into_iter().take(30).collect();
--- a/crates/dapplecroft-controller/tests/stories/gap.rs
+++ b/crates/dapplecroft-controller/tests/stories/gap.rs
@@ -18,8 +18,8 @@
 }
 
 /// A cluster on which a job to be withdrawn runs, and one that stays.
-async fn running(block_machines: Option<usize>) -> Cluster {
-    let options = Options { block_machines, ..Options::default() };
+async fn running(shard_machines: Option<usize>) -> Cluster {
+    let options = Options { shard_machines, ..Options::default() };
     let c = Cluster::with(6, timing, options).await;
     c.submit("run-1", "free", 18, 4.0, "normal").await;
     c.submit("run-2", "free", 6, 4.0, "normal").await;
--- a/crates/dapplecroft-controller/tests/stories/large_fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/large_fleet.rs
@@ -22,7 +22,7 @@
     c
 }
 
-/// Every machine is in exactly one live controller's blocks and takes work there.
+/// Every machine is in exactly one live controller's shards and takes work there.
 fn all_machines_are_open(c: &Cluster) -> bool {
     let now = Instant::now().into_std();
     let open = |n: usize| c.node(n).with(|core| core.summary(now).open_machines);
@@ -100,8 +100,8 @@
     c.assert_rules_kept();
 }
 
-// A job's record names each block that runs some of it, so with values of 2 KiB one
-// job does not run on all machines at once. Its tasks are allocated to each block in
+// A job's record names each shard that runs some of it, so with values of 2 KiB one
+// job does not run on all machines at once. Its tasks are allocated to each shard in
 // one range; by turns, as they came, it ran 2,880 of them.
 #[tokio::test(start_paused = true)]
 async fn one_job_runs_on_most_of_4000_machines_within_the_smallest_limits() {
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -57,7 +57,7 @@
         }
         t.runs.insert("run-2".into(), Duration::from_millis(300));
     };
-    let options = Options { block_machines: Some(100), ..Options::default() };
+    let options = Options { shard_machines: Some(100), ..Options::default() };
     let mut limits = next();
     limits["now"] = json!({"value_kb": 16.0});
     let c = Cluster::custom(60, adjust, options, limits, Cluster::hold_back).await;
@@ -178,7 +178,7 @@
                 t.runs.insert(id.clone(), Duration::from_secs(if k % 10 == 0 { 200 } else { 25 }));
             }
         };
-        let options = Options { block_machines: Some(60), ..Options::default() };
+        let options = Options { shard_machines: Some(60), ..Options::default() };
         let c = Cluster::custom(40, adjust, options, next(), |_| {}).await;
         c.until("the switch", || c.is_switched()).await;
         c.state.limit(SMALL);
@@ -218,7 +218,7 @@
     let adjust = |t: &mut WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(100));
     };
-    let options = Options { block_machines: Some(120), ..Options::default() };
+    let options = Options { shard_machines: Some(120), ..Options::default() };
     let c = Cluster::mixed(100, adjust, options).await;
     c.submit("run-1", "free", 100, 16.0, "normal").await;
     c.until_running(100).await;
--- a/crates/dapplecroft-controller/tests/stories/main.rs
+++ b/crates/dapplecroft-controller/tests/stories/main.rs
@@ -5,7 +5,6 @@
 
 mod admission;
 mod answers;
-mod blocks;
 mod cells;
 mod checkpoints;
 mod cluster;
@@ -24,6 +23,7 @@
 mod restarts;
 mod service_goals;
 mod services;
+mod shards;
 mod storms;
 mod upgrade;
 mod users;
--- a/crates/dapplecroft-controller/tests/stories/restarts.rs
+++ b/crates/dapplecroft-controller/tests/stories/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of all controllers, with many blocks: every machine is one here.
+//! Restarts of all controllers, with many shards: every machine is one here.
 
 use crate::cluster::{Cluster, STATE, pause};
 use dapplecroft_controller::Options;
@@ -10,7 +10,7 @@
 
 /// A cluster with as many tasks running as it has machines.
 async fn busy(seconds: u64) -> Cluster {
-    let options = Options { block_machines: Some(1), ..Options::default() };
+    let options = Options { shard_machines: Some(1), ..Options::default() };
     let adjust = |t: &mut dapplecroft_fakes::WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(seconds));
     };
@@ -32,30 +32,30 @@
     c.assert_day_ends(&["run-1"]).await;
 }
 
-/// How many blocks each controller that is up holds, by its own belief.
+/// How many shards each controller that is up holds, by its own belief.
 fn held(c: &Cluster, nodes: &[usize]) -> BTreeMap<usize, usize> {
-    nodes.iter().map(|n| (*n, c.node(*n).with(|core| core.role.leased_blocks.len()))).collect()
+    nodes.iter().map(|n| (*n, c.node(*n).with(|core| core.role.leased_shards.len()))).collect()
 }
 
-// The first that is back once took all blocks of a large fleet, drowned in the
+// The first that is back once took all shards of a large fleet, drowned in the
 // workers' reports, and lost its lease and all of them again.
 #[tokio::test(start_paused = true)]
 async fn the_first_back_after_the_end_of_all_leaves_the_others_their_part() {
     let c = busy(60).await;
-    let blocks = c.holders().len();
+    let shards = c.holders().len();
     kill_all(&c);
     pause(6.0).await;
     c.start_node(1);
     c.until("a leader", || c.leader() == Some(1)).await;
     pause(1.5).await;
-    assert!(held(&c, &[1])[&1] <= blocks.div_ceil(3), "{:?} of {blocks}", held(&c, &[1]));
+    assert!(held(&c, &[1])[&1] <= shards.div_ceil(3), "{:?} of {shards}", held(&c, &[1]));
     c.start_node(0);
     c.start_node(2);
-    c.until("all blocks held", || held(&c, &[0, 1, 2]).values().sum::<usize>() == blocks).await;
+    c.until("all blocks held", || held(&c, &[0, 1, 2]).values().sum::<usize>() == shards).await;
     let epochs = |c: &Cluster| -> Vec<u64> {
         c.state.keys("dc/b/").iter().filter_map(|k| c.state.value(k)?["epoch"].as_u64()).collect()
     };
-    // Each block was leased once: all epochs are the new leader's term.
+    // Each shard was leased once: all epochs are the new leader's term.
     let term = epochs(&c).into_iter().max().unwrap();
     assert!(epochs(&c).iter().all(|e| *e == term), "{:?}", epochs(&c));
     assert_nothing_ran_twice(&c).await;
@@ -64,12 +64,12 @@
 #[tokio::test(start_paused = true)]
 async fn one_that_stays_alone_takes_everything_well_before_the_workers_leases_end() {
     let c = busy(60).await;
-    let blocks = c.holders().len();
+    let shards = c.holders().len();
     kill_all(&c);
     pause(6.0).await;
     c.start_node(2);
     pause(12.0).await;
-    assert_eq!(held(&c, &[2])[&2], blocks);
+    assert_eq!(held(&c, &[2])[&2], shards);
     c.until_stage("run-1", "done").await;
     c.start_node(0);
     c.start_node(1);
--- a/crates/dapplecroft-controller/tests/stories/service_goals.rs
+++ b/crates/dapplecroft-controller/tests/stories/service_goals.rs
@@ -169,7 +169,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_controller_that_has_only_its_workers_left_gives_way_in_time() {
-    let options = Options { block_machines: Some(1), ..Options::default() };
+    let options = Options { shard_machines: Some(1), ..Options::default() };
     let c = Cluster::with(4, lasting(&[("run-1", 90), ("run-2", 300)]), options).await;
     c.submit("run-1", "free", 4, 8.0, "normal").await;
     c.submit("run-2", "free", 2, 8.0, "normal").await;
--- a/crates/dapplecroft-controller/tests/stories/services.rs
+++ b/crates/dapplecroft-controller/tests/stories/services.rs
@@ -220,7 +220,7 @@
 #[tokio::test(start_paused = true)]
 async fn all_controllers_end_and_every_replica_runs_on() {
     for back_after in [0.1, 6.0] {
-        let options = Options { block_machines: Some(1), ..Options::default() };
+        let options = Options { shard_machines: Some(1), ..Options::default() };
         let c = Cluster::with(6, for_ever(&["run-1"]), options).await;
         c.serve("run-1", "free", 6, 16.0).await;
         c.until_all_serve().await;
--- a/crates/dapplecroft-controller/tests/stories/blocks.rs
+++ b/crates/dapplecroft-controller/tests/stories/shards.rs
@@ -1,4 +1,4 @@
-//! Several blocks on several controllers: every machine is a block here.
+//! Several shards on several controllers: every machine is a shard here.
 
 use crate::cluster::{Cluster, STATE, host, pause};
 use dapplecroft_controller::Options;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 async fn spread(capacity: usize, runs: &'static [(&'static str, u64)]) -> Cluster {
-    let options = Options { block_machines: Some(1), ..Options::default() };
+    let options = Options { shard_machines: Some(1), ..Options::default() };
     let adjust = |t: &mut dapplecroft_fakes::WorkerTiming| {
         for (job, seconds) in runs {
             t.runs.insert(job.to_string(), Duration::from_secs(*seconds));
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn blocks_are_spread_over_all_controllers_and_each_commands_its_own() {
+async fn shards_are_spread_over_all_controllers_and_each_commands_its_own() {
     let c = spread(6, &[("run-1", 30)]).await;
     c.submit("run-1", "free", 6, 16.0, "normal").await;
     c.until_running(6).await;
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_loss_of_one_controller_moves_its_blocks_and_ends_no_task() {
+async fn the_loss_of_one_controller_moves_its_shards_and_ends_no_task() {
     for back_after in [0.1, 3.0, 30.0] {
         let c = spread(6, &[("run-1", 60)]).await;
         c.submit("run-1", "free", 12, 8.0, "normal").await;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn quota_holds_across_blocks_handovers_and_leaders() {
+async fn quota_holds_across_shards_handovers_and_leaders() {
     let c = spread(5, &[("run-1", 25), ("run-2", 10), ("run-3", 10)]).await;
     c.submit("run-1", "tight", 3, 8.0, "normal").await;
     c.submit("run-2", "tight", 4, 4.0, "normal").await;
@@ -131,12 +131,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_taken_back_from_a_block_is_placed_only_elsewhere() {
+async fn what_is_taken_back_from_a_shard_is_placed_only_elsewhere() {
     let c = spread(4, &[("run-1", 40), ("run-2", 40)]).await;
     c.submit("run-1", "free", 4, 16.0, "normal").await;
     c.until_running(4).await;
     // A holder's placements don't get through; the leader takes the tasks back
-    // from its blocks when another has room.
+    // from its shards when another has room.
     let leader = c.leader().unwrap();
     let slow = (0..3).find(|n| *n != leader).unwrap();
     c.net.rule(Rule::all(&host(slow), STATE, Action::Hold).path("/multi").body("dc/q/").times(6));
--- a/crates/dapplecroft-controller/tests/stories/storms.rs
+++ b/crates/dapplecroft-controller/tests/stories/storms.rs
@@ -27,8 +27,8 @@
 impl Storm {
     async fn begin(seed: u64) -> Storm {
         let mut random = StdRng::seed_from_u64(seed);
-        let block = [None, Some(1), Some(2)][random.random_range(0..3)];
-        let options = Options { block_machines: block, ..Options::default() };
+        let shard = [None, Some(1), Some(2)][random.random_range(0..3)];
+        let options = Options { shard_machines: shard, ..Options::default() };
         let runs = |t: &mut WorkerTiming| {
             for k in 0..200 {
                 t.runs.insert(format!("run-{k}"), Duration::from_secs([2, 9, 25, 60][k % 4]));
--- a/crates/dapplecroft-controller/tests/stories/upgrade.rs
+++ b/crates/dapplecroft-controller/tests/stories/upgrade.rs
@@ -18,10 +18,10 @@
     t.runs.insert("run-5".into(), Duration::from_secs(1_000_000));
 }
 
-/// Six machines in blocks of two, in use, with all controllers of the first
+/// Six machines in shards of two, in use, with all controllers of the first
 /// version.
 async fn old() -> Cluster {
-    let options = Options { block_machines: Some(2), ..Options::default() };
+    let options = Options { shard_machines: Some(2), ..Options::default() };
     let c = Cluster::mixed(6, long, options).await;
     c.submit("run-1", "free", 18, 4.0, "normal").await;
     c.until_running(18).await;
@@ -257,7 +257,7 @@
 /// An old leader and holder that writes and commands by the frozen layout, with
 /// requests as production made them, then ends.
 #[tokio::test(start_paused = true)]
-async fn a_block_goes_from_an_old_holder_to_a_new_one_with_all_that_runs() {
+async fn a_shard_goes_from_an_old_holder_to_a_new_one_with_all_that_runs() {
     let c = Cluster::mixed(2, long, Options::default()).await;
     c.submit("run-1", "free", 2, 4.0, "normal").await;
     c.until_running(2).await;
@@ -278,7 +278,7 @@
             (answer.status, serde_json::from_slice::<Value>(&answer.body).unwrap())
         }
     };
-    // It leads, leases itself block 0, and places a third task there.
+    // It leads, leases itself shard 0, and places a third task there.
     let lease = send(Method::POST, "/grants", json!({"life_ms": 4000})).await.1["tenancy"].clone();
     let set = |key: &str, data: Value| json!({"set": key, "data": data});
     let own = json!({"host": "crofter-0", "identity": "old", "lease": lease});
@@ -286,7 +286,7 @@
         {"set": "dc/leader", "data": {"host": "crofter-0", "identity": "old"}, "tenancy": lease}]);
     assert_eq!(send(Method::POST, "/multi", json!({"when": [], "then": keys})).await.0, 200);
     let epoch = c.state.value("dc/b/0").unwrap()["epoch"].as_u64().unwrap() + 100;
-    let block = json!({"host": "crofter-0", "identity": "old", "epoch": epoch});
+    let shard = json!({"host": "crofter-0", "identity": "old", "epoch": epoch});
     let mut load = c.state.value("dc/p/0").unwrap();
     let machine = load["m"].as_object().unwrap().keys().next().unwrap().clone();
     let jobs = load["j"].as_array_mut().unwrap();
@@ -296,7 +296,7 @@
     let mut spec = job("run-8", "free", 1, 2.0, "urgent");
     spec.as_object_mut().unwrap().retain(|_, v| !v.is_null());
     let record = json!({"stage": "open", "tasks": 1, "to": {"0": [[0, 0]]}, "at": 1.0, "spec": spec});
-    let then = json!([set("dc/b/0", block), set("dc/j/run-8", record), set("dc/p/0", load)]);
+    let then = json!([set("dc/b/0", shard), set("dc/j/run-8", record), set("dc/p/0", load)]);
     c.referee.job("run-8", "free", 2.0);
     c.referee.accepted("run-8");
     assert_eq!(send(Method::POST, "/multi", json!({"when": [], "then": then})).await.0, 200);
--- a/crates/dapplecroft-controller/tests/stories/zones.rs
+++ b/crates/dapplecroft-controller/tests/stories/zones.rs
@@ -5,13 +5,13 @@
 use dapplecroft_fakes::{Action, PlacementConstraint, Rule, WorkerTiming};
 use std::time::Duration;
 
-async fn two_zones(block_machines: Option<usize>) -> Cluster {
+async fn two_zones(shard_machines: Option<usize>) -> Cluster {
     let runs = |t: &mut WorkerTiming| {
         for k in 1..=4 {
             t.runs.insert(format!("run-{k}"), Duration::from_secs(300));
         }
     };
-    let options = Options { block_machines, ..Options::default() };
+    let options = Options { shard_machines, ..Options::default() };
     let prepare = |c: &Cluster| c.cloud.add_zones(&["y"]);
     let c = Cluster::custom(12, runs, options, serde_json::Value::Null, prepare).await;
     // One job for each zone, so that machines are up in both; one that is all in one
@@ -54,8 +54,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_zone_that_is_cut_off_for_longer_than_a_lease_breaks_no_rule() {
-    for (leads, block) in [(true, None), (false, None), (true, Some(3)), (false, Some(3))] {
-        let c = two_zones(block).await;
+    for (leads, shard) in [(true, None), (false, None), (true, Some(3)), (false, Some(3))] {
+        let c = two_zones(shard).await;
         assert!(!in_zone(&c, "y").is_empty() && !in_zone(&c, "z").is_empty());
         let leader = c.leader().unwrap();
         let inside = if leads { leader } else { (leader + 1) % 3 };
@@ -64,7 +64,7 @@
         c.withdraw(outside, "run-1").await;
         for _ in 0..CANCEL.as_secs() + 8 {
             pause(1.0).await;
-            assert_eq!(c.referee.broken(), Vec::<String>::new(), "leader inside: {leads}, {block:?}");
+            assert_eq!(c.referee.broken(), Vec::<String>::new(), "leader inside: {leads}, {shard:?}");
         }
         assert!(c.net.matched(Action::Drop) > 20);
         assert!(!c.referee.on().keys().any(|t| t.starts_with("run-1/")));
@@ -72,7 +72,7 @@
         c.apart.lock().unwrap().clear();
         for _ in 0..30 {
             pause(1.0).await;
-            assert_eq!(c.referee.broken(), Vec::<String>::new(), "leader inside: {leads}, {block:?}");
+            assert_eq!(c.referee.broken(), Vec::<String>::new(), "leader inside: {leads}, {shard:?}");
         }
         assert_eq!(c.referee.late_starts(), Vec::<String>::new());
         let on = |job: &str| c.referee.on().keys().filter(|t| t.starts_with(job)).count();
@@ -85,8 +85,8 @@
 // nobody reaches still counts.
 #[tokio::test(start_paused = true)]
 async fn bound_arrays_that_lose_machines_start_nothing_in_a_wrong_place() {
-    for (round, block) in [(0, None), (1, Some(3)), (2, Some(3)), (3, None)] {
-        let c = two_zones(block).await;
+    for (round, shard) in [(0, None), (1, Some(3)), (2, Some(3)), (3, None)] {
+        let c = two_zones(shard).await;
         for step in 0..4 {
             let machines = c.cloud.machines();
             let one = machines[(step * 3 + round) % machines.len()].clone();
@@ -124,7 +124,7 @@
             }
         };
         let prepare = |c: &Cluster| c.cloud.add_zones(&["y"]);
-        let options = Options { block_machines: Some(3), ..Options::default() };
+        let options = Options { shard_machines: Some(3), ..Options::default() };
         let c = Cluster::of(5, 12, runs, options, serde_json::Value::Null, prepare).await;
         for (id, zone) in [("run-1", Some("y")), ("run-2", Some("z")), ("run-3", None)] {
             let mut body = job(id, "free", 4, 8.0, "normal");
--- a/crates/dapplecroft/src/options.rs
+++ b/crates/dapplecroft/src/options.rs
@@ -87,7 +87,7 @@
         }
     };
     set(&mut options.node_lease, seconds("node_lease_s", 1.0, 60.0)?);
-    set(&mut options.block_lease, seconds("block_lease_s", 2.0, 600.0)?);
+    set(&mut options.shard_lease, seconds("block_lease_s", 2.0, 600.0)?);
     set(&mut options.drain_every, seconds("drain_every_s", 1.0, 3600.0)?);
     set(&mut options.drain_window, seconds("drain_window_s", 1.0, 3600.0)?);
     set(&mut options.preempt_limit, seconds("preempt_limit_s", 0.0, 86400.0)?);
@@ -97,7 +97,7 @@
         options.max_requests = most as usize;
     }
     if let Some(machines) = number("block_machines", 1.0, MAX_MACHINES)? {
-        options.block_machines = Some(machines as usize);
+        options.shard_machines = Some(machines as usize);
     }
     if let Some(machines) = number("standby_machines", 0.0, MAX_MACHINES)? {
         options.standby_machines = machines as usize;
@@ -118,7 +118,7 @@
     let count = |number: usize| u32::try_from(number).ok().map(Value::U32);
     let fields = [
         ("node_lease_s", seconds(options.node_lease)),
-        ("block_lease_s", seconds(options.block_lease)),
+        ("block_lease_s", seconds(options.shard_lease)),
         ("drain_every_s", seconds(options.drain_every)),
         ("drain_trigger", Some(Value::F64(options.drain_trigger))),
         ("drain_window_s", seconds(options.drain_window)),
@@ -127,7 +127,7 @@
         ("idle_return_s", options.idle_return.and_then(seconds)),
         ("max_requests", count(options.max_requests)),
         ("thrift", Some(Value::Bool(options.thrift))),
-        ("block_machines", options.block_machines.and_then(count)),
+        ("block_machines", options.shard_machines.and_then(count)),
         ("standby_machines", count(options.standby_machines)),
     ];
     for (name, value) in fields {
--- a/crates/dapplecroft/src/options/tests.rs
+++ b/crates/dapplecroft/src/options/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn machines_of_large_fleets_can_be_named() {
     let options = parse("block_machines: 4000 standby_machines: 4000").unwrap();
-    assert_eq!((options.block_machines, options.standby_machines), (Some(4000), 4000));
+    assert_eq!((options.shard_machines, options.standby_machines), (Some(4000), 4000));
     assert_eq!(
         parse("block_machines: 0").unwrap_err().to_string(),
         "block_machines: must be from 1 to 1000000, is 0"
