--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -7,7 +7,7 @@
 use crate::node::{Node, now};
 use dapplecroft_admission::Spending;
 use dapplecroft_federation::{CellId, Epoch, Federation, TransferRequest, TransferState};
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use dapplecroft_state::{Unit, UnitResult};
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest, TransferAnswer};
 use std::net::IpAddr;
@@ -91,7 +91,7 @@
         for transfer in transfers {
             let (node, cell, taken) = (self.clone(), cell.clone(), offered_cpus);
             offered_cpus += transfer.spec.as_ref().map_or(0, |spec| {
-                Amounts::new(spec.cpus, spec.gpus, spec.memory_gb).cpus * i64::from(spec.tasks)
+                Resources::new(spec.cpus, spec.gpus, spec.memory_gb).cpus * i64::from(spec.tasks)
             });
             work.spawn(async move {
                 let answer = node.answer_transfer(&cell, &transfer, taken);
--- a/crates/dapplecroft-controller/src/cells/convert.rs
+++ b/crates/dapplecroft-controller/src/cells/convert.rs
@@ -4,7 +4,7 @@
 use crate::core::AwayRequest;
 use dapplecroft_federation::summary::{Room, Summary};
 use dapplecroft_federation::{CellId, Epoch, TransferRequest, TransferState};
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use dapplecroft_wire::cells::{
     Cell, ExchangeReply, ExchangeRequest, MachineRoom, Transfer, TransferAnswer, TransferKind,
     TransferStateKind,
@@ -159,8 +159,8 @@
         machine_type: room.machine_type.clone(),
         zone: room.zone.clone(),
         spot: room.spot,
-        free: Amounts { cpus: room.free_cpus, gpus: room.free_gpus, memory: room.free_memory },
-        capacity: Amounts { cpus: room.cpus, gpus: room.gpus, memory: room.memory },
+        free: Resources { cpus: room.free_cpus, gpus: room.free_gpus, memory: room.free_memory },
+        capacity: Resources { cpus: room.cpus, gpus: room.gpus, memory: room.memory },
         count: room.count.max(0),
     }
 }
--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -5,7 +5,7 @@
 use crate::jobs::OpenJob;
 use crate::ranges::Ranges;
 use crate::records::{SegmentId, stored_size};
-use dapplecroft_sched::{Amounts, Candidate, ImagePresence, best_fit};
+use dapplecroft_sched::{Candidate, ImagePresence, Resources, best_fit};
 use dapplecroft_wire::peer::{BlockRoom, FreedRoom, RoomReply};
 use dapplecroft_wire::users::Rank;
 use std::cmp::Reverse;
@@ -35,7 +35,7 @@
 pub(super) struct Hint {
     version: u64,
     at: Instant,
-    pub(super) freed: HashMap<Arc<str>, Amounts>,
+    pub(super) freed: HashMap<Arc<str>, Resources>,
 }
 
 /// What a shard could start of a job.
@@ -97,12 +97,12 @@
     pub fn freed_room(&self) -> RoomReply {
         let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
-            let mut freed = Amounts::default();
+            let mut freed = Resources::default();
             let mut home = None;
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
                 if let Some(placed) = job.placed.get(&task.index).filter(|p| p.freed) {
-                    freed += job.need.amounts;
+                    freed += job.requirements.resources;
                     home = Some(placed.home);
                 }
             }
@@ -138,8 +138,8 @@
                 .freed
                 .iter()
                 .map(|f| {
-                    let amounts = Amounts { cpus: f.cpus, gpus: f.gpus, memory: f.memory };
-                    (f.machine.as_str().into(), amounts)
+                    let resources = Resources { cpus: f.cpus, gpus: f.gpus, memory: f.memory };
+                    (f.machine.as_str().into(), resources)
                 })
                 .collect();
             self.hints.insert(home, Hint { version: current, at: now, freed });
@@ -169,7 +169,7 @@
             let Some(job) = self.open_job(id) else { continue };
             for (shard, waiting) in &job.waiting {
                 let count = i64::from(waiting.len());
-                *round.backlog.entry(*shard).or_default() += job.need.amounts.cpus * count;
+                *round.backlog.entry(*shard).or_default() += job.requirements.resources.cpus * count;
                 if self.is_holder(*shard) {
                     continue;
                 }
@@ -181,8 +181,9 @@
     fn reserve(&self, id: &Arc<str>, job: &OpenJob, shard: u32, count: i64, round: &mut Round, now: Instant) {
         let machines = self.candidates(id, job, shard, &round.reserved, now);
         let candidates: Vec<Candidate> = machines.iter().map(|(_, c)| *c).collect();
-        for (index, n) in best_fit(&candidates, &job.need.amounts, count) {
-            *round.reserved.entry(machines[index].0.clone()).or_default() += job.need.amounts.times(n);
+        for (index, n) in best_fit(&candidates, &job.requirements.resources, count) {
+            *round.reserved.entry(machines[index].0.clone()).or_default() +=
+                job.requirements.resources.times(n);
         }
     }
 
@@ -195,9 +196,9 @@
             used: job.record.allocated.contains_key(&shard),
         };
         for (_, c) in self.candidates(id, job, shard, &round.reserved, now) {
-            let n = job.need.amounts.times_in(&(c.capacity - c.booked)).max(1);
+            let n = job.requirements.resources.times_in(&(c.capacity - c.booked)).max(1);
             fit.total += n;
-            if c.booked != Amounts::default() {
+            if c.booked != Resources::default() {
                 fit.tight += n;
             }
             if c.image != ImagePresence::No {
@@ -219,15 +220,15 @@
             return;
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
-        let headroom = book.headroom(&job.need.amounts);
+        let headroom = book.headroom(&job.requirements.resources);
         let most = i64::try_from(round.most).unwrap_or(i64::MAX);
         let mut left = i64::from(job.unallocated.len()).min(headroom).min(most);
         if left <= 0 {
             return;
         }
-        let need = job.need.clone();
+        let requirements = job.requirements.clone();
         let spare = job.failed_on.is_empty();
-        if round.is_full(None, &need) {
+        if round.is_full(None, &requirements) {
             return self.allocate_ahead(id, left, round, now);
         }
         let constrained = job.is_constrained();
@@ -260,7 +261,7 @@
         }
         if left > 0 && !constrained && round.left > 0 {
             if spare {
-                round.full.push((None, need));
+                round.full.push((None, requirements));
             }
             self.allocate_ahead(id, left, round, now);
         }
@@ -279,7 +280,7 @@
     ) -> Vec<ShardFit> {
         let may_fit = |shard: u32, machines: &BTreeSet<(i64, Arc<str>)>| {
             let most = machines.last().map_or(-1, |(free, _)| *free);
-            most >= job.need.amounts.cpus || !self.hinted(shard, now).is_empty()
+            most >= job.requirements.resources.cpus || !self.hinted(shard, now).is_empty()
         };
         let mut fits: Vec<ShardFit> = self
             .machines_by_free_cpus
@@ -328,7 +329,7 @@
             self.reserve(id, job, shard, i64::from(count), round, now);
         }
         if !self.is_holder(shard) || round.scarce {
-            *round.backlog.entry(shard).or_default() += job.need.amounts.cpus * i64::from(count);
+            *round.backlog.entry(shard).or_default() += job.requirements.resources.cpus * i64::from(count);
         }
         true
     }
@@ -349,10 +350,11 @@
         // As many as a shard full of the largest machines takes: this does not change
         // while the fleet grows.
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
-        let allowed = types.filter(|t| job.need.types.as_ref().is_none_or(|names| names.contains(&t.name)));
+        let allowed =
+            types.filter(|t| job.requirements.types.as_ref().is_none_or(|names| names.contains(&t.name)));
         let on_one = allowed.map(|t| {
-            let capacity = Amounts::new(t.cpus, t.gpus, t.memory_gb);
-            job.need.amounts.times_in(&capacity)
+            let capacity = Resources::new(t.cpus, t.gpus, t.memory_gb);
+            job.requirements.resources.times_in(&capacity)
         });
         let part = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
         (u64::from(shard) * part % u64::from(job.record.tasks)) as u32
@@ -374,22 +376,26 @@
     /// in larger ranges takes fewer of them.
     fn allocate_ahead(&mut self, id: &Arc<str>, left: i64, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
-        let need = job.need.clone();
-        let cpus = need.amounts.cpus;
+        let requirements = job.requirements.clone();
+        let cpus = requirements.resources.cpus;
         let urgent = job.spec.priority < Rank::Normal;
-        let limited = job.is_constrained() || need.types.is_some() || need.zone.is_some();
+        let limited = job.is_constrained() || requirements.types.is_some() || requirements.zone.is_some();
         let service = job.is_service();
         // What can't run on spot machines is taken ahead only if it is urgent,
         // since it may have to be made room for.
-        if cpus <= 0 || limited || (!need.spot && !urgent) || round.ahead_full.is_some_and(|c| cpus >= c) {
+        if cpus <= 0
+            || limited
+            || (!requirements.spot && !urgent)
+            || round.ahead_full.is_some_and(|c| cpus >= c)
+        {
             return;
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
         // What waits in a shard is taken from the team's limit: not all of it.
         let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
-        let left = if unlimited { left } else { left.min(book.headroom(&need.amounts) / 2) };
+        let left = if unlimited { left } else { left.min(book.headroom(&requirements.resources) / 2) };
         let part = if urgent { URGENT_BACKLOG } else { BACKLOG };
-        let sizes = if need.spot { &round.sizes } else { &round.ordinary };
+        let sizes = if requirements.spot { &round.sizes } else { &round.ordinary };
         let best = sizes
             .iter()
             .filter(|(b, _)| self.is_served(**b) && (round.scarce || service || !self.is_holder(**b)))
@@ -431,7 +437,7 @@
                 .machines_by_free_cpus
                 .iter()
                 .filter(|(b, m)| {
-                    **b != shard && m.last().is_some_and(|(free, _)| *free >= job.need.amounts.cpus)
+                    **b != shard && m.last().is_some_and(|(free, _)| *free >= job.requirements.resources.cpus)
                 })
                 .any(|(b, _)| self.is_served(*b) && self.fit(id, job, *b, round, now).total > 0);
             let served = self.is_served(shard);
--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -36,7 +36,7 @@
             p if p.stop.is_some() => &mut self.stopping,
             _ => &mut self.running,
         };
-        *use_of += job.need.amounts.cpus;
+        *use_of += job.requirements.resources.cpus;
     }
 
     fn add_machine(&mut self, core: &Core, machine: &Machine, open: bool) {
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -129,7 +129,7 @@
 /// What a task of a job counts among what waits: its processors, and replicas
 /// before all else.
 fn task_priority(job: &OpenJob) -> f64 {
-    let cpus = job.need.amounts.cpus.max(1) as f64;
+    let cpus = job.requirements.resources.cpus.max(1) as f64;
     if job.is_service() { cpus * REPLICA_FACTOR } else { cpus }
 }
 
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/copy.rs
@@ -455,13 +455,13 @@
 
     fn forget_job(&mut self, id: &Arc<str>) {
         if let Some(Job::Open(job)) = self.jobs.get(id) {
-            let amounts = job.need.amounts;
+            let resources = job.requirements.resources;
             let (team, counted) = (job.spec.team.clone(), job.counted);
             let placed: Vec<(u32, Placed)> = job.placed.iter().map(|(i, p)| (*i, p.clone())).collect();
             for (index, placed) in placed {
-                self.unbook(&TaskId { job: id.clone(), index }, &placed, amounts);
+                self.unbook(&TaskId { job: id.clone(), index }, &placed, resources);
             }
-            self.teams.book(&team, amounts.times(-counted));
+            self.teams.book(&team, resources.times(-counted));
             self.jobs.remove(id);
         }
         let completed_records = self.completed_records.remove(id).unwrap_or_default();
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/displace.rs
@@ -4,7 +4,7 @@
 use super::placing::{Unplaced, has_image};
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::machines::Machine;
-use dapplecroft_sched::{Amounts, Claim, ImagePresence, Need, Resident, Slot, pick_victims};
+use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
 use dapplecroft_wire::users::Rank;
 use std::time::{Duration, Instant};
 
@@ -25,16 +25,17 @@
 
 impl Host {
     /// How many tasks fit once all that is leaving has left.
-    fn fits(&self, need: &Need) -> i64 {
-        let leaving: Amounts = self.residents.iter().filter(|r| r.leaving).map(|r| r.need.amounts).sum();
-        need.amounts.times_in(&(self.slot.room() + leaving))
+    fn fits(&self, requirements: &TaskRequirements) -> i64 {
+        let leaving: Resources =
+            self.residents.iter().filter(|r| r.leaving).map(|r| r.requirements.resources).sum();
+        requirements.resources.times_in(&(self.slot.room() + leaving))
     }
 }
 
 /// What room is to be made for.
 struct RoomRequest<'a> {
     /// What each waiting task needs.
-    need: &'a Need,
+    requirements: &'a TaskRequirements,
     /// What entitles it to displace others.
     claim: Claim,
     /// How many tasks wait.
@@ -74,18 +75,18 @@
     request: &RoomRequest<'_>,
     fetch_time: impl Fn(&Host) -> Duration,
 ) -> Displacement {
-    let need = request.need;
+    let requirements = request.requirements;
     let mut wanted = request.wanted;
     for host in hosts.iter_mut() {
-        let allowed = need.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
+        let allowed = requirements.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
         if wanted > 0 && host.slot.open && allowed {
-            let fitting = host.fits(need).min(wanted);
-            host.slot.booked += need.amounts.times(fitting);
+            let fitting = host.fits(requirements).min(wanted);
+            host.slot.booked += requirements.resources.times(fitting);
             wanted -= fitting;
         }
     }
     let choice = |(index, host): (usize, &&mut Host)| {
-        let found = pick_victims(&host.slot, &host.residents, need, request.claim, request.limit)?;
+        let found = pick_victims(&host.slot, &host.residents, requirements, request.claim, request.limit)?;
         let cost = found.lost + found.delay + fetch_time(host);
         Some(Choice { cost, host: index, lost: found.lost, victims: found.residents })
     };
@@ -102,8 +103,8 @@
             displacement.tasks.push(host.tasks[victim].clone());
         }
         displacement.lost += choice.lost;
-        let fitting = host.fits(need).clamp(1, wanted);
-        host.slot.booked += need.amounts.times(fitting);
+        let fitting = host.fits(requirements).clamp(1, wanted);
+        host.slot.booked += requirements.resources.times(fitting);
         wanted -= fitting;
     }
     displacement
@@ -139,7 +140,7 @@
             let progress = job.progress(placed, now);
             let resident = Resident {
                 slot,
-                need: job.need.clone(),
+                requirements: job.requirements.clone(),
                 age: progress.age,
                 loss: progress.loss(),
                 save_time: progress.time_to_save().unwrap_or_default(),
@@ -200,7 +201,8 @@
                 // made elsewhere would be filled by others and made again.
                 let mut own: Vec<&mut Host> =
                     hosts.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
-                let request = RoomRequest { need: &unplaced.need, claim, wanted, most: left, limit };
+                let request =
+                    RoomRequest { requirements: &unplaced.requirements, claim, wanted, most: left, limit };
                 let displacement = make_room(&mut own, &request, fetch_time);
                 left -= displacement.tasks.len();
                 lost += displacement.lost;
@@ -218,7 +220,7 @@
     /// How long the image of a job's tasks takes on a machine.
     fn fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
-        if has_image(machine, &job.need) != ImagePresence::No {
+        if has_image(machine, &job.requirements) != ImagePresence::No {
             return Duration::ZERO;
         }
         let rate = f64::from(self.fetch_rate(&machine.machine_type)) / 1000.0;
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
-use dapplecroft_sched::{Need, RepackRules, Resident, Slot, plan_repack};
+use dapplecroft_sched::{RepackRules, Resident, Slot, TaskRequirements, plan_repack};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::VecDeque;
@@ -109,20 +109,21 @@
 
     /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
     /// that are put off after failures are not among them.
-    fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, Need)> {
+    fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
             let ready = job.is_open() && job.not_before.is_none_or(|at| at <= now) && job.failures == 0;
             let team = self.teams.get(&job.spec.team);
-            let may_be_allocated =
-                leads && !job.unallocated.is_empty() && team.is_some_and(|t| t.allocates(&job.need.amounts));
+            let may_be_allocated = leads
+                && !job.unallocated.is_empty()
+                && team.is_some_and(|t| t.allocates(&job.requirements.resources));
             ready && (job.waiting_in(shard) > 0 || may_be_allocated)
         };
         let waiting = self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?)));
         waiting
             .filter(|(_, job)| may_start(job))
             .filter(|(id, job)| self.candidates(id, job, shard, &Default::default(), now).is_empty())
-            .map(|(id, job)| (&**id, (*job.need).clone()))
+            .map(|(id, job)| (&**id, (*job.requirements).clone()))
             .collect()
     }
 
@@ -131,7 +132,7 @@
         if waiting.is_empty() {
             return None;
         }
-        let needs: Vec<Need> = waiting.iter().map(|(_, n)| n.clone()).collect();
+        let task_requirements: Vec<TaskRequirements> = waiting.iter().map(|(_, n)| n.clone()).collect();
         let mut slots: Vec<Slot> = Vec::new();
         let mut tasks: Vec<TaskId> = Vec::new();
         let mut residents: Vec<Resident> = Vec::new();
@@ -147,7 +148,7 @@
             cap: self.cap(now),
             oldest: self.options.drain_every,
         };
-        let plan = plan_repack(&needs, &slots, &residents, rules)?;
+        let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
         let moves = plan
             .moves
             .iter()
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -55,17 +55,17 @@
     }
 
     fn wish(&self) -> Wish {
-        Wish { need: (*self.need).clone(), tasks: self.record.tasks }
+        Wish { requirements: (*self.requirements).clone(), tasks: self.record.tasks }
     }
 }
 
 /// Takes room for as many of `count` tasks as there is; returns how many found some.
 fn take_room(rooms: &mut Vec<PendingCapacity>, wish: &Wish) -> i64 {
-    let need = &wish.need;
+    let requirements = &wish.requirements;
     let mut left = i64::from(wish.tasks);
     let mut used: Vec<PendingCapacity> = Vec::new();
-    for room in rooms.iter_mut().filter(|r| need.allows(&r.machine_type, &r.zone, r.spot)) {
-        let each = need.amounts.times_in(&room.room);
+    for room in rooms.iter_mut().filter(|r| requirements.allows(&r.machine_type, &r.zone, r.spot)) {
+        let each = requirements.resources.times_in(&room.room);
         if each == 0 || left == 0 {
             continue;
         }
@@ -74,7 +74,7 @@
         left -= taken;
         room.count -= machines;
         used.push(PendingCapacity {
-            room: room.room - need.amounts.times(each),
+            room: room.room - requirements.resources.times(each),
             count: machines,
             ..room.clone()
         });
@@ -100,10 +100,10 @@
         for (id, job) in waiting {
             let wish = job.wish();
             let has_room = take_room(&mut rooms, &wish) > 0;
-            let need = &job.need;
+            let requirements = &job.requirements;
             let rentable = offers.iter().any(|offer| {
-                need.allows(&offer.machine_type, &offer.zone, offer.spot)
-                    && need.amounts.fits(&offer.capacity)
+                requirements.allows(&offer.machine_type, &offer.zone, offer.spot)
+                    && requirements.resources.fits(&offer.capacity)
             });
             let waited = now.saturating_duration_since(job.learned) >= federation.spill_after;
             if waited && !has_room && !rentable && self.may_leave(id, job) {
@@ -120,7 +120,8 @@
     /// for its team's limit. One that visits is not passed on: one hop at most.
     fn may_leave(&self, id: &Arc<str>, job: &OpenJob) -> bool {
         let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
-        let headroom = self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.need.amounts) > 0);
+        let headroom =
+            self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
         let in_flight = self.commits.is_in_flight(&Subject::Job(id.clone()));
         plain && headroom && !in_flight && job.is_untouched(self.followed)
     }
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -11,7 +11,7 @@
 use dapplecroft_federation::{
     CellId, Epoch, Origin, RefusalRecord, TransferRequest, TransferState, Visit, VisitorStep,
 };
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::JobSpec;
@@ -181,7 +181,9 @@
     /// Processors of other cells' jobs that are not over.
     fn visiting_cpus(&self) -> i64 {
         let open = self.federation.visits.keys().filter_map(|id| self.open_job(id));
-        open.filter(|job| job.is_open()).map(|job| job.need.amounts.cpus * i64::from(job.left())).sum()
+        open.filter(|job| job.is_open())
+            .map(|job| job.requirements.resources.cpus * i64::from(job.left()))
+            .sum()
     }
 
     /// Processors that other cells' jobs may still ask for: a share of what is up and of
@@ -195,16 +197,16 @@
     }
 
     fn backlog_cpus(&self) -> i64 {
-        self.unplaced.iter().map(|demand| demand.need.amounts.cpus * demand.count).sum()
+        self.unplaced.iter().map(|demand| demand.requirements.resources.cpus * demand.count).sum()
     }
 
     /// Whether this cell wants to take a job of another one: it could run here, nothing
     /// of this cell's own work waits for room, and the part for visitors is not used up.
     fn has_room_for_visitor(&self, spec: &JobSpec, taken_cpus: i64, now: Instant) -> bool {
         let Some(book) = self.teams.get(&spec.team) else { return false };
-        let amounts = Amounts::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let cpus = amounts.cpus * i64::from(spec.tasks);
-        if spec.is_service() || spec.one_zone || spec.spread || book.headroom(&amounts) == 0 {
+        let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
+        let cpus = resources.cpus * i64::from(spec.tasks);
+        if spec.is_service() || spec.one_zone || spec.spread || book.headroom(&resources) == 0 {
             return false;
         }
         if self.backlog_cpus() > 0 || self.welcome_cpus(now) - taken_cpus < cpus {
@@ -218,7 +220,7 @@
                 && (spec.spot || !room.spot)
         };
         let mut rooms = summary_rooms.iter().chain(&rentable).filter(|room| allowed(room));
-        rooms.any(|room| amounts.fits(&room.free))
+        rooms.any(|room| resources.fits(&room.free))
     }
 
     fn rooms_up(&self) -> Vec<Room> {
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -4,7 +4,7 @@
 use crate::machines::{Fate, Machine};
 use crate::records::{GroupRecord, MemberRecord};
 use dapplecroft_cloud::MAX_RENT;
-use dapplecroft_sched::{Amounts, PendingCapacity, plan_scale_out};
+use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
 use dapplecroft_wire::workers::Report;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -230,7 +230,7 @@
                 machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot,
-                room: Amounts { cpus, gpus, memory },
+                room: Resources { cpus, gpus, memory },
                 count,
             })
             .collect();
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -463,7 +463,7 @@
         let sizes: BTreeMap<&str, _> = catalog
             .machine_types
             .iter()
-            .map(|h| (h.name.as_str(), dapplecroft_sched::Amounts::new(h.cpus, h.gpus, h.memory_gb)))
+            .map(|h| (h.name.as_str(), dapplecroft_sched::Resources::new(h.cpus, h.gpus, h.memory_gb)))
             .collect();
         for machine in self.machines.values_mut() {
             let Some(size) = sizes.get(machine.machine_type.as_str()) else { continue };
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -109,7 +109,7 @@
         // No more of it runs at a time than its team's limit lets.
         let tasks = i64::from(job.record.tasks);
         let limit = self.teams.get(&job.spec.team).map_or(0, |team| team.limit.cpus);
-        let cpus = job.need.amounts.cpus * tasks;
+        let cpus = job.requirements.resources.cpus * tasks;
         let cpus = if limit > 0 { cpus.min(limit) } else { cpus };
         let run_time = Duration::try_from_secs_f64(job.spec.estimate_s).unwrap_or_default();
         self.arrivals.note(cpus, run_time, now);
--- a/crates/dapplecroft-controller/src/core/machine_fate.rs
+++ b/crates/dapplecroft-controller/src/core/machine_fate.rs
@@ -3,7 +3,7 @@
 
 use super::{Core, FleetActions};
 use crate::machines::{Fate, Machine};
-use dapplecroft_sched::Need;
+use dapplecroft_sched::TaskRequirements;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 const MOST_FAILED_JOBS: usize = 2;
 
 /// Idle machines of which work waits: what each task needs, and how many tasks.
-type WantedNeeds = Vec<(Arc<Need>, i64)>;
+type WantedRequirements = Vec<(Arc<TaskRequirements>, i64)>;
 
 /// What the fates of all machines are decided by.
 struct FateRules {
@@ -103,7 +103,7 @@
     /// or nothing has needed it for long. Renting it again would cost its boot
     /// time, so it is kept a while, the dearer the shorter; and a machine is paid
     /// for a minute in any case.
-    fn judge_use(&self, machine: &mut Machine, wanted: &mut WantedNeeds) {
+    fn judge_use(&self, machine: &mut Machine, wanted: &mut WantedRequirements) {
         if machine.fate != Fate::Keep {
             return;
         }
@@ -126,14 +126,14 @@
 
 /// Whether work waits that an idle machine would do for; what it takes of that
 /// keeps no other machine.
-fn take_wanted(machine: &Machine, wanted: &mut WantedNeeds) -> bool {
-    let found = wanted.iter_mut().find(|(need, count)| {
+fn take_wanted(machine: &Machine, wanted: &mut WantedRequirements) -> bool {
+    let found = wanted.iter_mut().find(|(requirements, count)| {
         *count > 0
-            && need.allows(&machine.machine_type, &machine.zone, machine.spot)
-            && need.amounts.fits(&machine.capacity)
+            && requirements.allows(&machine.machine_type, &machine.zone, machine.spot)
+            && requirements.resources.fits(&machine.capacity)
     });
-    let Some((need, count)) = found else { return false };
-    *count -= need.amounts.times_in(&machine.capacity);
+    let Some((requirements, count)) = found else { return false };
+    *count -= requirements.resources.times_in(&machine.capacity);
     true
 }
 
@@ -143,7 +143,7 @@
     pub(super) fn judge_machines(&mut self, actions: &mut FleetActions, now: Instant) -> BTreeSet<Arc<str>> {
         let surplus = self.surplus_machines(now);
         let rules = self.fate_rules(surplus, now);
-        let mut wanted = self.wanted_needs();
+        let mut wanted = self.wanted_requirements();
         let leased = &self.role.leased_shards;
         let own = |m: &Machine| m.group.is_some() && leased.contains_key(&m.shard);
         let mut probes = self.machines.values().filter(|m| own(m) && m.probing).count();
@@ -185,21 +185,22 @@
     /// What work waits that may start as far as its team's limit goes, and how
     /// much: as many idle machines as it needs are not returned, however long
     /// they have been idle.
-    fn wanted_needs(&self) -> WantedNeeds {
-        let mut needs: WantedNeeds = Vec::new();
+    fn wanted_requirements(&self) -> WantedRequirements {
+        let mut task_requirements: WantedRequirements = Vec::new();
         for job in self.waiting.iter().filter_map(|id| self.open_job(id)) {
-            let headroom = self.teams.get(&job.spec.team).map_or(0, |b| b.headroom(&job.need.amounts));
+            let headroom =
+                self.teams.get(&job.spec.team).map_or(0, |b| b.headroom(&job.requirements.resources));
             let allocated: i64 = job.waiting.values().map(|r| i64::from(r.len())).sum();
             let count = allocated + i64::from(job.unallocated.len()).min(headroom);
             if count == 0 || job.failures > 0 {
                 continue;
             }
-            match needs.iter_mut().find(|(need, _)| **need == *job.need) {
+            match task_requirements.iter_mut().find(|(requirements, _)| **requirements == *job.requirements) {
                 Some((_, total)) => *total += count,
-                None => needs.push((job.need.clone(), count)),
+                None => task_requirements.push((job.requirements.clone(), count)),
             }
         }
-        needs
+        task_requirements
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -47,7 +47,7 @@
     DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord, ShardRecord,
 };
 use commit_queue::CommitQueue;
-use dapplecroft_sched::{Amounts, Demand, Teams};
+use dapplecroft_sched::{Demand, Resources, Teams};
 use dapplecroft_wire::cloud::Catalog;
 use dapplecroft_wire::settings::Settings;
 use foldhash::fast::RandomState;
@@ -262,7 +262,7 @@
     /// A core that knows nothing yet.
     pub fn new(settings: Arc<Settings>, options: Options, identity: String) -> Self {
         let teams = Teams::new(settings.params.teams.iter().map(|t| {
-            (t.name.clone(), Amounts::new(t.cpus, t.gpus, 0.0), Amounts::new(t.cpus_max, t.gpus_max, 0.0))
+            (t.name.clone(), Resources::new(t.cpus, t.gpus, 0.0), Resources::new(t.cpus_max, t.gpus_max, 0.0))
         }));
         let credit = credit::CreditState::for_settings(&settings, &options, &identity);
         Core {
@@ -321,13 +321,13 @@
     /// Counts a task on a machine.
     fn book(&mut self, task: &TaskId, machine: &Arc<str>, shard: u32, now: Instant) {
         let Some(job) = self.open_job(&task.job) else { return };
-        let (amounts, image) = (job.need.amounts, job.need.image.clone());
+        let (resources, image) = (job.requirements.resources, job.requirements.image.clone());
         // A placement can name a machine that was released since.
         let machine =
             self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, shard, now));
         if machine.tasks.insert(task.clone()) {
             let before = machine.room().cpus;
-            machine.booked += amounts;
+            machine.booked += resources;
             machine.idle_since = None;
             if let Some(image) = image {
                 machine.note_image(image, false);
@@ -337,13 +337,13 @@
     }
 
     /// Counts a task out again.
-    fn unbook(&mut self, task: &TaskId, placed: &Placed, amounts: Amounts) {
+    fn unbook(&mut self, task: &TaskId, placed: &Placed, resources: Resources) {
         if let Some(machine) = self.machines.get_mut(&placed.machine)
             && machine.tasks.remove(task)
             && !placed.freed
         {
             let before = machine.room().cpus;
-            machine.booked -= amounts;
+            machine.booked -= resources;
             reindex(&mut self.machines_by_free_cpus, machine, before);
         }
         self.wakeups.place = true;
@@ -354,12 +354,12 @@
     /// it or after it, since both are in the same record.
     fn free(&mut self, task: &TaskId) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
-        let amounts = job.need.amounts;
+        let resources = job.requirements.resources;
         let Some(placed) = job.placed.get_mut(&task.index).filter(|p| !p.freed) else { return };
         placed.freed = true;
         if let Some(machine) = self.machines.get_mut(&placed.machine) {
             let before = machine.room().cpus;
-            machine.booked -= amounts;
+            machine.booked -= resources;
             reindex(&mut self.machines_by_free_cpus, machine, before);
         }
         self.wakeups.place = true;
@@ -380,8 +380,8 @@
         };
         let change = counts - job.counted;
         job.counted = counts;
-        let (team, amounts) = (job.spec.team.clone(), job.need.amounts);
-        self.teams.book(&team, amounts.times(change));
+        let (team, resources) = (job.spec.team.clone(), job.requirements.resources);
+        self.teams.book(&team, resources.times(change));
         self.refresh_waiting(id);
     }
 
@@ -452,8 +452,8 @@
             return;
         }
         job.placed.remove(&task.index);
-        let amounts = job.need.amounts;
-        self.unbook(task, placed, amounts);
+        let resources = job.requirements.resources;
+        self.unbook(task, placed, resources);
     }
 
     /// How things stand, for the log.
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -7,7 +7,7 @@
 use super::layout::to_value;
 use crate::machines::Fate;
 use crate::records::{self, stored_size};
-use dapplecroft_sched::{Amounts, Offer, PendingCapacity, ScaleOutRequest};
+use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
@@ -72,7 +72,11 @@
                         machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
-                        capacity: Amounts::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+                        capacity: Resources::new(
+                            machine_type.cpus,
+                            machine_type.gpus,
+                            machine_type.memory_gb,
+                        ),
                         price: if spot { machine_type.spot_price } else { machine_type.price },
                         boot_s: machine_type.boot_s,
                     });
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -6,7 +6,9 @@
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::records::DrainMove;
-use dapplecroft_sched::{Amounts, Candidate, Demand, ImagePresence, Need, TeamQuota, best_fit_capped};
+use dapplecroft_sched::{
+    Candidate, Demand, ImagePresence, Resources, TaskRequirements, TeamQuota, best_fit_capped,
+};
 use dapplecroft_wire::users::Rank;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -23,12 +25,12 @@
     /// Placements that may still be made.
     pub left: usize,
     /// Room that the leader counts on in other holders' shards.
-    pub reserved: HashMap<Arc<str>, Amounts>,
+    pub reserved: HashMap<Arc<str>, Resources>,
     /// Processors of work that other holders have waiting, by shard.
     pub backlog: BTreeMap<u32, i64>,
     /// What found too little room in a shard, or (`None`) in all shards: room
     /// only shrinks within a round, so what needs no less finds none either.
-    pub full: Vec<(Option<u32>, Arc<Need>)>,
+    pub full: Vec<(Option<u32>, Arc<TaskRequirements>)>,
     /// Processors of the machines that are up, by shard.
     pub sizes: BTreeMap<u32, i64>,
     /// The same of the ordinary ones alone.
@@ -45,13 +47,13 @@
 
 impl Round {
     /// Whether it is known that a need finds no room any more.
-    pub fn is_full(&self, shard: Option<u32>, need: &Need) -> bool {
+    pub fn is_full(&self, shard: Option<u32>, requirements: &TaskRequirements) -> bool {
         self.full.iter().any(|(b, full)| {
             (*b == shard || b.is_none())
-                && full.amounts.fits(&need.amounts)
-                && (full.types.is_none() || full.types == need.types)
-                && (full.zone.is_none() || full.zone == need.zone)
-                && (full.spot || !need.spot)
+                && full.resources.fits(&requirements.resources)
+                && (full.types.is_none() || full.types == requirements.types)
+                && (full.zone.is_none() || full.zone == requirements.zone)
+                && (full.spot || !requirements.spot)
         })
     }
 }
@@ -59,7 +61,7 @@
 /// Work that found no place: the job, and how much of it.
 pub(super) struct Unplaced {
     pub job: Arc<str>,
-    pub need: Arc<Need>,
+    pub requirements: Arc<TaskRequirements>,
     /// Tasks that wait in each own shard, and (`None`) those that the leader may
     /// still allocate to any.
     pub here: BTreeMap<Option<u32>, i64>,
@@ -69,10 +71,10 @@
 
 impl Core {
     /// What a machine of a type has.
-    pub(super) fn capacity(&self, machine_type: &str) -> Option<Amounts> {
+    pub(super) fn capacity(&self, machine_type: &str) -> Option<Resources> {
         let catalog = self.catalog.as_ref()?;
         let machine_type = catalog.machine_types.iter().find(|t| t.name == machine_type)?;
-        Some(Amounts::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
+        Some(Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
     }
 
     /// How quickly machines of a type fetch images, in megabytes a second.
@@ -130,7 +132,7 @@
                     // for them only where none does.
                     let waits = now.saturating_duration_since(job.served) >= GIVE_WAY;
                     (!job.is_service() || waits).then(|| Demand {
-                        need: (*u.need).clone(),
+                        requirements: (*u.requirements).clone(),
                         count: u.count,
                         fastest: job.is_service(),
                     })
@@ -143,7 +145,7 @@
     /// team's limit lets start.
     fn left_unplaced(&self, id: &Arc<str>, round: &mut Round, leads: bool) -> Option<Unplaced> {
         let job = self.open_job(id)?;
-        let need = &job.need;
+        let requirements = &job.requirements;
         let mut here = BTreeMap::new();
         let mut waiting = 0;
         for (shard, ranges) in &job.waiting {
@@ -157,14 +159,19 @@
                 .books
                 .entry(job.spec.team.clone())
                 .or_insert_with(|| self.teams.get(&job.spec.team).cloned().unwrap_or_default());
-            let room = book.headroom(&need.amounts).min(i64::from(job.unallocated.len()));
-            book.used += need.amounts.times(room);
+            let room = book.headroom(&requirements.resources).min(i64::from(job.unallocated.len()));
+            book.used += requirements.resources.times(room);
             if room > 0 {
                 here.insert(None, room);
             }
             waiting += room;
         }
-        (waiting > 0).then(|| Unplaced { job: id.clone(), need: need.clone(), here, count: waiting })
+        (waiting > 0).then(|| Unplaced {
+            job: id.clone(),
+            requirements: requirements.clone(),
+            here,
+            count: waiting,
+        })
     }
 
     /// Machines of a shard on which a task of a job may start now, as far as
@@ -175,10 +182,10 @@
         id: &Arc<str>,
         job: &OpenJob,
         shard: u32,
-        reserved: &HashMap<Arc<str>, Amounts>,
+        reserved: &HashMap<Arc<str>, Resources>,
         now: Instant,
     ) -> Vec<(Arc<str>, Candidate)> {
-        let need = &job.need;
+        let requirements = &job.requirements;
         let Some(machines_by_free_cpus) =
             self.machines_by_free_cpus.get(&shard).filter(|_| !self.is_record_full(shard))
         else {
@@ -202,7 +209,7 @@
             if !open
                 || barred
                 || self.is_recordless(machine)
-                || !need.allows(&machine.machine_type, &machine.zone, machine.spot)
+                || !requirements.allows(&machine.machine_type, &machine.zone, machine.spot)
             {
                 return None;
             }
@@ -210,11 +217,11 @@
             if let Some(freed) = hints.iter().find_map(|h| h.freed.get(name)) {
                 booked -= *freed;
             }
-            need.amounts.fits(&(machine.capacity - booked)).then(|| {
+            requirements.resources.fits(&(machine.capacity - booked)).then(|| {
                 let candidate = Candidate {
                     capacity: machine.capacity,
                     booked,
-                    image: has_image(machine, need),
+                    image: has_image(machine, requirements),
                     doubtful: !machine.failed_jobs.is_empty(),
                     sibling: service && machine.tasks.iter().any(|t| t.job == *id),
                     fetch: if service { self.fetch_rate(&machine.machine_type) } else { 0 },
@@ -222,7 +229,7 @@
                 (name.clone(), candidate)
             })
         };
-        let least: (i64, Arc<str>) = (need.amounts.cpus, "".into());
+        let least: (i64, Arc<str>) = (requirements.resources.cpus, "".into());
         let mut found: Vec<(Arc<str>, Candidate)> =
             machines_by_free_cpus.range(least..).filter_map(|(_, name)| consider(name)).collect();
         if !hints.is_empty() {
@@ -230,7 +237,9 @@
             let mut more: Vec<&Arc<str>> = hints
                 .iter()
                 .flat_map(|h| h.freed.keys())
-                .filter(|name| self.machines.get(*name).is_some_and(|m| m.room().cpus < need.amounts.cpus))
+                .filter(|name| {
+                    self.machines.get(*name).is_some_and(|m| m.room().cpus < requirements.resources.cpus)
+                })
                 .collect();
             more.sort_unstable();
             found.extend(more.into_iter().filter_map(consider));
@@ -246,9 +255,9 @@
     /// Places what waits in a shard of this holder.
     pub(super) fn place_in(&mut self, id: &Arc<str>, shard: u32, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { return };
-        let need = job.need.clone();
+        let requirements = job.requirements.clone();
         let mut waiting = self.placeable(id, job, shard, round);
-        if waiting.is_empty() || round.is_full(Some(shard), &need) {
+        if waiting.is_empty() || round.is_full(Some(shard), &requirements) {
             return;
         }
         let before = waiting.len();
@@ -266,7 +275,7 @@
         }
         let never_failed = self.open_job(id).is_some_and(|j| j.failed_on.is_empty());
         if !waiting.is_empty() && !constrained && !service && never_failed {
-            round.full.push((Some(shard), need));
+            round.full.push((Some(shard), requirements));
         }
         let placed = before - waiting.len();
         if placed > 0 {
@@ -316,7 +325,7 @@
         let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
         let each = if job.is_service() { 1 } else { i64::MAX };
         let candidates: Vec<Candidate> = machines.iter().map(|(_, candidate)| *candidate).collect();
-        let chosen = best_fit_capped(&candidates, &job.need.amounts, count, each);
+        let chosen = best_fit_capped(&candidates, &job.requirements.resources, count, each);
         let mut placed = 0;
         for (index, tasks) in chosen {
             let machine = machines[index].0.clone();
@@ -388,8 +397,8 @@
         && (!job.spec.spread || here < job.record.tasks.div_ceil(2))
 }
 
-pub(super) fn has_image(machine: &Machine, need: &Need) -> ImagePresence {
-    match need.image.as_ref().map(|image| machine.image(image)) {
+pub(super) fn has_image(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
+    match requirements.image.as_ref().map(|image| machine.image(image)) {
         None | Some(Some(true)) => ImagePresence::Yes,
         Some(Some(false)) => ImagePresence::Fetching,
         Some(None) => ImagePresence::No,
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -127,8 +127,8 @@
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             job.placed.remove(&task.index);
             job.exits.remove(&task.index);
-            let amounts = job.need.amounts;
-            self.unbook(&task, &placed, amounts);
+            let resources = job.requirements.resources;
+            self.unbook(&task, &placed, resources);
             jobs.insert(task.job);
         }
         jobs
@@ -202,10 +202,10 @@
             grace: Duration::ZERO,
             freed: false,
         };
-        let amounts = job.need.amounts;
+        let resources = job.requirements.resources;
         // A proposal of this process may have lost against the record.
         if let Some(lost) = job.placed.insert(task.index, placed) {
-            self.unbook(&task, &lost, amounts);
+            self.unbook(&task, &lost, resources);
         }
         self.book(&task, &machine, id.shard, now);
         true
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use crate::jobs::OpenJob;
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -99,11 +99,11 @@
             .filter(|(_, j)| j.is_open())
             .collect();
         by_age.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
-        let mut totals: HashMap<&str, Amounts> = HashMap::new();
+        let mut totals: HashMap<&str, Resources> = HashMap::new();
         let mut result = HashMap::new();
         for (id, job) in by_age {
             let total = totals.entry(job.spec.team.as_str()).or_default();
-            *total += job.need.amounts.times(i64::from(job.left()));
+            *total += job.requirements.resources.times(i64::from(job.left()));
             let within = self.teams.get(&job.spec.team).is_some_and(|b| b.guarantees(total));
             result.insert(id.clone(), within);
         }
@@ -157,7 +157,7 @@
                     over_quota: !within,
                     rank,
                     deadline: deadline_state(due - wall, job.spec.estimate_s),
-                    task_cpus: Reverse(job.need.amounts.cpus),
+                    task_cpus: Reverse(job.requirements.resources.cpus),
                     work_left_s: (f64::from(job.left()) * job.spec.estimate_s) as u64,
                     due_ms: (due.max(0.0) * 1000.0) as u64,
                     submitted_ms,
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -200,7 +200,7 @@
             .reported
             .iter()
             .filter(|(_, r)| r.state == TaskState::Running)
-            .filter_map(|(t, _)| self.open_job(&t.job).and_then(|j| j.need.image.clone()))
+            .filter_map(|(t, _)| self.open_job(&t.job).and_then(|j| j.requirements.image.clone()))
             .collect();
         // What no record has on this machine must end before it runs elsewhere.
         self.unexpected_tasks.retain(|_, on| on != id);
@@ -400,7 +400,7 @@
             let Some(task) = TaskId::parse(task) else { continue };
             let mut image = None;
             if let Some(job) = self.open_job_mut(&task.job) {
-                image.clone_from(&job.need.image);
+                image.clone_from(&job.requirements.image);
                 if let Some(placed) = job.placed.get_mut(&task.index) {
                     placed.sent = token;
                 }
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -213,12 +213,12 @@
         let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
-            let amounts = job.need.amounts;
+            let resources = job.requirements.resources;
             for p in job.placed.values_mut().filter(|p| p.home.shard == shard && p.freed) {
                 p.freed = false;
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
                     let before = machine.room().cpus;
-                    machine.booked += amounts;
+                    machine.booked += resources;
                     reindex(&mut self.machines_by_free_cpus, machine, before);
                 }
             }
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::ranges::Ranges;
 use crate::records::{JobRecord, JobStage, SegmentId};
 use dapplecroft_federation::TransferState;
-use dapplecroft_sched::{Amounts, Checkpoints, Need, Progress};
+use dapplecroft_sched::{Checkpoints, Progress, Resources, TaskRequirements};
 use dapplecroft_wire::users::{JobSpec, JobStatus, Rank, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -94,7 +94,7 @@
     /// The specification.
     pub spec: JobSpec,
     /// What each task needs.
-    pub need: Arc<Need>,
+    pub requirements: Arc<TaskRequirements>,
     /// Completed tasks by the record of a shard in which they are.
     pub done_in: BTreeMap<SegmentId, Ranges>,
     /// Completed tasks that records of their own have.
@@ -177,8 +177,8 @@
     /// A job from its record; `None` if the record holds no specification.
     pub fn new(record: JobRecord, version: u64, now: Instant) -> Option<OpenJob> {
         let spec = record.spec.clone()?;
-        let need = Need {
-            amounts: Amounts::new(spec.cpus, spec.gpus, spec.memory_gb),
+        let requirements = TaskRequirements {
+            resources: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
             types: spec.types.clone(),
             zone: spec.zone.clone(),
             spot: spec.spot,
@@ -188,7 +188,7 @@
             record,
             version,
             spec,
-            need: Arc::new(need),
+            requirements: Arc::new(requirements),
             done_in: BTreeMap::new(),
             completed_records: BTreeMap::new(),
             tries: BTreeMap::new(),
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -1,7 +1,7 @@
 //! Machines as their workers report them.
 
 use crate::jobs::TaskId;
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use dapplecroft_wire::workers::TaskReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     /// The group whose record has it; none once it was released.
     pub group: Option<Arc<str>>,
     /// What it has; nothing while its type is unknown.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// Its type.
     pub machine_type: String,
     /// Its zone.
@@ -69,7 +69,7 @@
     /// Tasks booked on it.
     pub tasks: BTreeSet<TaskId>,
     /// What they take.
-    pub booked: Amounts,
+    pub booked: Resources,
     /// Images that it has or fetches; `true` once a task ran with it.
     images: BTreeMap<String, bool>,
     /// Whether direct commands are on their way.
@@ -100,7 +100,7 @@
             shard,
             segment: None,
             group: None,
-            capacity: Amounts::default(),
+            capacity: Resources::default(),
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
@@ -116,7 +116,7 @@
             taken_at: None,
             reported: BTreeMap::new(),
             tasks: BTreeSet::new(),
-            booked: Amounts::default(),
+            booked: Resources::default(),
             images: BTreeMap::new(),
             commanding: false,
             command_after: None,
@@ -164,7 +164,7 @@
     }
 
     /// What is left on it.
-    pub fn room(&self) -> Amounts {
+    pub fn room(&self) -> Resources {
         self.capacity - self.booked
     }
 
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -6,7 +6,7 @@
 use crate::node::{Answered, Node, Question, Reply, lock, now};
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use bytes::Bytes;
-use dapplecroft_sched::Amounts;
+use dapplecroft_sched::Resources;
 use dapplecroft_state::{Unit, UnitResult};
 use dapplecroft_wire::MAX_BODY;
 use dapplecroft_wire::peer::ForwardRequest;
@@ -285,7 +285,7 @@
         let Some(team) = self.settings.params.teams.iter().find(|t| t.name == spec.team) else {
             return Judgement::Never("unknown team".into());
         };
-        let over = |need: f64, limit: f64| limit > 0.0 && need > limit;
+        let over = |required: f64, limit: f64| limit > 0.0 && required > limit;
         // Tasks run one after the other if need be; replicas must all run.
         let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
         if over(spec.cpus * at_once, team.cpus_max) || over(spec.gpus * at_once, team.gpus_max) {
@@ -293,11 +293,11 @@
         }
         self.with(|core| {
             let Some(catalog) = &core.catalog else { return Judgement::Unknown };
-            let need = Amounts::new(spec.cpus, spec.gpus, spec.memory_gb);
+            let required = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
             let fits = catalog.machine_types.iter().any(|t| {
                 spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
                     && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
-                    && need.fits(&Amounts::new(t.cpus, t.gpus, t.memory_gb))
+                    && required.fits(&Resources::new(t.cpus, t.gpus, t.memory_gb))
             });
             if fits { Judgement::Fits } else { Judgement::Never("fits no allowed machine type".into()) }
         })
--- a/crates/dapplecroft-federation/src/summary.rs
+++ b/crates/dapplecroft-federation/src/summary.rs
@@ -4,7 +4,7 @@
 //! offer, which costs each side a change of its state service.
 
 use crate::messages::CellId;
-use dapplecroft_sched::{Amounts, Need};
+use dapplecroft_sched::{Resources, TaskRequirements};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,9 +19,9 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// What is free on each.
-    pub free: Amounts,
+    pub free: Resources,
     /// What each has.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// How many there are.
     pub count: i64,
 }
@@ -45,23 +45,23 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Wish {
     /// What each task needs.
-    pub need: Need,
+    pub requirements: TaskRequirements,
     /// How many tasks there are.
     pub tasks: u32,
 }
 
 impl Wish {
     fn allows(&self, room: &Room) -> bool {
-        self.need.allows(&room.machine_type, &room.zone, room.spot)
+        self.requirements.allows(&room.machine_type, &room.zone, room.spot)
     }
 
     fn tasks_in(&self, rooms: &[Room]) -> i64 {
         let allowed = rooms.iter().filter(|room| self.allows(room));
-        allowed.map(|room| self.need.amounts.times_in(&room.free) * room.count).sum()
+        allowed.map(|room| self.requirements.resources.times_in(&room.free) * room.count).sum()
     }
 
-    fn all(&self) -> Amounts {
-        self.need.amounts.times(i64::from(self.tasks))
+    fn all(&self) -> Resources {
+        self.requirements.resources.times(i64::from(self.tasks))
     }
 }
 
@@ -118,14 +118,14 @@
         let mut left = i64::from(wish.tasks);
         let mut split = Vec::new();
         for room in summary.up.iter_mut().filter(|room| wish.allows(room)) {
-            let each = wish.need.amounts.times_in(&room.free);
+            let each = wish.requirements.resources.times_in(&room.free);
             if each == 0 || left <= 0 {
                 continue;
             }
             let machines = ((left + each - 1) / each).min(room.count);
             room.count -= machines;
             left -= machines * each;
-            split.push(Room { free: Amounts::default(), count: machines, ..room.clone() });
+            split.push(Room { free: Resources::default(), count: machines, ..room.clone() });
         }
         summary.up.extend(split);
     }
@@ -169,7 +169,7 @@
     if begins < tasks {
         return Some(Fit { whole: false, fullness: begins as f64 / tasks as f64 });
     }
-    let mut capacity = Amounts::default();
+    let mut capacity = Resources::default();
     let mut booked = wish.all();
     for room in summary.up.iter().filter(|room| wish.allows(room)) {
         capacity += room.capacity.times(room.count);
--- a/crates/dapplecroft-federation/tests/summaries.rs
+++ b/crates/dapplecroft-federation/tests/summaries.rs
@@ -4,16 +4,16 @@
 
 use dapplecroft_federation::summary::{Room, Summary, SummaryBook, Wish};
 use dapplecroft_federation::{CellId, Epoch};
-use dapplecroft_sched::{Amounts, Need};
+use dapplecroft_sched::{Resources, TaskRequirements};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 const FRESH: Duration = Duration::from_secs(6);
 const PAUSE: Duration = Duration::from_secs(30);
-const MACHINE: Amounts = Amounts { cpus: 16_000, gpus: 0, memory: 64_000 };
+const MACHINE: Resources = Resources { cpus: 16_000, gpus: 0, memory: 64_000 };
 
 fn summary(cell: &str, incarnation: u64, free_cpus: i64, machines: i64) -> Summary {
-    let free = Amounts { cpus: free_cpus * 1000, ..MACHINE };
+    let free = Resources { cpus: free_cpus * 1000, ..MACHINE };
     let room = Room {
         machine_type: "m".into(),
         zone: "z".into(),
@@ -32,13 +32,13 @@
 }
 
 fn wish(tasks: u32, cpus: i64) -> Wish {
-    let amounts = Amounts { cpus: cpus * 1000, gpus: 0, memory: cpus * 1000 };
-    Wish { need: Need { amounts, spot: true, ..Need::default() }, tasks }
+    let resources = Resources { cpus: cpus * 1000, gpus: 0, memory: cpus * 1000 };
+    Wish { requirements: TaskRequirements { resources, spot: true, ..TaskRequirements::default() }, tasks }
 }
 
-fn with(change: impl FnOnce(&mut Need)) -> Wish {
+fn with(change: impl FnOnce(&mut TaskRequirements)) -> Wish {
     let mut wish = wish(1, 1);
-    change(&mut wish.need);
+    change(&mut wish.requirements);
     wish
 }
 
@@ -74,10 +74,10 @@
 #[test]
 fn what_a_job_does_not_allow_is_no_room() {
     let book = Book::of(&[summary("b", 1, 16, 4)]);
-    assert_eq!(book.choose(&with(|need| need.spot = false), 0), None);
-    assert_eq!(book.choose(&with(|need| need.zone = Some("y".into())), 0), None);
-    assert_eq!(book.choose(&with(|need| need.types = Some(vec!["n".into()])), 0), None);
-    assert!(book.choose(&with(|need| need.types = Some(vec!["m".into()])), 0).is_some());
+    assert_eq!(book.choose(&with(|requirements| requirements.spot = false), 0), None);
+    assert_eq!(book.choose(&with(|requirements| requirements.zone = Some("y".into())), 0), None);
+    assert_eq!(book.choose(&with(|requirements| requirements.types = Some(vec!["n".into()])), 0), None);
+    assert!(book.choose(&with(|requirements| requirements.types = Some(vec!["m".into()])), 0).is_some());
 }
 
 #[test]
--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -1,14 +1,14 @@
 //! Fleet sizing: how many machines of which kind to scale out by, spot
 //! instances included, for tasks that fit on no machine.
 
-use crate::{Amounts, Need};
+use crate::{Resources, TaskRequirements};
 use std::collections::BTreeMap;
 
 /// Tasks of one job that wait for a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     /// What each needs.
-    pub need: Need,
+    pub requirements: TaskRequirements,
     /// How many tasks.
     pub count: i64,
     /// Whether they can't wait for the cheapest machine: the one that is up
@@ -26,7 +26,7 @@
     /// Whether it is a spot or preemptible instance.
     pub spot: bool,
     /// What it has.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// Current price per machine and hour.
     pub price: f64,
     /// Usual boot time, in seconds.
@@ -46,13 +46,18 @@
 /// `prefer_cheapest`, else the one that is up soonest and serves most.
 /// Returns an index into `offers`; `None` if no offer is allowed for the need
 /// or has room for one of its tasks.
-pub fn cheapest_offer(offers: &[Offer], need: &Need, count: i64, prefer_cheapest: bool) -> Option<usize> {
+pub fn cheapest_offer(
+    offers: &[Offer],
+    requirements: &TaskRequirements,
+    count: i64,
+    prefer_cheapest: bool,
+) -> Option<usize> {
     let mut best: Option<(usize, (f64, f64))> = None;
     for (index, offer) in offers.iter().enumerate() {
-        if !need.allows(&offer.machine_type, &offer.zone, offer.spot) {
+        if !requirements.allows(&offer.machine_type, &offer.zone, offer.spot) {
             continue;
         }
-        let fit = need.amounts.times_in(&offer.capacity).min(count.max(1));
+        let fit = requirements.resources.times_in(&offer.capacity).min(count.max(1));
         if fit < 1 {
             continue;
         }
@@ -76,7 +81,7 @@
     /// Whether they are spot or preemptible instances.
     pub spot: bool,
     /// Room left on each.
-    pub room: Amounts,
+    pub room: Resources,
     /// How many machines there are.
     pub count: i64,
 }
@@ -96,19 +101,24 @@
     let mut pending = booting;
     let mut order: Vec<&Demand> = demands.iter().collect();
     order.sort_by_key(|d| {
-        std::cmp::Reverse((d.need.amounts.cpus, d.need.amounts.gpus, d.need.amounts.memory))
+        std::cmp::Reverse((
+            d.requirements.resources.cpus,
+            d.requirements.resources.gpus,
+            d.requirements.resources.memory,
+        ))
     });
     let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
     let mut planned = 0;
     for demand in order {
-        let need = &demand.need;
-        let mut left = pack_onto_pending_machines(&mut pending, need, demand.count);
+        let requirements = &demand.requirements;
+        let mut left = pack_onto_pending_machines(&mut pending, requirements, demand.count);
         while left > 0 && planned < max_machines {
-            let Some(index) = cheapest_offer(offers, need, left, prefer_cheapest && !demand.fastest) else {
+            let Some(index) = cheapest_offer(offers, requirements, left, prefer_cheapest && !demand.fastest)
+            else {
                 break;
             };
             let offer = &offers[index];
-            let each = need.amounts.times_in(&offer.capacity).max(1);
+            let each = requirements.resources.times_in(&offer.capacity).max(1);
             // A last machine that would stay partly empty is planned by itself, so
             // that its leftover room is kept for the smaller demands that follow.
             let full = (left / each).max(1).min(i64::from(max_machines - planned));
@@ -117,12 +127,12 @@
             planned += full as u32;
             left -= here;
             let rest = full * each - here;
-            if rest > 0 || need.amounts.times(each) != offer.capacity {
+            if rest > 0 || requirements.resources.times(each) != offer.capacity {
                 pending.push(PendingCapacity {
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
-                    room: offer.capacity - need.amounts.times(if full == 1 { here } else { each }),
+                    room: offer.capacity - requirements.resources.times(if full == 1 { here } else { each }),
                     count: full,
                 });
             }
@@ -133,13 +143,17 @@
 
 /// Takes room for up to `count` tasks, the tightest room first, and returns how
 /// many found none.
-fn pack_onto_pending_machines(pending: &mut Vec<PendingCapacity>, need: &Need, count: i64) -> i64 {
+fn pack_onto_pending_machines(
+    pending: &mut Vec<PendingCapacity>,
+    requirements: &TaskRequirements,
+    count: i64,
+) -> i64 {
     let mut order: Vec<usize> = (0..pending.len())
         .filter(|&group| {
             let machines = &pending[group];
             machines.count > 0
-                && need.allows(&machines.machine_type, &machines.zone, machines.spot)
-                && need.amounts.fits(&machines.room)
+                && requirements.allows(&machines.machine_type, &machines.zone, machines.spot)
+                && requirements.resources.fits(&machines.room)
         })
         .collect();
     order.sort_by_key(|&group| (pending[group].room.cpus, pending[group].room.memory, group));
@@ -148,7 +162,7 @@
         if remaining <= 0 {
             break;
         }
-        let per_machine = need.amounts.times_in(&pending[group].room).max(1);
+        let per_machine = requirements.resources.times_in(&pending[group].room).max(1);
         let full_machines = (remaining / per_machine).min(pending[group].count);
         let on_partial_machine =
             if full_machines < pending[group].count { remaining - full_machines * per_machine } else { 0 };
@@ -157,14 +171,14 @@
         remaining -= full_machines * per_machine + on_partial_machine;
         if full_machines > 0 {
             pending.push(PendingCapacity {
-                room: room - need.amounts.times(per_machine),
+                room: room - requirements.resources.times(per_machine),
                 count: full_machines,
                 ..original.clone()
             });
         }
         if on_partial_machine > 0 {
             pending.push(PendingCapacity {
-                room: room - need.amounts.times(on_partial_machine),
+                room: room - requirements.resources.times(on_partial_machine),
                 count: 1,
                 ..original
             });
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -4,18 +4,18 @@
 //! instances) and the progress that checkpoints keep.
 //! Everything is deterministic: the same arguments give the same decision.
 
-mod amounts;
 mod fleet;
 mod place;
 mod preempt;
 mod progress;
 mod repack;
+mod resources;
 mod teams;
 
-pub use amounts::Amounts;
 pub use fleet::{Demand, Offer, PendingCapacity, ScaleOutRequest, cheapest_offer, plan_scale_out};
-pub use place::{Candidate, ImagePresence, Need, Slot, best_fit, best_fit_capped};
+pub use place::{Candidate, ImagePresence, Slot, TaskRequirements, best_fit, best_fit_capped};
 pub use preempt::{Claim, Victims, pick_victims};
 pub use progress::{Checkpoints, Progress};
 pub use repack::{RepackPlan, RepackRules, Resident, TaskMove, plan_repack};
+pub use resources::Resources;
 pub use teams::{TeamQuota, Teams};
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -1,6 +1,6 @@
 //! Bin packing: best fit on the dominant resource share.
 
-use crate::Amounts;
+use crate::Resources;
 use std::cmp::{Ordering, Reverse};
 
 /// A machine as placement, preemption and repacking see it.
@@ -15,9 +15,9 @@
     /// Whether it is a spot or preemptible instance.
     pub spot: bool,
     /// What it has.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// What the tasks placed on it have booked.
-    pub booked: Amounts,
+    pub booked: Resources,
     /// Whether new tasks may be placed on it.
     pub open: bool,
 }
@@ -25,7 +25,7 @@
 impl Slot {
     /// What is left: the capacity less what is booked; negative in a resource
     /// that is overbooked.
-    pub fn room(&self) -> Amounts {
+    pub fn room(&self) -> Resources {
         self.capacity - self.booked
     }
 
@@ -38,9 +38,9 @@
 /// What a task requires of its machine: resources, and which kinds of machine
 /// are allowed.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Need {
+pub struct TaskRequirements {
     /// Resources that it books.
-    pub amounts: Amounts,
+    pub resources: Resources,
     /// Allowed machine types; `None`: any.
     pub types: Option<Vec<String>>,
     /// The only allowed zone; `None`: any.
@@ -51,7 +51,7 @@
     pub image: Option<String>,
 }
 
-impl Need {
+impl TaskRequirements {
     /// Whether a machine of this type, zone and kind is allowed at all, whatever
     /// it has free.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
@@ -62,7 +62,7 @@
 
     /// Whether the task is allowed on `slot` and fits into what is left there now.
     pub fn fits(&self, slot: &Slot) -> bool {
-        self.allows(&slot.machine_type, &slot.zone, slot.spot) && self.amounts.fits(&slot.room())
+        self.allows(&slot.machine_type, &slot.zone, slot.spot) && self.resources.fits(&slot.room())
     }
 }
 
@@ -89,9 +89,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// What it has.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// What is booked on it.
-    pub booked: Amounts,
+    pub booked: Resources,
     /// Whether it has the job's image.
     pub image: ImagePresence,
     /// Whether it has shown itself to be slow or faulty: taken only last.
@@ -123,8 +123,8 @@
 }
 
 impl FitScore {
-    fn new(index: usize, candidate: &Candidate, need: &Amounts) -> FitScore {
-        let share = (candidate.booked + *need).share_of(&candidate.capacity);
+    fn new(index: usize, candidate: &Candidate, required: &Resources) -> FitScore {
+        let share = (candidate.booked + *required).share_of(&candidate.capacity);
         FitScore {
             reliable: !candidate.doubtful,
             share_step: (share * SHARE_STEPS) as i64,
@@ -155,23 +155,23 @@
 /// Returns `(index into candidates, number of tasks)` pairs, best machine first,
 /// with no more than `count` tasks in all; fewer if room runs out, and none if
 /// `count` is 0 or the task fits nowhere.
-pub fn best_fit(candidates: &[Candidate], need: &Amounts, count: i64) -> Vec<(usize, i64)> {
-    best_fit_capped(candidates, need, count, NO_PER_MACHINE_CAP)
+pub fn best_fit(candidates: &[Candidate], required: &Resources, count: i64) -> Vec<(usize, i64)> {
+    best_fit_capped(candidates, required, count, NO_PER_MACHINE_CAP)
 }
 
 /// As [`best_fit`], with no more than `max_per_machine` tasks (and at least one)
 /// on each machine, so that the loss of one machine does not take all of them.
 pub fn best_fit_capped(
     candidates: &[Candidate],
-    need: &Amounts,
+    required: &Resources,
     count: i64,
     max_per_machine: i64,
 ) -> Vec<(usize, i64)> {
     let mut order: Vec<FitScore> = candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| need.fits(&(candidate.capacity - candidate.booked)))
-        .map(|(index, candidate)| FitScore::new(index, candidate, need))
+        .filter(|(_, candidate)| required.fits(&(candidate.capacity - candidate.booked)))
+        .map(|(index, candidate)| FitScore::new(index, candidate, required))
         .collect();
     let best_first = |a: &FitScore, b: &FitScore| b.compare(a);
     // Only as many machines as there are tasks can be needed, so selecting the
@@ -192,8 +192,10 @@
             break;
         }
         let candidate = &candidates[index];
-        let tasks_here =
-            need.times_in(&(candidate.capacity - candidate.booked)).min(max_per_machine).clamp(1, remaining);
+        let tasks_here = required
+            .times_in(&(candidate.capacity - candidate.booked))
+            .min(max_per_machine)
+            .clamp(1, remaining);
         chosen.push((index, tasks_here));
         remaining -= tasks_here;
     }
--- a/crates/dapplecroft-sched/src/place/tests.rs
+++ b/crates/dapplecroft-sched/src/place/tests.rs
@@ -6,14 +6,14 @@
         machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
-        capacity: Amounts::new(cpus, 0.0, cpus * 4.0),
-        booked: Amounts::new(booked, 0.0, booked),
+        capacity: Resources::new(cpus, 0.0, cpus * 4.0),
+        booked: Resources::new(booked, 0.0, booked),
         open: true,
     }
 }
 
-pub(crate) fn need(cpus: f64) -> Need {
-    Need { amounts: Amounts::new(cpus, 0.0, cpus), spot: true, ..Need::default() }
+pub(crate) fn requirements(cpus: f64) -> TaskRequirements {
+    TaskRequirements { resources: Resources::new(cpus, 0.0, cpus), spot: true, ..TaskRequirements::default() }
 }
 
 fn candidate(cpus: f64, booked: f64) -> Candidate {
@@ -31,27 +31,27 @@
 #[test]
 fn the_fullest_machine_that_still_fits_is_filled_first() {
     let machines = [candidate(16.0, 0.0), candidate(16.0, 8.0), candidate(16.0, 14.0)];
-    assert_eq!(best_fit(&machines, &need(4.0).amounts, 1), [(1, 1)]);
-    assert_eq!(best_fit(&machines, &need(2.0).amounts, 1), [(2, 1)]);
-    assert_eq!(best_fit(&machines, &need(4.0).amounts, 5), [(1, 2), (0, 3)]);
-    assert!(best_fit(&machines, &need(17.0).amounts, 1).is_empty());
-    assert!(best_fit(&machines, &need(4.0).amounts, 0).is_empty());
+    assert_eq!(best_fit(&machines, &requirements(4.0).resources, 1), [(1, 1)]);
+    assert_eq!(best_fit(&machines, &requirements(2.0).resources, 1), [(2, 1)]);
+    assert_eq!(best_fit(&machines, &requirements(4.0).resources, 5), [(1, 2), (0, 3)]);
+    assert!(best_fit(&machines, &requirements(17.0).resources, 1).is_empty());
+    assert!(best_fit(&machines, &requirements(4.0).resources, 0).is_empty());
 }
 
 #[test]
 fn the_image_decides_between_about_equally_full_machines_and_doubt_before_all() {
     let mut machines = [candidate(16.0, 4.5), candidate(16.0, 4.0)];
     machines[1].image = ImagePresence::Yes;
-    assert_eq!(best_fit(&machines, &need(1.0).amounts, 1), [(1, 1)]);
+    assert_eq!(best_fit(&machines, &requirements(1.0).resources, 1), [(1, 1)]);
     machines[1].doubtful = true;
-    assert_eq!(best_fit(&machines, &need(1.0).amounts, 1), [(0, 1)]);
+    assert_eq!(best_fit(&machines, &requirements(1.0).resources, 1), [(0, 1)]);
 }
 
 #[test]
 fn types_zones_and_spot_are_respected() {
     let mut spot = slot("a", 16.0, 8.0);
     spot.spot = true;
-    let mut task = need(4.0);
+    let mut task = requirements(4.0);
     assert!(task.fits(&spot));
     task.spot = false;
     assert!(!task.fits(&spot) && task.fits(&slot("b", 16.0, 0.0)));
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -1,7 +1,7 @@
 //! Preemption: which running tasks of one machine give way so that a waiting
 //! task fits there.
 
-use crate::{Amounts, Need, Resident, Slot};
+use crate::{Resident, Resources, Slot, TaskRequirements};
 use std::time::Duration;
 
 /// What entitles a waiting task to preempt running ones.
@@ -37,12 +37,12 @@
 pub fn pick_victims(
     slot: &Slot,
     residents: &[Resident],
-    need: &Need,
+    requirements: &TaskRequirements,
     claim: Claim,
     limit: Duration,
 ) -> Option<Victims> {
-    let allowed = need.allows(&slot.machine_type, &slot.zone, slot.spot);
-    if !slot.open || !allowed || !need.amounts.fits(&slot.capacity) {
+    let allowed = requirements.allows(&slot.machine_type, &slot.zone, slot.spot);
+    if !slot.open || !allowed || !requirements.resources.fits(&slot.capacity) {
         return None;
     }
     let mut candidates: Vec<usize> = (0..residents.len())
@@ -56,28 +56,31 @@
     // A preempted task saves its checkpoint before its room is free, and the
     // waiting task waits for that, so the save time counts with the loss.
     candidates.sort_by_key(|&index| (residents[index].loss + residents[index].save_time, index));
-    let leaving: Amounts =
-        residents.iter().filter(|resident| resident.leaving).map(|resident| resident.need.amounts).sum();
+    let leaving: Resources = residents
+        .iter()
+        .filter(|resident| resident.leaving)
+        .map(|resident| resident.requirements.resources)
+        .sum();
     let mut room = slot.room() + leaving;
     let mut chosen = Vec::new();
     let mut lost = Duration::ZERO;
     for index in candidates {
-        if need.amounts.fits(&room) {
+        if requirements.resources.fits(&room) {
             break;
         }
-        room += residents[index].need.amounts;
+        room += residents[index].requirements.resources;
         lost += residents[index].loss;
         chosen.push(index);
     }
-    if chosen.is_empty() || !need.amounts.fits(&room) {
+    if chosen.is_empty() || !requirements.resources.fits(&room) {
         return None;
     }
     // A task chosen early may have become unneeded once larger ones were added;
     // it keeps running, so that no more work is lost than the fit requires.
     let mut kept = Vec::new();
     for &index in chosen.iter().rev() {
-        let without: Amounts = room - residents[index].need.amounts;
-        if need.amounts.fits(&without) {
+        let without: Resources = room - residents[index].requirements.resources;
+        if requirements.resources.fits(&without) {
             room = without;
             lost = lost.saturating_sub(residents[index].loss);
         } else {
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -2,7 +2,7 @@
 //! machines by graceful eviction, so that a waiting task that fits nowhere can
 //! start there.
 
-use crate::{Need, Slot};
+use crate::{Slot, TaskRequirements};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     /// Index of its machine in the slots.
     pub slot: usize,
     /// What it needs.
-    pub need: Arc<Need>,
+    pub requirements: Arc<TaskRequirements>,
     /// How long it has been there.
     pub age: Duration,
     /// Machine time that is lost if it is stopped now.
@@ -70,7 +70,7 @@
 /// of them fit nowhere now. Returns `None` if no machine can be emptied for any
 /// of them within `rules`.
 pub fn plan_repack(
-    waiting: &[Need],
+    waiting: &[TaskRequirements],
     slots: &[Slot],
     residents: &[Resident],
     rules: RepackRules,
@@ -93,12 +93,12 @@
         })
         .collect();
     candidate_machines.sort();
-    for (position, need) in waiting.iter().enumerate() {
+    for (position, requirements) in waiting.iter().enumerate() {
         for &(_, index) in &candidate_machines {
             let slot = &slots[index];
-            let helps = need.allows(&slot.machine_type, &slot.zone, slot.spot)
-                && need.amounts.fits(&slot.capacity)
-                && !need.fits(slot);
+            let helps = requirements.allows(&slot.machine_type, &slot.zone, slot.spot)
+                && requirements.resources.fits(&slot.capacity)
+                && !requirements.fits(slot);
             if !helps {
                 continue;
             }
@@ -120,19 +120,19 @@
 ) -> Option<Vec<TaskMove>> {
     let mut booked: Vec<_> = slots.iter().map(|slot| slot.booked).collect();
     let mut tasks: Vec<usize> = (0..residents.len()).filter(|&task| residents[task].slot == from).collect();
-    let size = |task: usize| residents[task].need.amounts.share_of(&slots[from].capacity);
+    let size = |task: usize| residents[task].requirements.resources.share_of(&slots[from].capacity);
     tasks.sort_by(|&a, &b| size(b).total_cmp(&size(a)).then(a.cmp(&b)));
     let mut moves = Vec::new();
     for task in tasks {
-        let need = &residents[task].need;
+        let requirements = &residents[task].requirements;
         let mut best: Option<(f64, usize)> = None;
         for (index, slot) in slots.iter().enumerate() {
-            let allowed = need.allows(&slot.machine_type, &slot.zone, slot.spot);
+            let allowed = requirements.allows(&slot.machine_type, &slot.zone, slot.spot);
             // An empty machine would have taken the waiting task itself.
             if index == from || !slot.open || !allowed || booked[index] == Default::default() {
                 continue;
             }
-            let after = booked[index] + need.amounts;
+            let after = booked[index] + requirements.resources;
             let share = after.share_of(&slot.capacity);
             if !after.fits(&slot.capacity) || share > cap + SHARE_CAP_TOLERANCE {
                 continue;
@@ -143,7 +143,7 @@
             }
         }
         let (_, to) = best?;
-        booked[to] += need.amounts;
+        booked[to] += requirements.resources;
         moves.push(TaskMove { resident: task, to });
     }
     Some(moves)
--- a/crates/dapplecroft-sched/src/amounts.rs
+++ b/crates/dapplecroft-sched/src/resources.rs
@@ -7,7 +7,7 @@
 /// CPUs, GPUs and memory in thousandths. Whole numbers, so that adding and
 /// taking away the same task always leaves exactly nothing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Amounts {
+pub struct Resources {
     /// Thousandths of a CPU.
     pub cpus: i64,
     /// Thousandths of a GPU.
@@ -23,22 +23,22 @@
     (x * THOUSANDTHS_PER_UNIT).round() as i64
 }
 
-impl Amounts {
+impl Resources {
     /// Converts decimal CPUs, GPUs and gigabytes of memory to thousandths,
     /// rounded to the nearest.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        Amounts { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
+        Resources { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
     }
 
     /// Whether `self` fits into `room` in every resource.
-    pub fn fits(&self, room: &Amounts) -> bool {
+    pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
     /// The dominant share: the largest fraction that `self` takes of any of the
     /// resources of `whole`. A resource that `self` does not use counts 0.0; one
     /// that it uses and `whole` lacks counts infinity.
-    pub fn share_of(&self, whole: &Amounts) -> f64 {
+    pub fn share_of(&self, whole: &Resources) -> f64 {
         let part = |a: i64, b: i64| match (a, b) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
@@ -49,25 +49,25 @@
 
     /// How many times `self` fits into `room`: at least 0, and 0 if `self` is
     /// empty.
-    pub fn times_in(&self, room: &Amounts) -> i64 {
+    pub fn times_in(&self, room: &Resources) -> i64 {
         [(self.cpus, room.cpus), (self.gpus, room.gpus), (self.memory, room.memory)]
             .into_iter()
-            .filter(|(need, _)| *need > 0)
-            .map(|(need, have)| (have / need).max(0))
+            .filter(|(required, _)| *required > 0)
+            .map(|(required, have)| (have / required).max(0))
             .min()
             .unwrap_or(0)
     }
 
     /// `self` multiplied by `n` in every resource.
-    pub fn times(&self, n: i64) -> Amounts {
-        Amounts { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+    pub fn times(&self, n: i64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
 }
 
-impl Add for Amounts {
-    type Output = Amounts;
-    fn add(self, other: Amounts) -> Amounts {
-        Amounts {
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
             memory: self.memory + other.memory,
@@ -75,10 +75,10 @@
     }
 }
 
-impl Sub for Amounts {
-    type Output = Amounts;
-    fn sub(self, other: Amounts) -> Amounts {
-        Amounts {
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus - other.cpus,
             gpus: self.gpus - other.gpus,
             memory: self.memory - other.memory,
@@ -86,20 +86,20 @@
     }
 }
 
-impl AddAssign for Amounts {
-    fn add_assign(&mut self, other: Amounts) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
         *self = *self + other;
     }
 }
 
-impl SubAssign for Amounts {
-    fn sub_assign(&mut self, other: Amounts) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
         *self = *self - other;
     }
 }
 
-impl Sum for Amounts {
-    fn sum<I: Iterator<Item = Amounts>>(iter: I) -> Amounts {
-        iter.fold(Amounts::default(), Add::add)
+impl Sum for Resources {
+    fn sum<I: Iterator<Item = Resources>>(iter: I) -> Resources {
+        iter.fold(Resources::default(), Add::add)
     }
 }
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -1,6 +1,6 @@
 //! Team quotas: each team's guarantee and limit, and what its tasks use.
 
-use crate::Amounts;
+use crate::Resources;
 use std::collections::BTreeMap;
 
 /// A limit of this value means that there is none.
@@ -13,23 +13,23 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TeamQuota {
     /// Guaranteed CPUs and GPUs; memory is not counted.
-    pub guarantee: Amounts,
+    pub guarantee: Resources,
     /// Limits on CPUs and GPUs; 0 in a resource means none there.
-    pub limit: Amounts,
+    pub limit: Resources,
     /// What its tasks take now, those not proven gone included.
-    pub used: Amounts,
+    pub used: Resources,
 }
 
 impl TeamQuota {
     /// Whether a task of this size may start without exceeding a limit.
-    pub fn allocates(&self, task: &Amounts) -> bool {
+    pub fn allocates(&self, task: &Resources) -> bool {
         let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
         ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
     }
 
     /// How many more tasks of this size the limits let start; `i64::MAX` if
     /// none binds.
-    pub fn headroom(&self, task: &Amounts) -> i64 {
+    pub fn headroom(&self, task: &Resources) -> i64 {
         let part = |used: i64, more: i64, limit: i64| {
             if limit == NO_LIMIT || more == 0 { UNLIMITED_HEADROOM } else { ((limit - used) / more).max(0) }
         };
@@ -37,7 +37,7 @@
     }
 
     /// Whether `total` lies within the guarantee; false for a team without one.
-    pub fn guarantees(&self, total: &Amounts) -> bool {
+    pub fn guarantees(&self, total: &Resources) -> bool {
         let any = self.guarantee.cpus > 0 || self.guarantee.gpus > 0;
         any && total.cpus <= self.guarantee.cpus && total.gpus <= self.guarantee.gpus
     }
@@ -56,10 +56,12 @@
 
 impl Teams {
     /// Teams from `(name, guarantee, limit)`, with nothing used.
-    pub fn new(teams: impl IntoIterator<Item = (String, Amounts, Amounts)>) -> Self {
+    pub fn new(teams: impl IntoIterator<Item = (String, Resources, Resources)>) -> Self {
         let by_name = teams
             .into_iter()
-            .map(|(name, guarantee, limit)| (name, TeamQuota { guarantee, limit, used: Amounts::default() }))
+            .map(|(name, guarantee, limit)| {
+                (name, TeamQuota { guarantee, limit, used: Resources::default() })
+            })
             .collect();
         Teams { by_name }
     }
@@ -71,7 +73,7 @@
 
     /// Counts a task in. A team that the settings no longer name is kept too,
     /// without a guarantee, so that its running work stays counted.
-    pub fn book(&mut self, name: &str, task: Amounts) {
+    pub fn book(&mut self, name: &str, task: Resources) {
         if let Some(book) = self.by_name.get_mut(name) {
             book.used += task;
         } else {
@@ -80,7 +82,7 @@
     }
 
     /// Counts a task out; a team that is not known is left alone.
-    pub fn unbook(&mut self, name: &str, task: Amounts) {
+    pub fn unbook(&mut self, name: &str, task: Resources) {
         if let Some(book) = self.by_name.get_mut(name) {
             book.used -= task;
         }
--- a/crates/dapplecroft-sched/src/teams/tests.rs
+++ b/crates/dapplecroft-sched/src/teams/tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn zero_means_no_quota_limit_and_no_guarantee() {
     let mut teams = Teams::new([
-        ("free".to_string(), Amounts::default(), Amounts::default()),
-        ("tight".to_string(), Amounts::new(4.0, 0.0, 0.0), Amounts::new(8.0, 0.0, 0.0)),
+        ("free".to_string(), Resources::default(), Resources::default()),
+        ("tight".to_string(), Resources::new(4.0, 0.0, 0.0), Resources::new(8.0, 0.0, 0.0)),
     ]);
-    let task = Amounts::new(3.0, 0.0, 100.0);
+    let task = Resources::new(3.0, 0.0, 100.0);
     teams.book("free", task.times(1000));
     assert!(teams.get("free").unwrap().allocates(&task));
     assert!(!teams.get("free").unwrap().guarantees(&task));
