--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -7,7 +7,7 @@
 use crate::records::{SegmentId, stored_size};
 use dapplecroft_sched::{Candidate, ImagePresence, Resources, best_fit};
 use dapplecroft_wire::peer::{BlockRoom, FreedRoom, RoomReply};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -378,7 +378,7 @@
         let Some(job) = self.open_job(id) else { return };
         let requirements = job.requirements.clone();
         let cpus = requirements.resources.cpus;
-        let urgent = job.spec.priority < Rank::Normal;
+        let urgent = job.spec.priority < Priority::Normal;
         let limited = job.is_constrained() || requirements.types.is_some() || requirements.zone.is_some();
         let service = job.is_service();
         // What can't run on spot machines is taken ahead only if it is urgent,
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -7,7 +7,7 @@
 use crate::records::{SegmentId, SegmentRecord};
 use dapplecroft_state::Unit;
 use dapplecroft_wire::state::{Change, Condition};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -168,7 +168,7 @@
             self.commits.push_job_end(subject);
         } else {
             // The first allocation of an urgent job goes at once.
-            let urgent = job.spec.priority < Rank::Normal && self.commits.sent_at(&subject).is_none();
+            let urgent = job.spec.priority < Priority::Normal && self.commits.sent_at(&subject).is_none();
             self.commits.push(subject, urgent);
         }
         self.wakeups.flush = true;
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{Job, OpenJob};
 use crate::ranges::Ranges;
 use crate::records::SegmentId;
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -120,7 +120,7 @@
     match subject {
         Subject::Segment(_) | Subject::ObsoleteKey(_) => SEGMENT_TURN,
         Subject::Job(_) => match job {
-            Some(job) if job.spec.priority < Rank::Normal => URGENT_JOB_TURN,
+            Some(job) if job.spec.priority < Priority::Normal => URGENT_JOB_TURN,
             _ => JOB_TURN,
         },
     }
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/copy.rs
@@ -9,7 +9,7 @@
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Followed, Item};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -395,7 +395,7 @@
         self.drop_unallocated(&id);
         // What was proposed on this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
-            let urgent = job.spec.priority < Rank::Normal;
+            let urgent = job.spec.priority < Priority::Normal;
             let own: BTreeSet<SegmentId> =
                 job.placed.values().filter(|p| !p.committed).map(|p| p.home).collect();
             own.into_iter().for_each(|segment| self.mark_segment(segment, urgent));
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -19,7 +19,7 @@
 };
 use dapplecroft_wire::settings::Settings;
 use dapplecroft_wire::state::Condition;
-use dapplecroft_wire::users::{JobSpec, Rank};
+use dapplecroft_wire::users::{JobSpec, Priority};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -68,7 +68,7 @@
     fn bucket(&self, spec: &JobSpec) -> Bucket {
         let known = self.classes.contains(&spec.class);
         let class = if known { spec.class.as_str() } else { dapplecroft_admission::records::OTHER_CLASS };
-        Bucket::new(&spec.team, class, spec.priority < Rank::Normal)
+        Bucket::new(&spec.team, class, spec.priority < Priority::Normal)
     }
 
     fn policy(&self) -> Option<&PolicyRecord> {
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/displace.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::machines::Machine;
 use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use std::time::{Duration, Instant};
 
 /// Most tasks stopped at a time.
@@ -160,7 +160,7 @@
     /// machine time is lost. What is leaving anyway counts as room that will be there.
     pub(super) fn displace(&mut self, unplaced: &[Unplaced], now: Instant) {
         let urgent = |u: &Unplaced| {
-            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Rank::Normal)
+            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
         // Among ordinary work a guarantee is served first, but stops nothing:
         // work that is stopped for it waits in its turn, and so on.
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -6,7 +6,7 @@
 use dapplecroft_cloud::MAX_RENT;
 use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
-use dapplecroft_wire::workers::Report;
+use dapplecroft_wire::workers::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -350,7 +350,7 @@
     }
 
     /// Notes a machine that reports and that no record names.
-    pub(super) fn found(&mut self, report: &Report, now: Instant) {
+    pub(super) fn found(&mut self, report: &Heartbeat, now: Instant) {
         let id: Arc<str> = report.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
         machine.machine_type.clone_from(&report.machine_type);
--- a/crates/dapplecroft-controller/src/core/machine_fate.rs
+++ b/crates/dapplecroft-controller/src/core/machine_fate.rs
@@ -43,7 +43,7 @@
 /// What the fates of all machines are decided by.
 struct FateRules {
     now: Instant,
-    report_every: Duration,
+    heartbeat_interval: Duration,
     lease: Duration,
     boot_times: BTreeMap<String, Duration>,
     idle_times: BTreeMap<(String, bool), Duration>,
@@ -64,7 +64,7 @@
 
     /// Gives up a machine that has not come up for much longer than usual.
     fn judge_boot(&self, machine: &mut Machine) {
-        let boot = self.boot_times.get(&machine.machine_type).copied().unwrap_or(self.report_every);
+        let boot = self.boot_times.get(&machine.machine_type).copied().unwrap_or(self.heartbeat_interval);
         let age = self.age(machine);
         if machine.fate == Fate::Keep && age > boot * BOOT_FACTOR + BOOT_MARGIN {
             tracing::info!(machine = &*machine.id, ?age, "a machine did not come up");
@@ -77,7 +77,7 @@
         let taken_up = machine.heard.is_none() && machine.missed_probes == 0 && self.age(machine) > TAKE_UP;
         let patience =
             if self.with_replicas.contains(&machine.id) { REPLICA_PROBE_AFTER } else { PROBE_AFTER };
-        let overdue = self.silence(machine) > self.report_every.mul_f64(patience);
+        let overdue = self.silence(machine) > self.heartbeat_interval.mul_f64(patience);
         (taken_up || overdue) && !machine.probing && !machine.releasing
     }
 
@@ -95,7 +95,7 @@
     fn is_silent(&self, machine: &Machine) -> bool {
         let limit =
             if self.with_replicas.contains(&machine.id) { REPLICA_SILENT_AFTER } else { SILENT_AFTER };
-        let overdue = self.silence(machine) > self.report_every.mul_f64(limit);
+        let overdue = self.silence(machine) > self.heartbeat_interval.mul_f64(limit);
         overdue && machine.missed_probes >= 1 && machine.fate != Fate::Lost
     }
 
@@ -108,7 +108,7 @@
             return;
         }
         let kind = (machine.machine_type.clone(), machine.spot);
-        let usual = self.idle_times.get(&kind).copied().unwrap_or(self.report_every);
+        let usual = self.idle_times.get(&kind).copied().unwrap_or(self.heartbeat_interval);
         let paid = MIN_PAID.saturating_sub(self.age(machine));
         let keep = self.idle_return.unwrap_or(usual).max(paid);
         // What is idle beyond what may come soon is not worth its price.
@@ -171,7 +171,7 @@
         let machine_types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         FateRules {
             now,
-            report_every: self.settings.report_every(),
+            heartbeat_interval: self.settings.heartbeat_interval(),
             lease: Duration::from_secs_f64(self.settings.params.workers.lease_s * LEASE_MARGIN),
             boot_times: machine_types.map(|m| (m.name.clone(), self.boot_time(&m.name))).collect(),
             idle_times: self.idle_times(),
@@ -216,7 +216,7 @@
         *probes += 1;
     }
     rules.judge_deaf(machine);
-    actions.quiet += usize::from(rules.silence(machine) > rules.report_every.mul_f64(SILENT_AFTER));
+    actions.quiet += usize::from(rules.silence(machine) > rules.heartbeat_interval.mul_f64(SILENT_AFTER));
     if rules.is_silent(machine) {
         actions.silent.push((machine.id.clone(), machine.address.clone().unwrap_or_default()));
     }
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -36,7 +36,7 @@
 pub use federation::{AwayRequest, NotAway, OfferUnit, VisitPlan, VisitRequest};
 pub use fleet::{FleetActions, MAX_CONSULTED};
 pub use groups::GroupUnit;
-pub use session::{CommandEnd, ReportAnswer};
+pub use session::{CommandEnd, HeartbeatOutcome};
 pub use shards::{LeaseGrant, ShardLease};
 
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -9,7 +9,7 @@
 use dapplecroft_sched::{
     Candidate, Demand, ImagePresence, Resources, TaskRequirements, TeamQuota, best_fit_capped,
 };
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -249,7 +249,7 @@
 
     /// How long a worker may be silent before it takes no more work.
     pub(super) fn silence(&self) -> std::time::Duration {
-        self.settings.report_every().mul_f64(1.5)
+        self.settings.heartbeat_interval().mul_f64(1.5)
     }
 
     /// Places what waits in a shard of this holder.
@@ -366,7 +366,7 @@
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
         let waited = now.saturating_duration_since(job.learned);
         tracing::debug!(%task, class = job.spec.class, machine = &**machine, attempt, ?waited, "placing");
-        let urgent = job.spec.priority < Rank::Normal;
+        let urgent = job.spec.priority < Priority::Normal;
         job.served = now;
         job.placed.insert(
             task.index,
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -3,13 +3,15 @@
 use super::Core;
 use crate::jobs::{Exit, Job, Stop, TaskId};
 use crate::machines::Machine;
-use dapplecroft_wire::workers::{DirectOrders, ExitReason, Order, Orders, Report, ReportHead, TaskState};
+use dapplecroft_wire::workers::{
+    Command, DirectCommands, ExitReason, Heartbeat, HeartbeatHead, HeartbeatReply, TaskState,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Most commands in one message, far under the limit of a line.
-const MAX_ORDERS: usize = 200;
+const MAX_COMMANDS: usize = 200;
 
 /// A replica that ran for so long had started well.
 const STABLE_REPLICA_RUN: Duration = Duration::from_secs(30);
@@ -19,9 +21,9 @@
 
 /// What a worker's report is answered with.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportAnswer {
+pub enum HeartbeatOutcome {
     /// Stay, and do this.
-    Orders(Orders),
+    Reply(HeartbeatReply),
     /// Another node is the right one, if known.
     Redirect(Option<String>),
     /// This node can't tell now.
@@ -31,11 +33,11 @@
 impl Core {
     /// The answer to a report that this process does not take over: another one
     /// is the right one, or nobody is known to be. `None`: it must be read.
-    pub fn not_taken(&self, head: &ReportHead, now: Instant) -> Option<ReportAnswer> {
+    pub fn not_taken(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
         let id = head.machine.as_str();
         if !self.loaded || self.gone.contains_key(id) {
             // If its release was answered, this is a late copy of a message.
-            return Some(ReportAnswer::Unavailable);
+            return Some(HeartbeatOutcome::Unavailable);
         }
         let Some(machine) = self.machines.get(id).filter(|m| m.group.is_some()) else {
             // A record names every machine before it is used, so one without is
@@ -48,29 +50,29 @@
             // A holder that has lost the state service stops answering, so that
             // its workers' leases end before a cancellation's limit.
             return Some(match self.holder_host(shard) {
-                _ if self.is_holder(shard) => ReportAnswer::Unavailable,
-                Some(host) => ReportAnswer::Redirect(Some(host.to_string())),
-                None => ReportAnswer::Unavailable,
+                _ if self.is_holder(shard) => HeartbeatOutcome::Unavailable,
+                Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
+                None => HeartbeatOutcome::Unavailable,
             });
         };
         if head.token > machine.token(shard_lease.epoch) {
             // Someone with a newer lease commands this worker.
             tracing::info!(machine = id, "a worker knows a newer token than this holder's");
-            return Some(ReportAnswer::Redirect(None));
+            return Some(HeartbeatOutcome::Redirect(None));
         }
         None
     }
 
-    fn not_here(&self) -> ReportAnswer {
+    fn not_here(&self) -> HeartbeatOutcome {
         match self.leader_host() {
-            Some(host) => ReportAnswer::Redirect(Some(host.to_string())),
-            None => ReportAnswer::Unavailable,
+            Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
+            None => HeartbeatOutcome::Unavailable,
         }
     }
 
     /// Answers a report.
-    pub fn hello(&mut self, report: &Report, now: Instant) -> ReportAnswer {
-        let head = ReportHead { machine: report.machine.clone(), token: report.token };
+    pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: Instant) -> HeartbeatOutcome {
+        let head = HeartbeatHead { machine: report.machine.clone(), token: report.token };
         if let Some(answer) = self.not_taken(&head, now) {
             return answer;
         }
@@ -80,18 +82,18 @@
             self.found(report, now);
             return self.not_here();
         };
-        self.take_report(report, now);
-        let Some(machine) = self.machines.get(id) else { return ReportAnswer::Unavailable };
+        self.apply_heartbeat(report, now);
+        let Some(machine) = self.machines.get(id) else { return HeartbeatOutcome::Unavailable };
         let token = machine.token(shard_lease.epoch);
         // Only the worker's newest message is answered with commands.
         let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
-        let orders = if newest { self.orders(id, true, now) } else { Vec::new() };
-        self.note_sent(id, &orders, token);
-        ReportAnswer::Orders(Orders { token, orders })
+        let commands = if newest { self.commands(id, true, now) } else { Vec::new() };
+        self.note_sent(id, &commands, token);
+        HeartbeatOutcome::Reply(HeartbeatReply { token, commands })
     }
 
     /// Takes over a report, however it came. Late copies are ignored.
-    pub fn take_report(&mut self, report: &Report, now: Instant) {
+    pub fn apply_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if self.gone.contains_key(&machine.id)
@@ -339,13 +341,13 @@
     /// The difference between what the records want of a machine and what it
     /// last reported. `clear` is only told in the answer to a report: it is the
     /// one command that must not be overtaken by a repeated start.
-    fn orders(&self, id: &str, in_answer: bool, now: Instant) -> Vec<Order> {
+    fn commands(&self, id: &str, in_answer: bool, now: Instant) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
             return Vec::new();
         };
         let synced = machine.synced(shard_lease.epoch);
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for (task, report) in &machine.reported {
             let own = self
                 .open_job(&task.job)
@@ -353,10 +355,10 @@
                 .filter(|p| p.committed && *p.machine == *id && p.attempt == report.attempt);
             match (own, report.state) {
                 (None, TaskState::Exited) if in_answer && synced && !machine.commanding => {
-                    orders.push(Order::Clear { task: report.task.clone(), attempt: report.attempt });
+                    commands.push(Command::Clear { task: report.task.clone(), attempt: report.attempt });
                 }
                 (None, TaskState::Exited) => {}
-                (None, _) => orders.push(Order::Kill {
+                (None, _) => commands.push(Command::Kill {
                     task: report.task.clone(),
                     attempt: report.attempt,
                     grace_s: 0.0,
@@ -367,7 +369,7 @@
                     let saves = state == TaskState::Saving;
                     if let Some(stop) = placed.stop.filter(|stop| !saves || *stop == Stop::Withdrawn) {
                         let grace = if stop == Stop::Withdrawn { Duration::ZERO } else { placed.grace };
-                        orders.push(Order::Kill {
+                        commands.push(Command::Kill {
                             task: report.task.clone(),
                             attempt: report.attempt,
                             grace_s: grace.as_secs_f64(),
@@ -387,16 +389,16 @@
             // Under another attempt it is still to be cleared there first.
             let listed = machine.reported.contains_key(task);
             if here && placed.stop.is_none() && !listed && !job.exits.contains_key(&task.index) {
-                orders.push(Order::Start { task: task.to_string(), attempt: placed.attempt });
+                commands.push(Command::Start { task: task.to_string(), attempt: placed.attempt });
             }
         }
-        orders.truncate(MAX_ORDERS);
-        orders
+        commands.truncate(MAX_COMMANDS);
+        commands
     }
 
-    fn note_sent(&mut self, id: &str, orders: &[Order], token: u64) {
-        for order in orders {
-            let Order::Start { task, .. } = order else { continue };
+    fn note_sent(&mut self, id: &str, commands: &[Command], token: u64) {
+        for command in commands {
+            let Command::Start { task, .. } = command else { continue };
             let Some(task) = TaskId::parse(task) else { continue };
             let mut image = None;
             if let Some(job) = self.open_job_mut(&task.job) {
@@ -412,31 +414,31 @@
     }
 
     /// Direct commands that a machine should receive now, with its address.
-    pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectOrders)> {
+    pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
         let machine = self.machines.get(id)?;
         let shard_lease = self.active_lease(machine.shard, now)?;
         let unknown = machine.session == 0 || machine.commanding || machine.releasing;
         if unknown || machine.command_after.is_some_and(|at| at > now) {
             return None;
         }
-        let orders = self.orders(id, false, now);
+        let commands = self.commands(id, false, now);
         let machine = self.machines.get_mut(id)?;
         // Without commands a message still brings the present token to the
         // worker, so that its tasks are known and it can take work soon.
         let behind = !machine.synced(shard_lease.epoch);
-        if orders.is_empty() && !behind {
+        if commands.is_empty() && !behind {
             return None;
         }
         let address = machine.address.clone()?;
         machine.commanding = true;
         let (token, session) = (machine.token(shard_lease.epoch), machine.session);
-        self.note_sent(id, &orders, token);
-        Some((address, DirectOrders { token, session, orders }))
+        self.note_sent(id, &commands, token);
+        Some((address, DirectCommands { token, session, commands }))
     }
 
     /// Notes what became of direct commands: answered, with the worker's report
     /// if it could be read; certainly not delivered; or unknown.
-    pub fn command_ended(&mut self, id: &str, sent: &DirectOrders, end: CommandEnd<'_>, now: Instant) {
+    pub fn command_ended(&mut self, id: &str, sent: &DirectCommands, end: CommandEnd<'_>, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if !machine.is_present(sent.token, shard_lease.epoch) {
@@ -449,7 +451,7 @@
                 // Refused for a newer token: whoever holds that is in command.
                 machine.command_after = (report.token > sent.token).then(|| now + Duration::from_secs(1));
                 if report.machine == *id {
-                    self.take_report(report, now);
+                    self.apply_heartbeat(report, now);
                 }
             }
             CommandEnd::NotDelivered => machine.command_after = Some(now + Duration::from_secs(1)),
@@ -469,7 +471,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum CommandEnd<'a> {
     /// The worker answered.
-    Answered(&'a Report),
+    Answered(&'a Heartbeat),
     /// They certainly never left.
     NotDelivered,
     /// Nobody knows.
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -3,7 +3,7 @@
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Placed;
 use crate::records::SegmentId;
-use dapplecroft_wire::workers::TaskReport;
+use dapplecroft_wire::workers::TaskStatus;
 use serde_json::json;
 
 /// A core that commands a worker whose one task saves, and is to be stopped.
@@ -26,7 +26,7 @@
     machine.seen_token = machine.token(1);
     machine.taken_at = Some(now);
     let report =
-        TaskReport { task: "run-1/0".into(), attempt: 1, state: TaskState::Saving, why: None, saved: None };
+        TaskStatus { task: "run-1/0".into(), attempt: 1, state: TaskState::Saving, why: None, saved: None };
     machine.reported.insert(task, report);
     core
 }
@@ -38,9 +38,9 @@
     let now = Instant::now();
     for stop in [Stop::Notice, Stop::Preempted, Stop::Drained] {
         let core = with_a_saving_task(stop, now);
-        assert_eq!(core.orders("i-1", true, now), [], "{stop:?}");
+        assert_eq!(core.commands("i-1", true, now), [], "{stop:?}");
     }
     let core = with_a_saving_task(Stop::Withdrawn, now);
-    let kill = Order::Kill { task: "run-1/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!(core.orders("i-1", true, now), [kill]);
+    let kill = Command::Kill { task: "run-1/0".into(), attempt: 1, grace_s: 0.0 };
+    assert_eq!(core.commands("i-1", true, now), [kill]);
 }
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -4,7 +4,7 @@
 use crate::records::{JobRecord, JobStage, SegmentId};
 use dapplecroft_federation::TransferState;
 use dapplecroft_sched::{Checkpoints, Progress, Resources, TaskRequirements};
-use dapplecroft_wire::users::{JobSpec, JobStatus, Rank, Stage};
+use dapplecroft_wire::users::{JobSpec, JobStatus, Priority, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
@@ -343,10 +343,10 @@
     /// The number by which ranks are ordered.
     pub fn rank(&self) -> u8 {
         match self.spec.priority {
-            Rank::Critical => 0,
-            Rank::Urgent => 1,
-            Rank::Normal => 2,
-            Rank::Low => 3,
+            Priority::Critical => 0,
+            Priority::Urgent => 1,
+            Priority::Normal => 2,
+            Priority::Low => 3,
         }
     }
 
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -111,7 +111,7 @@
         self.with(|core| match report {
             Some(report) if *report.machine == *id => {
                 core.probe_answered(&id);
-                core.take_report(&report, now());
+                core.apply_heartbeat(&report, now());
             }
             _ => core.probe_missed(&id),
         });
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -4,7 +4,7 @@
 use crate::node::{Node, lock, now};
 use dapplecroft_net::{Failure, Request};
 use dapplecroft_state::UnitResult;
-use dapplecroft_wire::workers::{DirectOrders, Report};
+use dapplecroft_wire::workers::{DirectCommands, Heartbeat};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -179,17 +179,17 @@
                     // Hundreds at once must not go before renewals of leases.
                     yield_now().await;
                 }
-                if let Some((address, orders)) = self.with(|core| core.next_command(&id, now())) {
+                if let Some((address, commands)) = self.with(|core| core.next_command(&id, now())) {
                     let node = self.clone();
-                    self.spawn(async move { node.command(&id, address, orders).await });
+                    self.spawn(async move { node.command(&id, address, commands).await });
                 }
             }
             self.wake_command.notified().await;
         }
     }
 
-    async fn command(self: &Arc<Self>, id: &str, address: String, orders: DirectOrders) {
-        let Ok(body) = serde_json::to_vec(&orders) else { return };
+    async fn command(self: &Arc<Self>, id: &str, address: String, commands: DirectCommands) {
+        let Ok(body) = serde_json::to_vec(&commands) else { return };
         let request = Request {
             address,
             method: http::Method::POST,
@@ -199,7 +199,7 @@
             one_of_many: true,
         };
         let answer = self.transport.send(request).await;
-        let report: Option<Report> = match &answer {
+        let report: Option<Heartbeat> = match &answer {
             Ok(r) if r.status == 200 || r.status == 409 => serde_json::from_slice(&r.body).ok(),
             _ => None,
         };
@@ -212,7 +212,7 @@
             (Ok(r), None) if r.status == 400 => CommandEnd::NotDelivered,
             _ => CommandEnd::Unknown,
         };
-        self.with(|core| core.command_ended(id, &orders, end, now()));
+        self.with(|core| core.command_ended(id, &commands, end, now()));
         if !matches!(end, CommandEnd::Answered(_)) {
             // Its next try is due after a pause, unless a report comes first.
             sleep(Duration::from_secs(1)).await;
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::TaskId;
 use dapplecroft_sched::Resources;
-use dapplecroft_wire::workers::TaskReport;
+use dapplecroft_wire::workers::TaskStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -65,7 +65,7 @@
     /// When the cloud takes it away.
     pub taken_at: Option<Instant>,
     /// Tasks in its newest message.
-    pub reported: BTreeMap<TaskId, TaskReport>,
+    pub reported: BTreeMap<TaskId, TaskStatus>,
     /// Tasks booked on it.
     pub tasks: BTreeSet<TaskId>,
     /// What they take.
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -1,7 +1,7 @@
 //! One controller: the core behind a lock, its clients, and request handling.
 
 use crate::cells::Cells;
-use crate::core::{Core, ReportAnswer, Wakeups};
+use crate::core::{Core, HeartbeatOutcome, Wakeups};
 use crate::options::Options;
 use crate::peers::Peers;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use dapplecroft_state::{Committer, StateClient};
 use dapplecroft_wire::settings::Settings;
 use dapplecroft_wire::users::Problem;
-use dapplecroft_wire::workers::{Redirect, Report, ReportHead};
+use dapplecroft_wire::workers::{Heartbeat, HeartbeatHead, Redirect};
 use http::Method;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -272,7 +272,7 @@
     pub async fn handle(self: &Arc<Self>, method: &Method, path: &str, body: Bytes) -> Reply {
         match (method, path) {
             (&Method::GET, "/up") => self.up(),
-            (&Method::POST, "/hello") => self.hello(&body),
+            (&Method::POST, "/hello") => self.handle_heartbeat(&body),
             _ => self.user_request(method, path, body).await,
         }
     }
@@ -293,29 +293,29 @@
         if ready { Reply::json(200, &serde_json::json!({"up": true})) } else { Reply::busy("not ready", 1) }
     }
 
-    fn hello(&self, body: &[u8]) -> Reply {
+    fn handle_heartbeat(&self, body: &[u8]) -> Reply {
         // Most of a report is its tasks: they are read only if they are needed.
-        if let Ok(head) = serde_json::from_slice::<ReportHead>(body)
+        if let Ok(head) = serde_json::from_slice::<HeartbeatHead>(body)
             && let Some(answer) = self.with(|core| core.not_taken(&head, now()))
         {
-            return answer_hello(answer);
+            return answer_heartbeat(answer);
         }
-        let report: Report = match serde_json::from_slice(body) {
+        let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(error) => {
                 tracing::warn!(%error, "an unreadable report");
                 return Reply::problem(400, "unreadable report");
             }
         };
-        answer_hello(self.with(|core| core.hello(&report, now())))
+        answer_heartbeat(self.with(|core| core.handle_heartbeat(&report, now())))
     }
 }
 
-fn answer_hello(answer: ReportAnswer) -> Reply {
+fn answer_heartbeat(answer: HeartbeatOutcome) -> Reply {
     match answer {
-        ReportAnswer::Orders(orders) => Reply::json(200, &orders),
-        ReportAnswer::Redirect(report_to) => Reply::json(421, &Redirect { report_to }),
-        ReportAnswer::Unavailable => Reply::busy("holder unknown", 1),
+        HeartbeatOutcome::Reply(commands) => Reply::json(200, &commands),
+        HeartbeatOutcome::Redirect(report_to) => Reply::json(421, &Redirect { report_to }),
+        HeartbeatOutcome::Unavailable => Reply::busy("holder unknown", 1),
     }
 }
 
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -220,7 +220,7 @@
     }
 
     /// Asks a worker for its report.
-    pub(crate) async fn ask_status(&self, address: &str) -> Option<dapplecroft_wire::workers::Report> {
+    pub(crate) async fn ask_status(&self, address: &str) -> Option<dapplecroft_wire::workers::Heartbeat> {
         let request = Request {
             address: address.to_string(),
             method: http::Method::GET,
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use super::FakeWorker;
 use dapplecroft_net::Request;
-use dapplecroft_wire::workers::{Orders, Redirect, Report, TaskReport};
+use dapplecroft_wire::workers::{Heartbeat, HeartbeatReply, Redirect, TaskStatus};
 use http::Method;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
@@ -17,10 +17,10 @@
 
 impl FakeWorker {
     /// A heartbeat with the agent's status as of now.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> Heartbeat {
         let mut inner = self.inner.lock().unwrap();
         inner.sequence += 1;
-        Report {
+        Heartbeat {
             machine: self.machine.clone(),
             address: self.address.clone(),
             machine_type: self.machine_type.clone(),
@@ -35,7 +35,7 @@
             tasks: inner
                 .tasks
                 .iter()
-                .map(|(name, t)| TaskReport {
+                .map(|(name, t)| TaskStatus {
                     task: name.clone(),
                     attempt: t.attempt,
                     state: t.state,
@@ -71,15 +71,15 @@
             self.expire_lease_if_due();
             match answer {
                 Some(r) if r.status == 200 => {
-                    let orders: Orders = serde_json::from_slice(&r.body).unwrap();
+                    let commands: HeartbeatReply = serde_json::from_slice(&r.body).unwrap();
                     let mut inner = self.inner.lock().unwrap();
-                    if orders.token >= inner.fencing_token && report.session == inner.epoch {
-                        if orders.token > inner.fencing_token {
+                    if commands.token >= inner.fencing_token && report.session == inner.epoch {
+                        if commands.token > inner.fencing_token {
                             self.changed.notify_one();
                         }
-                        inner.fencing_token = orders.token;
+                        inner.fencing_token = commands.token;
                         inner.lease_renewed_at = sent;
-                        self.execute_orders(&mut inner, &orders.orders);
+                        self.execute_commands(&mut inner, &commands.commands);
                     }
                 }
                 Some(r) if r.status == 421 => {
--- a/crates/dapplecroft-fakes/src/worker/tasks.rs
+++ b/crates/dapplecroft-fakes/src/worker/tasks.rs
@@ -1,7 +1,7 @@
 //! The worker's tasks: orders carried out, and each task's run from fetch to exit.
 
 use super::{FakeWorker, Inner, Saves, Task};
-use dapplecroft_wire::workers::{ExitReason, Order, TaskState};
+use dapplecroft_wire::workers::{Command, ExitReason, TaskState};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -11,11 +11,11 @@
 const DEFAULT_TASK_RUNTIME: Duration = Duration::from_secs(10);
 
 impl FakeWorker {
-    pub(super) fn execute_orders(&self, inner: &mut Inner, orders: &[Order]) {
-        for order in orders {
-            match order {
-                Order::Start { task, attempt } => self.start_task(inner, task, *attempt),
-                Order::Kill { task, attempt, grace_s } => {
+    pub(super) fn execute_commands(&self, inner: &mut Inner, commands: &[Command]) {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => self.start_task(inner, task, *attempt),
+                Command::Kill { task, attempt, grace_s } => {
                     if let Some(t) = inner.tasks.get_mut(task)
                         && t.attempt == *attempt
                         && t.state != TaskState::Exited
@@ -23,7 +23,7 @@
                         self.stop_task(task, t, Duration::from_secs_f64(*grace_s));
                     }
                 }
-                Order::Clear { task, attempt } => {
+                Command::Clear { task, attempt } => {
                     let exited = inner
                         .tasks
                         .get(task)
--- a/crates/dapplecroft-wire/src/settings.rs
+++ b/crates/dapplecroft-wire/src/settings.rs
@@ -298,7 +298,7 @@
     }
 
     /// The workers' reporting interval.
-    pub fn report_every(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.report_s)
     }
 
--- a/crates/dapplecroft-wire/src/users.rs
+++ b/crates/dapplecroft-wire/src/users.rs
@@ -6,7 +6,7 @@
 /// How urgent a job is; the order is that of precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rank {
+pub enum Priority {
     /// Before all others.
     Critical,
     /// Urgent.
@@ -33,7 +33,7 @@
     pub kind: String,
     /// Priority.
     #[serde(rename = "rank")]
-    pub priority: Rank,
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "shares")]
     pub tasks: u32,
--- a/crates/dapplecroft-wire/src/workers.rs
+++ b/crates/dapplecroft-wire/src/workers.rs
@@ -4,7 +4,7 @@
 
 /// A worker's report: the body of `POST /hello`, and what a worker answers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "holding")]
     pub machine: String,
@@ -34,13 +34,13 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "shares", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What of a report says whether it can be taken: its other fields are passed
 /// over unread.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ReportHead {
+pub struct HeartbeatHead {
     /// The machine's name.
     #[serde(rename = "holding")]
     pub machine: String,
@@ -51,7 +51,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// Job and index, as `run-000412/3`.
     #[serde(rename = "share")]
     pub task: String,
@@ -111,7 +111,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum Command {
     /// Starts a task.
     Start {
         /// The task.
@@ -146,17 +146,18 @@
 
 /// Answer to an accepted report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatReply {
     /// The fencing token.
     #[serde(rename = "warrant")]
     pub token: u64,
     /// Commands, executed in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// `POST /do`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommands {
     /// The fencing token.
     #[serde(rename = "warrant")]
     pub token: u64,
@@ -164,7 +165,8 @@
     #[serde(rename = "tenure")]
     pub session: u64,
     /// Commands, executed in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Body of a 421.
