--- a/crates/dapplecroft-controller/src/admission.rs
+++ b/crates/dapplecroft-controller/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::options::Options;
 use dapplecroft_admission::settings::{Platform, PlatformTeam};
 use dapplecroft_admission::{Admission, SettingsError, Settlement, Spending};
-use dapplecroft_state::UnitResult;
+use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::peer::AdmissionReply;
 use dapplecroft_wire::settings::{Params, Settings};
 use std::collections::BTreeSet;
@@ -49,11 +49,11 @@
         OpenSpending { node, id: id.to_string(), spending, settlement: Settlement::Unknown }
     }
 
-    pub(crate) fn settle(mut self, result: &UnitResult) {
+    pub(crate) fn settle(mut self, result: &UpdateResult) {
         self.settlement = match result {
-            UnitResult::Committed(_) => Settlement::Committed,
-            UnitResult::Conflict(_) | UnitResult::Refused(_) => Settlement::NotMade,
-            UnitResult::Unknown(_) => Settlement::Unknown,
+            UpdateResult::Committed(_) => Settlement::Committed,
+            UpdateResult::Conflict(_) | UpdateResult::Refused(_) => Settlement::NotMade,
+            UpdateResult::Unknown(_) => Settlement::Unknown,
         };
     }
 }
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -8,7 +8,7 @@
 use dapplecroft_admission::Spending;
 use dapplecroft_federation::{CellId, Epoch, Federation, TransferRequest, TransferState};
 use dapplecroft_sched::Resources;
-use dapplecroft_state::{Unit, UnitResult};
+use dapplecroft_state::{AtomicUpdate, UpdateResult};
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest, TransferAnswer};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -69,10 +69,10 @@
         let transfers: Vec<ReceivedTransfer> =
             request.transfers.iter().map(from_transfer).collect::<Result<_, _>>()?;
         let watermark = Epoch(request.watermark);
-        if let Some(unit) = self.with(|core| {
-            if core.watermark_frees(cell, watermark) { core.watermark_unit(cell, watermark) } else { None }
+        if let Some(update) = self.with(|core| {
+            if core.watermark_frees(cell, watermark) { core.watermark_update(cell, watermark) } else { None }
         }) {
-            self.commit_for_cells(unit).await;
+            self.commit_for_cells(update).await;
         }
         let answers = self.answer_transfers(cell, transfers).await?;
         let summary = self.with(|core| core.cell_summary(now())).ok_or(ExchangeError::OtherVersion)?;
@@ -133,9 +133,9 @@
                 VisitPlan::Answer(state) => return Ok(Some(state)),
                 VisitPlan::OutdatedSender => return Err(ExchangeError::OutdatedSender),
                 VisitPlan::NotNow => return Ok(None),
-                VisitPlan::Commit(unit, spending) => {
+                VisitPlan::Commit(update, spending) => {
                     let wait = transfer.request == TransferRequest::Cancel;
-                    if !self.commit_step(&transfer.job, unit, spending).await && !wait {
+                    if !self.commit_step(&transfer.job, update, spending).await && !wait {
                         return Ok(None);
                     }
                 }
@@ -145,33 +145,33 @@
     }
 
     /// Commits a step of a hand-over, and settles what it spends.
-    async fn commit_step(&self, job: &str, unit: Unit, spending: Option<Spending>) -> bool {
+    async fn commit_step(&self, job: &str, update: AtomicUpdate, spending: Option<Spending>) -> bool {
         let spending = spending.map(|spending| OpenSpending::new(self, job, spending));
-        let result = self.commit_unit_for_cells(unit).await;
+        let result = self.commit_update_for_cells(update).await;
         if let Some(spending) = spending {
             spending.settle(&result);
         }
-        matches!(result, UnitResult::Committed(_))
+        matches!(result, UpdateResult::Committed(_))
     }
 
     /// Commits a unit of a hand-over; on a conflict the keys are read again. `false`: it
     /// is not made, or nobody knows.
-    pub(crate) async fn commit_for_cells(&self, unit: Unit) -> bool {
-        matches!(self.commit_unit_for_cells(unit).await, UnitResult::Committed(_))
+    pub(crate) async fn commit_for_cells(&self, update: AtomicUpdate) -> bool {
+        matches!(self.commit_update_for_cells(update).await, UpdateResult::Committed(_))
     }
 
-    async fn commit_unit_for_cells(&self, unit: Unit) -> UnitResult {
-        let result = self.committer.commit_soon(unit.clone()).await;
+    async fn commit_update_for_cells(&self, update: AtomicUpdate) -> UpdateResult {
+        let result = self.committer.commit_soon(update.clone()).await;
         match &result {
-            UnitResult::Committed(revision) => {
-                self.with(|core| core.apply_changes(&unit.changes, *revision, now()));
+            UpdateResult::Committed(revision) => {
+                self.with(|core| core.apply_changes(&update.changes, *revision, now()));
             }
-            UnitResult::Conflict(keys) => {
+            UpdateResult::Conflict(keys) => {
                 for key in keys {
                     self.refresh(key, || true).await;
                 }
             }
-            UnitResult::Refused(error) | UnitResult::Unknown(error) => {
+            UpdateResult::Refused(error) | UpdateResult::Unknown(error) => {
                 tracing::debug!(error, "a step of a hand-over is not committed yet");
             }
         }
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -2,10 +2,10 @@
 //! job by the leader, of a shard by its holder.
 
 use super::Core;
-use super::commit_queue::NextSubject;
+use super::commit_queue::NextTarget;
 use crate::jobs::{OpenJob, Placed, TaskId};
 use crate::records::{SegmentId, SegmentRecord};
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::Priority;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 
 /// Whose records a unit changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Subject {
+pub enum CommitTarget {
     /// A job's.
     Job(Arc<str>),
     /// A shard's, or a segment's of it.
@@ -29,11 +29,11 @@
 
 /// A unit of changes.
 #[derive(Debug, Clone)]
-pub struct WorkUnit {
+pub struct PendingCommit {
     /// What it is about.
-    pub subject: Subject,
+    pub target: CommitTarget,
     /// The unit.
-    pub unit: Unit,
+    pub update: AtomicUpdate,
     /// Whether urgent work or the end of a job waits for it.
     pub urgent: bool,
     number: u64,
@@ -44,11 +44,11 @@
 
 /// How a unit ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UnitEnd {
+pub enum CommitOutcome {
     /// Made, at this revision.
     Committed(u64),
     /// Not made, and never will be.
-    NotMade,
+    NotCommitted,
 }
 
 impl Core {
@@ -56,22 +56,22 @@
     /// jobs goes first, then allocations and placements. Ends of other tasks wait
     /// for company, unless changes are plenty (`relaxed`). While they are scarce,
     /// what has the highest priority goes first.
-    pub fn next_unit(&mut self, relaxed: bool, only_urgent: bool, now: Instant) -> Option<WorkUnit> {
+    pub fn next_commit(&mut self, relaxed: bool, only_urgent: bool, now: Instant) -> Option<PendingCommit> {
         if !self.has_role() {
             return None;
         }
         loop {
-            let next = self.next_subject(relaxed, only_urgent, now)?;
-            if self.is_held_back(&next.subject) {
+            let next = self.next_target(relaxed, only_urgent, now)?;
+            if self.is_held_back(&next.target) {
                 continue;
             }
-            if let Some(unit) = self.work_unit(next, now) {
-                return Some(unit);
+            if let Some(update) = self.pending_commit(next, now) {
+                return Some(update);
             }
         }
     }
 
-    fn next_subject(&mut self, relaxed: bool, only_urgent: bool, now: Instant) -> Option<NextSubject> {
+    fn next_target(&mut self, relaxed: bool, only_urgent: bool, now: Instant) -> Option<NextTarget> {
         let next = if relaxed {
             self.commits.next_relaxed(only_urgent, now)
         } else {
@@ -81,57 +81,57 @@
             return next;
         }
         let key = self.next_obsolete_key(relaxed)?;
-        Some(NextSubject { subject: Subject::ObsoleteKey(key), urgent: false })
+        Some(NextTarget { target: CommitTarget::ObsoleteKey(key), urgent: false })
     }
 
     /// Whether a subject has to wait for the end of a unit in flight; it is
     /// looked at again then. What a record of the first layout has may be moved
     /// over only once no write of that is in flight, which could come after it.
-    fn is_held_back(&mut self, subject: &Subject) -> bool {
-        if let Subject::Segment(id) = subject
+    fn is_held_back(&mut self, target: &CommitTarget) -> bool {
+        if let CommitTarget::Segment(id) = target
             && id.segment.is_some()
         {
-            let whole = Subject::Segment(SegmentId::whole(id.shard));
+            let whole = CommitTarget::Segment(SegmentId::whole(id.shard));
             if self.commits.is_in_flight(&whole) {
-                self.commits.block_on(whole, subject.clone());
+                self.commits.block_on(whole, target.clone());
                 return true;
             }
         }
-        let in_flight = self.commits.is_in_flight(subject);
+        let in_flight = self.commits.is_in_flight(target);
         if in_flight {
-            self.commits.recheck_later(subject.clone());
+            self.commits.recheck_later(target.clone());
         }
         in_flight
     }
 
     /// What a subject has to commit, if anything.
-    fn work_unit(&mut self, next: NextSubject, now: Instant) -> Option<WorkUnit> {
-        let NextSubject { subject, urgent } = next;
-        let absorbed = match &subject {
+    fn pending_commit(&mut self, next: NextTarget, now: Instant) -> Option<PendingCommit> {
+        let NextTarget { target, urgent } = next;
+        let absorbed = match &target {
             // Nothing can be committed of a shard that is no longer leased. Taken in
             // and restored, its segments would queue each other without end.
-            Subject::Segment(id) if self.is_holder(id.shard) => self.make_segment_fit(*id),
+            CommitTarget::Segment(id) if self.is_holder(id.shard) => self.make_segment_fit(*id),
             _ => None,
         };
-        let unit = match &subject {
-            Subject::Job(id) => self.job_unit(id),
-            Subject::Segment(id) => self.segment_unit(*id),
-            Subject::ObsoleteKey(key) => self.obsolete_key_unit(key),
+        let update = match &target {
+            CommitTarget::Job(id) => self.job_update(id),
+            CommitTarget::Segment(id) => self.segment_update(*id),
+            CommitTarget::ObsoleteKey(key) => self.obsolete_key_update(key),
         };
-        let Some((mut unit, proposals)) = unit else {
-            if let (Some(other), Subject::Segment(by)) = (absorbed, subject) {
+        let Some((mut update, proposals)) = update else {
+            if let (Some(other), CommitTarget::Segment(by)) = (absorbed, target) {
                 self.restore(other, by);
             }
             return None;
         };
         let number = self.commits.next_number();
         if let Some(other) = absorbed {
-            self.empty_absorbed(other, &mut unit);
-            self.commits.begin(Subject::Segment(other), number);
+            self.empty_absorbed(other, &mut update);
+            self.commits.begin(CommitTarget::Segment(other), number);
         }
-        self.commits.begin(subject.clone(), number);
-        self.commits.note_sent(subject.clone(), now);
-        Some(WorkUnit { subject, unit, urgent, number, proposals, absorbed })
+        self.commits.begin(target.clone(), number);
+        self.commits.note_sent(target.clone(), now);
+        Some(PendingCommit { target, update, urgent, number, proposals, absorbed })
     }
 
     /// Sends machines elsewhere if a segment would outgrow a value, or takes in
@@ -145,13 +145,13 @@
     }
 
     /// Adds to a unit that the segment which is taken in has nothing any more.
-    fn empty_absorbed(&self, other: SegmentId, unit: &mut Unit) {
+    fn empty_absorbed(&self, other: SegmentId, update: &mut AtomicUpdate) {
         let version = self.segments.get(&other).map_or(0, |segment| segment.version);
-        unit.conditions.push(Condition { key: other.key(), version });
+        update.conditions.push(Condition { key: other.key(), version });
         // Empty rather than gone: a late copy of what began it must not find it as
         // it was then.
         let value = self.segment_value(other, &SegmentRecord::default());
-        unit.changes.push(Change::Set { key: other.key(), value, lease: None });
+        update.changes.push(Change::Set { key: other.key(), value, lease: None });
     }
 
     /// Whether something waits for its turn, or for company.
@@ -163,20 +163,20 @@
     pub(super) fn mark_job(&mut self, id: &Arc<str>) {
         let Some(job) = self.open_job(id) else { return };
         let over = !job.is_open() || job.done.len() == job.record.tasks;
-        let subject = Subject::Job(id.clone());
+        let target = CommitTarget::Job(id.clone());
         if over {
-            self.commits.push_job_end(subject);
+            self.commits.push_job_end(target);
         } else {
             // The first allocation of an urgent job goes at once.
-            let urgent = job.spec.priority < Priority::Normal && self.commits.sent_at(&subject).is_none();
-            self.commits.push(subject, urgent);
+            let urgent = job.spec.priority < Priority::Normal && self.commits.sent_at(&target).is_none();
+            self.commits.push(target, urgent);
         }
         self.wakeups.flush = true;
     }
 
     /// Asks for a commit of what is proposed in a segment, for urgent work or not.
     pub(super) fn mark_segment(&mut self, segment: SegmentId, urgent: bool) {
-        self.commits.push(Subject::Segment(segment), urgent);
+        self.commits.push(CommitTarget::Segment(segment), urgent);
         self.wakeups.flush = true;
     }
 
@@ -196,7 +196,9 @@
             // With the last one, earlier ends that still wait for company.
             let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.home);
             let segments: BTreeSet<SegmentId> = ended.chain([segment]).collect();
-            segments.into_iter().for_each(|segment| self.commits.push_job_end(Subject::Segment(segment)));
+            segments
+                .into_iter()
+                .for_each(|segment| self.commits.push_job_end(CommitTarget::Segment(segment)));
         } else {
             self.commits.defer_end(segment, now);
         }
@@ -204,56 +206,56 @@
     }
 
     /// Takes over the end of a unit.
-    pub fn unit_ended(&mut self, unit: &WorkUnit, end: UnitEnd, now: Instant) {
-        self.commits.end(&unit.subject, unit.number);
-        if let Some(other) = unit.absorbed {
-            let other = Subject::Segment(other);
+    pub fn commit_ended(&mut self, update: &PendingCommit, end: CommitOutcome, now: Instant) {
+        self.commits.end(&update.target, update.number);
+        if let Some(other) = update.absorbed {
+            let other = CommitTarget::Segment(other);
             self.commits.end_absorbed(&other);
             if self.commits.take_recheck(&other) {
                 // An end there that can't wait, or what is proposed: it is here now.
-                self.commits.recheck_later(unit.subject.clone());
+                self.commits.recheck_later(update.target.clone());
             }
         }
         match end {
-            UnitEnd::Committed(revision) => self.unit_committed(unit, revision, now),
-            UnitEnd::NotMade => self.unit_not_made(unit),
+            CommitOutcome::Committed(revision) => self.update_committed(update, revision, now),
+            CommitOutcome::NotCommitted => self.update_not_committed(update),
         }
-        match &unit.subject {
-            Subject::Job(id) => self.job_unit_ended(id),
-            Subject::Segment(id) => self.segment_unit_ended(*id, end, now),
-            Subject::ObsoleteKey(_) => {}
+        match &update.target {
+            CommitTarget::Job(id) => self.job_commit_ended(id),
+            CommitTarget::Segment(id) => self.segment_commit_ended(*id, end, now),
+            CommitTarget::ObsoleteKey(_) => {}
         }
-        if self.commits.release_blocked(&unit.subject) {
+        if self.commits.release_blocked(&update.target) {
             self.wakeups.flush = true;
         }
         self.wakeups.place = true;
     }
 
-    fn unit_committed(&mut self, unit: &WorkUnit, revision: u64, now: Instant) {
-        self.apply_changes(&unit.unit.changes, revision, now);
-        if let (Some(other), Subject::Segment(by)) = (unit.absorbed, &unit.subject) {
+    fn update_committed(&mut self, update: &PendingCommit, revision: u64, now: Instant) {
+        self.apply_changes(&update.update.changes, revision, now);
+        if let (Some(other), CommitTarget::Segment(by)) = (update.absorbed, &update.target) {
             self.absorbed(other, *by, now);
         }
         // A machine can go while a placement on it is in flight.
-        let machines = unit.proposals.iter().map(|(_, placed)| placed.machine.clone());
+        let machines = update.proposals.iter().map(|(_, placed)| placed.machine.clone());
         let lost: BTreeSet<Arc<str>> = machines.filter(|id| self.gone.contains_key(id)).collect();
         for id in lost {
             self.machine_gone(&id, now);
         }
     }
 
-    fn unit_not_made(&mut self, unit: &WorkUnit) {
-        if let (Some(other), Subject::Segment(by)) = (unit.absorbed, &unit.subject)
+    fn update_not_committed(&mut self, update: &PendingCommit) {
+        if let (Some(other), CommitTarget::Segment(by)) = (update.absorbed, &update.target)
             && self.is_holder(by.shard)
         {
             self.restore(other, *by);
         }
         let mut jobs: BTreeSet<Arc<str>> = BTreeSet::new();
-        for (task, placed) in &unit.proposals {
+        for (task, placed) in &update.proposals {
             self.withdraw_proposal(task, placed);
             jobs.insert(task.job.clone());
         }
-        if let Subject::Job(id) = &unit.subject {
+        if let CommitTarget::Job(id) = &update.target {
             if let Some(job) = self.open_job_mut(id) {
                 job.allocating.clear();
                 job.revoking.clear();
@@ -266,7 +268,7 @@
         }
     }
 
-    fn job_unit_ended(&mut self, id: &Arc<str>) {
+    fn job_commit_ended(&mut self, id: &Arc<str>) {
         if self.role.leadership.is_none()
             && let Some(job) = self.open_job_mut(id)
             && !(job.allocating.is_empty() && job.revoking.is_empty())
@@ -286,12 +288,12 @@
         }
     }
 
-    fn segment_unit_ended(&mut self, id: SegmentId, end: UnitEnd, now: Instant) {
+    fn segment_commit_ended(&mut self, id: SegmentId, end: CommitOutcome, now: Instant) {
         if !self.role.leased_shards.contains_key(&id.shard) {
             self.drop_proposals_in(id.shard);
         } else {
             self.drop_void(id, now);
-            if end == UnitEnd::NotMade {
+            if end == CommitOutcome::NotCommitted {
                 self.mark_segment(id, false);
             } else {
                 self.inherited.remove(&id);
@@ -322,7 +324,7 @@
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
             let own = !p.committed && p.home.shard == shard;
-            if own && void(job, task.index, p) && !self.commits.is_in_flight(&Subject::Segment(p.home)) {
+            if own && void(job, task.index, p) && !self.commits.is_in_flight(&CommitTarget::Segment(p.home)) {
                 proposed.push((task.clone(), p.clone()));
             }
         }
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -12,7 +12,7 @@
 // to it again.
 #[test]
 fn what_is_taken_back_while_its_part_is_on_its_way_can_be_allocated_elsewhere() {
-    for end in [UnitEnd::NotMade, UnitEnd::Committed(13)] {
+    for end in [CommitOutcome::NotCommitted, CommitOutcome::Committed(13)] {
         let now = Instant::now();
         let mut core = core();
         let job = |allocated| job_record("run-1", 2, allocated);
@@ -24,14 +24,14 @@
         let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
         open.placed.insert(1, placed.clone());
         core.book(&task, &placed.machine, 0, now);
-        let subject = Subject::Segment(segment);
-        core.commits.begin(subject.clone(), 7);
+        let target = CommitTarget::Segment(segment);
+        core.commits.begin(target.clone(), 7);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 0]]}))), 12, now);
         assert!(core.open_job("run-1").unwrap().placed.contains_key(&1), "it may be in the unit");
-        let unit = Unit::default();
-        let unit =
-            WorkUnit { subject, unit, urgent: false, number: 7, proposals: Vec::new(), absorbed: None };
-        core.unit_ended(&unit, end, now);
+        let update = AtomicUpdate::default();
+        let update =
+            PendingCommit { target, update, urgent: false, number: 7, proposals: Vec::new(), absorbed: None };
+        core.commit_ended(&update, end, now);
         let job = core.open_job("run-1").unwrap();
         assert!(job.placed.is_empty() && job.unallocated.contains(1), "{end:?}");
         assert!(core.machines["i-1"].tasks.is_empty());
@@ -68,11 +68,11 @@
     core.learn_parts(0);
     // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
-    let unit = core.next_unit(true, false, now).unwrap();
-    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Segment(one), Some(other)));
-    let left = unit.unit.changes.iter().find(|c| c.key() == other.key()).unwrap();
+    let update = core.next_commit(true, false, now).unwrap();
+    assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), Some(other)));
+    let left = update.update.changes.iter().find(|c| c.key() == other.key()).unwrap();
     assert!(matches!(left, Change::Set { .. }), "{left:?}");
-    core.unit_ended(&unit, UnitEnd::Committed(9), now);
+    core.commit_ended(&update, CommitOutcome::Committed(9), now);
     assert_eq!(core.version(&other.key()), 9);
     assert_eq!(core.open_job("run-2").unwrap().placed[&0].home, one);
     assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
@@ -80,18 +80,22 @@
     // the version that it has.
     assert!(!core.segment_numbers(0).contains(&1));
     core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
-    let unit = core.next_unit(true, false, now).unwrap();
-    assert_eq!((&unit.subject, unit.absorbed), (&Subject::Segment(one), None));
-    core.unit_ended(&unit, UnitEnd::Committed(10), now);
+    let update = core.next_commit(true, false, now).unwrap();
+    assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), None));
+    core.commit_ended(&update, CommitOutcome::Committed(10), now);
     core.machines.get_mut("i-2").unwrap().segment = Some(1);
     core.apply(&one.key(), Some(json!({})), 11, now);
     let Some(Job::Open(open)) = core.jobs.get_mut("run-2") else { panic!("not open") };
     let placed = proposed("i-2", other, 2, now);
     open.placed.insert(1, placed);
     core.book(&TaskId { job: "run-2".into(), index: 1 }, &"i-2".into(), 0, now);
-    let (unit, proposals) = core.segment_unit(other).unwrap();
+    let (update, proposals) = core.segment_update(other).unwrap();
     assert_eq!(proposals.len(), 1);
-    assert!(unit.conditions.contains(&Condition { key: other.key(), version: 9 }), "{:?}", unit.conditions);
+    assert!(
+        update.conditions.contains(&Condition { key: other.key(), version: 9 }),
+        "{:?}",
+        update.conditions
+    );
 }
 
 // A day took over 400 s of processor time: a segment of a shard that had been lost was
@@ -116,8 +120,8 @@
     core.apply(&other.key(), Some(record("run-2", "i-2")), 5, now);
     // Another shard is leased, so this process goes on committing.
     core.role.leased_shards.insert(1, ShardLease { epoch: 1, version: 1 });
-    let next = NextSubject { subject: Subject::Segment(one), urgent: false };
-    assert!(core.work_unit(next, now).is_none());
+    let next = NextTarget { target: CommitTarget::Segment(one), urgent: false };
+    assert!(core.pending_commit(next, now).is_none());
     assert_eq!(core.commits.backlog(), 0, "nothing is queued again");
     assert!(!core.absorbs(other));
 }
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -2,8 +2,8 @@
 //! processors have waited the longest. One change more or less is as many
 //! processors idle.
 
-use super::commit_queue::{CommitQueue, NextSubject};
-use super::{Core, Subject};
+use super::commit_queue::{CommitQueue, NextTarget};
+use super::{CommitTarget, Core};
 use crate::jobs::{Job, OpenJob};
 use crate::ranges::Ranges;
 use crate::records::SegmentId;
@@ -55,22 +55,22 @@
 
 impl Core {
     /// Takes the next subject to commit while changes are scarce.
-    pub(super) fn take_highest_priority(&mut self, only_urgent: bool, now: Instant) -> Option<NextSubject> {
+    pub(super) fn take_highest_priority(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
         if self.commits.priorities.is_outdated(now) {
             let by_segment = self.compute_segment_priorities(now);
             self.commits.priorities = SegmentPriorities { computed_at: Some(now), by_segment };
         }
         let jobs = &self.jobs;
-        let score = |queue: &CommitQueue, subject: &Subject, urgent: bool| {
+        let score = |queue: &CommitQueue, target: &CommitTarget, urgent: bool| {
             let factor = if urgent { URGENT_FACTOR } else { 1.0 };
-            let job = match subject {
-                Subject::Job(id) => match jobs.get(id) {
+            let job = match target {
+                CommitTarget::Job(id) => match jobs.get(id) {
                     Some(Job::Open(job)) => Some(&**job),
                     _ => None,
                 },
                 _ => None,
             };
-            priority(queue, subject, job, urgent, now) * factor
+            priority(queue, target, job, urgent, now) * factor
         };
         self.commits.next_scarce(only_urgent, score, now)
     }
@@ -95,31 +95,31 @@
 /// open job that it is about, if it is about one.
 fn priority(
     queue: &CommitQueue,
-    subject: &Subject,
+    target: &CommitTarget,
     job: Option<&OpenJob>,
     urgent: bool,
     now: Instant,
 ) -> f64 {
-    let sent = queue.sent_at(subject).map(|at| now.saturating_duration_since(at).as_secs_f64());
+    let sent = queue.sent_at(target).map(|at| now.saturating_duration_since(at).as_secs_f64());
     let since_sent = sent.unwrap_or(NEVER_SENT_S);
-    if !urgent && since_sent < turn(subject, job).as_secs_f64() {
+    if !urgent && since_sent < turn(target, job).as_secs_f64() {
         return NOT_YET;
     }
-    match subject {
-        Subject::Segment(segment) => queue.priorities.of(segment),
-        Subject::Job(_) => {
+    match target {
+        CommitTarget::Segment(segment) => queue.priorities.of(segment),
+        CommitTarget::Job(_) => {
             let (least, most) = JOB_WAIT_RANGE_S;
             job.map_or(0.0, |job| job_priority(job) * since_sent.clamp(least, most))
         }
-        Subject::ObsoleteKey(_) => 0.0,
+        CommitTarget::ObsoleteKey(_) => 0.0,
     }
 }
 
 /// How long a subject that is not urgent waits for its next turn.
-fn turn(subject: &Subject, job: Option<&OpenJob>) -> Duration {
-    match subject {
-        Subject::Segment(_) | Subject::ObsoleteKey(_) => SEGMENT_TURN,
-        Subject::Job(_) => match job {
+fn turn(target: &CommitTarget, job: Option<&OpenJob>) -> Duration {
+    match target {
+        CommitTarget::Segment(_) | CommitTarget::ObsoleteKey(_) => SEGMENT_TURN,
+        CommitTarget::Job(_) => match job {
             Some(job) if job.spec.priority < Priority::Normal => URGENT_JOB_TURN,
             _ => JOB_TURN,
         },
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -1,7 +1,7 @@
 //! What waits to be committed and what is being committed. The queue decides no
 //! more than the order; what a unit contains is worked out when it is taken.
 
-use super::Subject;
+use super::CommitTarget;
 use super::commit_priority::SegmentPriorities;
 use crate::records::SegmentId;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -16,15 +16,15 @@
 
 /// Subjects without duplicates, first in, first out.
 #[derive(Debug, Default)]
-struct SubjectQueue {
-    order: VecDeque<Subject>,
-    members: HashSet<Subject>,
+struct TargetQueue {
+    order: VecDeque<CommitTarget>,
+    members: HashSet<CommitTarget>,
 }
 
-impl SubjectQueue {
-    fn push(&mut self, subject: Subject) {
-        if self.members.insert(subject.clone()) {
-            self.order.push_back(subject);
+impl TargetQueue {
+    fn push(&mut self, target: CommitTarget) {
+        if self.members.insert(target.clone()) {
+            self.order.push_back(target);
         }
     }
 
@@ -34,10 +34,10 @@
 
     /// The position and score of the subject with the highest score, of equal
     /// ones the first; none whose score is below 0.
-    fn best(&self, score: impl Fn(&Subject) -> f64) -> Option<(usize, f64)> {
+    fn best(&self, score: impl Fn(&CommitTarget) -> f64) -> Option<(usize, f64)> {
         let mut best: Option<(usize, f64)> = None;
-        for (position, subject) in self.order.iter().enumerate() {
-            let own = score(subject);
+        for (position, target) in self.order.iter().enumerate() {
+            let own = score(target);
             if own >= 0.0 && best.is_none_or(|(_, highest)| own > highest) {
                 best = Some((position, own));
             }
@@ -45,35 +45,35 @@
         best
     }
 
-    fn take(&mut self, position: usize) -> Option<Subject> {
-        let subject = self.order.remove(position)?;
-        self.members.remove(&subject);
-        Some(subject)
+    fn take(&mut self, position: usize) -> Option<CommitTarget> {
+        let target = self.order.remove(position)?;
+        self.members.remove(&target);
+        Some(target)
     }
 
-    fn pop(&mut self) -> Option<Subject> {
-        let subject = self.order.pop_front()?;
-        self.members.remove(&subject);
-        Some(subject)
+    fn pop(&mut self) -> Option<CommitTarget> {
+        let target = self.order.pop_front()?;
+        self.members.remove(&target);
+        Some(target)
     }
 }
 
 /// What is to be committed next.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct NextSubject {
+pub(super) struct NextTarget {
     /// Whose records change.
-    pub subject: Subject,
+    pub target: CommitTarget,
     /// Whether urgent work or the end of a job waits for it.
     pub urgent: bool,
 }
 
-impl NextSubject {
-    fn urgent(subject: Subject) -> NextSubject {
-        NextSubject { subject, urgent: true }
+impl NextTarget {
+    fn urgent(target: CommitTarget) -> NextTarget {
+        NextTarget { target, urgent: true }
     }
 
-    fn normal(subject: Subject) -> NextSubject {
-        NextSubject { subject, urgent: false }
+    fn normal(target: CommitTarget) -> NextTarget {
+        NextTarget { target, urgent: false }
     }
 }
 
@@ -82,36 +82,36 @@
 #[derive(Debug, Default)]
 pub(super) struct CommitQueue {
     /// What ends jobs.
-    job_ends: SubjectQueue,
+    job_ends: TargetQueue,
     /// Jobs with allocations, and segments with placements, of urgent work.
-    urgent: SubjectQueue,
+    urgent: TargetQueue,
     /// Those of other work.
-    normal: SubjectQueue,
+    normal: TargetQueue,
     /// Segments with nothing but ends of tasks to commit, since when.
     deferred_ends: VecDeque<(Instant, SegmentId)>,
     /// When something of a subject was last sent to be committed.
-    sent_at: HashMap<Subject, Instant>,
+    sent_at: HashMap<CommitTarget, Instant>,
     /// Units in flight, by number.
-    in_flight: HashMap<Subject, u64>,
+    in_flight: HashMap<CommitTarget, u64>,
     /// Subjects that have more to commit once their unit has ended.
-    recheck: HashSet<Subject>,
+    recheck: HashSet<CommitTarget>,
     /// Subjects that wait for the end of another one's unit.
-    blocked: HashMap<Subject, HashSet<Subject>>,
+    blocked: HashMap<CommitTarget, HashSet<CommitTarget>>,
     /// Number of the last unit.
-    last_unit: u64,
+    last_commit: u64,
     /// How much each segment has waiting to be committed.
     pub priorities: SegmentPriorities,
 }
 
 impl CommitQueue {
     /// Queues what ends a job: it goes before all else.
-    pub fn push_job_end(&mut self, subject: Subject) {
-        self.job_ends.push(subject);
+    pub fn push_job_end(&mut self, target: CommitTarget) {
+        self.job_ends.push(target);
     }
 
     /// Queues allocations or placements.
-    pub fn push(&mut self, subject: Subject, urgent: bool) {
-        if urgent { self.urgent.push(subject) } else { self.normal.push(subject) }
+    pub fn push(&mut self, target: CommitTarget, urgent: bool) {
+        if urgent { self.urgent.push(target) } else { self.normal.push(target) }
     }
 
     /// Queues ends of tasks, which wait for others to share a change with.
@@ -143,28 +143,28 @@
     }
 
     /// When something of a subject was last sent.
-    pub fn sent_at(&self, subject: &Subject) -> Option<Instant> {
-        self.sent_at.get(subject).copied()
+    pub fn sent_at(&self, target: &CommitTarget) -> Option<Instant> {
+        self.sent_at.get(target).copied()
     }
 
     /// Forgets when a subject was last sent.
-    pub fn forget_sent(&mut self, subject: &Subject) {
-        self.sent_at.remove(subject);
+    pub fn forget_sent(&mut self, target: &CommitTarget) {
+        self.sent_at.remove(target);
     }
 
     /// Takes the next subject while changes are plenty: first come, first served.
-    pub fn next_relaxed(&mut self, only_urgent: bool, now: Instant) -> Option<NextSubject> {
-        if let Some(subject) = self.job_ends.pop().or_else(|| self.urgent.pop()) {
-            return Some(NextSubject::urgent(subject));
+    pub fn next_relaxed(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
+        if let Some(target) = self.job_ends.pop().or_else(|| self.urgent.pop()) {
+            return Some(NextTarget::urgent(target));
         }
         if only_urgent {
             return None;
         }
-        let subject = self
+        let target = self
             .take_deferred_end(DEFERRED_ENDS_MAX_DELAY, now)
             .or_else(|| self.normal.pop())
             .or_else(|| self.take_deferred_end(Duration::ZERO, now));
-        subject.map(NextSubject::normal)
+        target.map(NextTarget::normal)
     }
 
     /// Takes the next subject while changes are scarce: the one with the highest
@@ -172,108 +172,108 @@
     pub fn next_scarce(
         &mut self,
         only_urgent: bool,
-        score: impl Fn(&CommitQueue, &Subject, bool) -> f64,
+        score: impl Fn(&CommitQueue, &CommitTarget, bool) -> f64,
         now: Instant,
-    ) -> Option<NextSubject> {
-        if let Some(subject) = self.job_ends.pop() {
-            return Some(NextSubject::urgent(subject));
+    ) -> Option<NextTarget> {
+        if let Some(target) = self.job_ends.pop() {
+            return Some(NextTarget::urgent(target));
         }
-        if !only_urgent && let Some(subject) = self.take_deferred_end(DEFERRED_ENDS_MAX_DELAY, now) {
-            return Some(NextSubject::normal(subject));
+        if !only_urgent && let Some(target) = self.take_deferred_end(DEFERRED_ENDS_MAX_DELAY, now) {
+            return Some(NextTarget::normal(target));
         }
         let highest = self.take_highest(only_urgent, score);
         if highest.is_some() || only_urgent {
             return highest;
         }
-        self.take_deferred_end(DEFERRED_ENDS_DELAY, now).map(NextSubject::normal)
+        self.take_deferred_end(DEFERRED_ENDS_DELAY, now).map(NextTarget::normal)
     }
 
     fn take_highest(
         &mut self,
         only_urgent: bool,
-        score: impl Fn(&CommitQueue, &Subject, bool) -> f64,
-    ) -> Option<NextSubject> {
-        let urgent = self.urgent.best(|subject| score(self, subject, true));
-        let normal = self.normal.best(|subject| score(self, subject, false)).filter(|_| !only_urgent);
+        score: impl Fn(&CommitQueue, &CommitTarget, bool) -> f64,
+    ) -> Option<NextTarget> {
+        let urgent = self.urgent.best(|target| score(self, target, true));
+        let normal = self.normal.best(|target| score(self, target, false)).filter(|_| !only_urgent);
         match (urgent, normal) {
             (Some((position, highest)), other) if other.is_none_or(|(_, score)| score <= highest) => {
-                self.urgent.take(position).map(NextSubject::urgent)
+                self.urgent.take(position).map(NextTarget::urgent)
             }
-            (_, Some((position, _))) => self.normal.take(position).map(NextSubject::normal),
+            (_, Some((position, _))) => self.normal.take(position).map(NextTarget::normal),
             (_, None) => None,
         }
     }
 
-    fn take_deferred_end(&mut self, least: Duration, now: Instant) -> Option<Subject> {
+    fn take_deferred_end(&mut self, least: Duration, now: Instant) -> Option<CommitTarget> {
         let (since, segment) = *self.deferred_ends.front()?;
         if now.saturating_duration_since(since) < least {
             return None;
         }
         self.deferred_ends.pop_front();
-        Some(Subject::Segment(segment))
+        Some(CommitTarget::Segment(segment))
     }
 
     /// Whether a unit of a subject is in flight.
-    pub fn is_in_flight(&self, subject: &Subject) -> bool {
-        self.in_flight.contains_key(subject)
+    pub fn is_in_flight(&self, target: &CommitTarget) -> bool {
+        self.in_flight.contains_key(target)
     }
 
     /// Whether a unit of any segment of a shard is in flight.
     pub fn is_shard_in_flight(&self, shard: u32) -> bool {
         self.in_flight
             .keys()
-            .any(|subject| matches!(subject, Subject::Segment(segment) if segment.shard == shard))
+            .any(|target| matches!(target, CommitTarget::Segment(segment) if segment.shard == shard))
     }
 
     /// A number for a new unit.
     pub fn next_number(&mut self) -> u64 {
-        self.last_unit += 1;
-        self.last_unit
+        self.last_commit += 1;
+        self.last_commit
     }
 
     /// Notes that a unit is in flight that changes a subject.
-    pub fn begin(&mut self, subject: Subject, number: u64) {
-        self.in_flight.insert(subject, number);
+    pub fn begin(&mut self, target: CommitTarget, number: u64) {
+        self.in_flight.insert(target, number);
     }
 
     /// Notes when a subject's own unit was sent.
-    pub fn note_sent(&mut self, subject: Subject, now: Instant) {
-        self.sent_at.insert(subject, now);
+    pub fn note_sent(&mut self, target: CommitTarget, now: Instant) {
+        self.sent_at.insert(target, now);
     }
 
     /// Notes the end of a unit, unless a later one of the subject is in flight.
-    pub fn end(&mut self, subject: &Subject, number: u64) {
-        if self.in_flight.get(subject) == Some(&number) {
-            self.in_flight.remove(subject);
+    pub fn end(&mut self, target: &CommitTarget, number: u64) {
+        if self.in_flight.get(target) == Some(&number) {
+            self.in_flight.remove(target);
         }
     }
 
     /// Notes that a subject that another unit changed too is free again.
-    pub fn end_absorbed(&mut self, subject: &Subject) {
-        self.in_flight.remove(subject);
+    pub fn end_absorbed(&mut self, target: &CommitTarget) {
+        self.in_flight.remove(target);
     }
 
     /// Looks at a subject again once its unit in flight has ended.
-    pub fn recheck_later(&mut self, subject: Subject) {
-        self.recheck.insert(subject);
+    pub fn recheck_later(&mut self, target: CommitTarget) {
+        self.recheck.insert(target);
     }
 
     /// Whether a subject was to be looked at again; it no longer is.
-    pub fn take_recheck(&mut self, subject: &Subject) -> bool {
-        self.recheck.remove(subject)
+    pub fn take_recheck(&mut self, target: &CommitTarget) -> bool {
+        self.recheck.remove(target)
     }
 
     /// Holds a subject back until another one's unit has ended.
-    pub fn block_on(&mut self, blocker: Subject, subject: Subject) {
-        self.blocked.entry(blocker).or_default().insert(subject);
+    pub fn block_on(&mut self, blocker: CommitTarget, target: CommitTarget) {
+        self.blocked.entry(blocker).or_default().insert(target);
     }
 
     /// Queues what waited for the end of a subject's unit; returns whether
     /// anything did.
-    pub fn release_blocked(&mut self, blocker: &Subject) -> bool {
+    pub fn release_blocked(&mut self, blocker: &CommitTarget) -> bool {
         let mut released = false;
-        for subject in self.blocked.remove(blocker).unwrap_or_default() {
-            self.urgent.push(subject);
+        for target in self.blocked.remove(blocker).unwrap_or_default() {
+            self.urgent.push(target);
             released = true;
         }
         if self.recheck.remove(blocker) {
--- a/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn job(id: &str) -> Subject {
-    Subject::Job(id.into())
+fn job(id: &str) -> CommitTarget {
+    CommitTarget::Job(id.into())
 }
 
-fn segment(number: u32) -> Subject {
-    Subject::Segment(SegmentId::new(0, number))
+fn segment(number: u32) -> CommitTarget {
+    CommitTarget::Segment(SegmentId::new(0, number))
 }
 
 #[test]
@@ -16,15 +16,15 @@
     queue.push(segment(1), false);
     queue.push(segment(2), true);
     queue.push_job_end(job("run-1"));
-    let flat = |_: &CommitQueue, _: &Subject, urgent: bool| if urgent { 8.0 } else { 1.0 };
+    let flat = |_: &CommitQueue, _: &CommitTarget, urgent: bool| if urgent { 8.0 } else { 1.0 };
     let mut order = Vec::new();
     while let Some(next) = queue.next_scarce(false, flat, start) {
-        order.push((next.subject, next.urgent));
+        order.push((next.target, next.urgent));
     }
     assert_eq!(order, [(job("run-1"), true), (segment(2), true), (segment(1), false)]);
     let later = start + DEFERRED_ENDS_DELAY;
     assert_eq!(queue.next_scarce(true, flat, later), None);
-    assert_eq!(queue.next_scarce(false, flat, later), Some(NextSubject::normal(segment(3))));
+    assert_eq!(queue.next_scarce(false, flat, later), Some(NextTarget::normal(segment(3))));
 }
 
 // Urgent segments that came and came once kept large allocations back for ever.
@@ -34,19 +34,19 @@
     let mut queue = CommitQueue::default();
     queue.push(segment(1), true);
     queue.push(job("run-1"), false);
-    let score = |_: &CommitQueue, subject: &Subject, _: bool| match subject {
-        Subject::Job(_) => 100.0,
+    let score = |_: &CommitQueue, target: &CommitTarget, _: bool| match target {
+        CommitTarget::Job(_) => 100.0,
         _ => 8.0,
     };
-    assert_eq!(queue.next_scarce(true, score, now).unwrap().subject, segment(1));
+    assert_eq!(queue.next_scarce(true, score, now).unwrap().target, segment(1));
     queue.push(segment(1), true);
-    assert_eq!(queue.next_scarce(false, score, now).unwrap().subject, job("run-1"));
+    assert_eq!(queue.next_scarce(false, score, now).unwrap().target, job("run-1"));
     assert_eq!(queue.next_scarce(false, |_, _, _| -1.0, now), None);
     assert_eq!(queue.backlog(), 1);
 }
 
 #[test]
-fn one_unit_of_a_subject_is_in_flight_at_a_time() {
+fn one_commit_of_a_target_is_in_flight_at_a_time() {
     let mut queue = CommitQueue::default();
     let number = queue.next_number();
     queue.begin(segment(1), number);
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/copy.rs
@@ -1,6 +1,6 @@
 //! The copy of the records, and what follows from each change of it.
 
-use super::{Core, Subject};
+use super::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob, Placed, Stop, TaskId};
 use crate::legacy;
 use crate::records::{
@@ -467,7 +467,7 @@
         let completed_records = self.completed_records.remove(id).unwrap_or_default();
         self.obsolete_keys
             .extend(completed_records.keys().map(|part| crate::records::completed_tasks_key(id, *part)));
-        self.commits.forget_sent(&Subject::Job(id.clone()));
+        self.commits.forget_sent(&CommitTarget::Job(id.clone()));
         self.open.remove(id);
         self.waiting.remove(id);
     }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -5,7 +5,7 @@
 use crate::records;
 use dapplecroft_admission::demand::{Sketch, WaitingJob};
 use dapplecroft_admission::{BucketDemand, ControllerView, Plan, PlannerInput, PolicyRecord};
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::peer::{BucketWants, DemandReply};
 use dapplecroft_wire::state::Change;
 use serde::Serialize;
@@ -58,12 +58,12 @@
     }
 
     /// What the leader has to commit, given what the controllers that answered wanted.
-    pub fn credit_unit(
+    pub fn credit_update(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
         wall: f64,
         now: Instant,
-    ) -> Option<Unit> {
+    ) -> Option<AtomicUpdate> {
         let leader = self.leader_condition()?;
         let admission = self.credit.as_ref()?.admission.clone();
         let input = PlannerInput {
@@ -79,10 +79,10 @@
         };
         let credit = self.credit.as_mut()?;
         let plan = credit.planner.plan(&credit.ledger, &input);
-        (!plan.is_empty()).then(|| self.plan_unit(leader, plan))
+        (!plan.is_empty()).then(|| self.plan_update(leader, plan))
     }
 
-    fn plan_unit(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> Unit {
+    fn plan_update(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> AtomicUpdate {
         let mut changes = Vec::new();
         changes.extend(plan.policy.map(|policy| set(records::ADMISSION_POLICY.into(), &policy)));
         changes.extend(plan.epochs.iter().map(|(host, epoch)| set(records::epoch_key(host), epoch)));
@@ -90,7 +90,7 @@
         changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS.into(), &kept)));
         let mut conditions = vec![leader];
         conditions.extend(changes.iter().map(|change| self.unchanged(change.key().to_string())));
-        Unit { conditions, changes }
+        AtomicUpdate { conditions, changes }
     }
 
     fn controller_views(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerView> {
@@ -121,7 +121,7 @@
     /// The unit by which any controller lifts the demand for credit while a live one
     /// knows nothing of it: that one would take everything the others refuse, or, as
     /// leader, would never grant any.
-    pub fn lift_unit(&self) -> Option<Unit> {
+    pub fn lift_update(&self) -> Option<AtomicUpdate> {
         let stranger = self.live.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
         let (policy, _) = self.credit.as_ref()?.ledger.policy().filter(|(policy, _)| policy.in_force)?;
         let lifted = PolicyRecord { in_force: false, ..policy.clone() };
@@ -130,6 +130,6 @@
             self.unchanged(records::ADMISSION_POLICY.into()),
             self.unchanged(records::live_key(stranger)),
         ];
-        Some(Unit { conditions, changes: vec![change] })
+        Some(AtomicUpdate { conditions, changes: vec![change] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
 use dapplecroft_sched::{RepackRules, Resident, Slot, TaskRequirements, plan_repack};
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
 
 impl Core {
     /// The next step of repacking: a change of a drain's record, if any.
-    pub fn drain_step(&mut self, now: Instant) -> Option<Unit> {
+    pub fn drain_step(&mut self, now: Instant) -> Option<AtomicUpdate> {
         if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.writing {
             return None;
         }
@@ -66,7 +66,7 @@
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version: 0 }];
         self.draining.writing = true;
-        Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Notes the end of a write of a drain's record.
@@ -174,7 +174,7 @@
         record: &DrainRecord,
         version: u64,
         now: Instant,
-    ) -> Option<Unit> {
+    ) -> Option<AtomicUpdate> {
         let begun = match self.draining.seen {
             Some((seen, at)) if seen == version => at,
             _ => {
@@ -206,6 +206,6 @@
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version }];
         self.draining.writing = true;
-        Some(Unit { conditions, changes: vec![Change::Drop { key }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -6,7 +6,7 @@
 mod status;
 mod visitor;
 
-pub use home::{AwayRequest, NotAway, OfferUnit};
+pub use home::{AwayRequest, NotAway, OfferUpdate};
 pub use visitor::{VisitPlan, VisitRequest};
 
 use crate::records;
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -1,14 +1,14 @@
 //! The home cell's part: which jobs are offered, what is away, and what an answer makes
 //! of a job's record.
 
-use crate::core::{Core, Subject};
+use crate::core::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage};
 use dapplecroft_federation::home::watermark;
 use dapplecroft_federation::summary::Wish;
 use dapplecroft_federation::{AwayRecord, CellId, Epoch, HomeStep, Outcome, TransferRequest, TransferState};
 use dapplecroft_sched::PendingCapacity;
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::Change;
 use dapplecroft_wire::users::JobSpec;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 
 /// An offer that is to be committed before it is sent.
 #[derive(Debug, Clone)]
-pub struct OfferUnit {
+pub struct OfferUpdate {
     /// The job.
     pub job: Arc<str>,
     /// What is committed.
-    pub unit: Unit,
+    pub update: AtomicUpdate,
 }
 
 /// What to ask another cell about one job.
@@ -122,12 +122,12 @@
         let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
         let headroom =
             self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
-        let in_flight = self.commits.is_in_flight(&Subject::Job(id.clone()));
+        let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
         plain && headroom && !in_flight && job.is_untouched(self.followed)
     }
 
     /// The unit by which a job is offered to a cell.
-    pub fn offer_unit(&mut self, id: &Arc<str>, cell: CellId) -> Option<OfferUnit> {
+    pub fn offer_update(&mut self, id: &Arc<str>, cell: CellId) -> Option<OfferUpdate> {
         let job = self.open_job(id).filter(|job| self.may_leave(id, job))?;
         let (version, record) = (job.version, job.record.clone());
         let leader = self.leader_condition()?;
@@ -138,8 +138,8 @@
         let value = self.job_value(&JobRecord { stage: JobStage::Away, away, ..record });
         self.federation.offers += 1;
         self.federation.unsettled.insert(id.clone(), (version, epoch));
-        let unit = Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        Some(OfferUnit { job: id.clone(), unit })
+        let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
+        Some(OfferUpdate { job: id.clone(), update })
     }
 
     /// Notes that the transaction of an offer will not be carried out any more, or was.
@@ -217,7 +217,7 @@
         from: &CellId,
         epoch: Epoch,
         state: TransferState,
-    ) -> Option<Unit> {
+    ) -> Option<AtomicUpdate> {
         let leader = self.leader_condition()?;
         let Some(Job::Away(away_job)) = self.jobs.get_mut(job) else { return None };
         let away = away_job.record.away.clone()?;
@@ -235,19 +235,19 @@
         let key = records::job_key(job);
         let conditions = vec![leader, self.unchanged(key.clone())];
         let value = self.job_value(&record);
-        Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// The unit by which any node notes that a job which is away is to be cancelled;
     /// `Ok(None)`: that is noted already. `Err`: it is not away.
-    pub fn away_cancellation(&self, id: &str) -> Result<Option<Unit>, NotAway> {
+    pub fn away_cancellation(&self, id: &str) -> Result<Option<AtomicUpdate>, NotAway> {
         let Some(Job::Away(job)) = self.jobs.get(id) else { return Err(NotAway) };
         let Some(away) = job.record.away.as_ref().filter(|away| !away.cancelling) else { return Ok(None) };
         let key = records::job_key(id);
         let record = JobRecord { away: Some(away.cancelled()), ..job.record.clone() };
         let conditions = vec![self.unchanged(key.clone())];
         let value = self.job_value(&record);
-        Ok(Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] }))
+        Ok(Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }))
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -41,17 +41,17 @@
 fn a_job_is_given_back_only_once_nothing_of_it_is_allocated_and_that_is_caught_up_with() {
     let later = Instant::now() + Duration::from_secs(100);
     let mut core = visited(json!({"0": "0-1"}));
-    assert!(core.return_units(9, later).is_empty(), "a holder may be placing it");
+    assert!(core.return_updates(9, later).is_empty(), "a holder may be placing it");
     core.prepare_returns(later);
     let job = core.open_job("run-1").unwrap();
     assert!(job.revoking.contains_key(&0) && job.not_before.is_some_and(|at| at > later));
     core.apply("dc/j/run-1", Some(visiting(json!({}))), 12, later);
-    assert!(core.return_units(9, later).is_empty(), "what was placed before may not be known yet");
+    assert!(core.return_updates(9, later).is_empty(), "what was placed before may not be known yet");
     core.caught_up(12);
-    let units = core.return_units(9, later);
-    assert_eq!(units.len(), 1);
-    let bound = units[0].conditions.iter().any(|c| c.key == "dc/j/run-1" && c.version == 12);
-    assert!(bound, "{:?}", units[0].conditions);
+    let updates = core.return_updates(9, later);
+    assert_eq!(updates.len(), 1);
+    let bound = updates[0].conditions.iter().any(|c| c.key == "dc/j/run-1" && c.version == 12);
+    assert!(bound, "{:?}", updates[0].conditions);
 }
 
 #[test]
@@ -61,5 +61,5 @@
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
     open.placed.insert(0, proposed("i-1", SegmentId::new(0, 0), 1, later));
     core.prepare_returns(later);
-    assert!(core.return_units(9, later).is_empty());
+    assert!(core.return_updates(9, later).is_empty());
 }
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -1,7 +1,7 @@
 //! The visited cell's part: what is known of a transfer, what is committed before it is
 //! answered, what is given back, and what may be forgotten.
 
-use crate::core::{Core, Subject};
+use crate::core::{CommitTarget, Core};
 use crate::jobs::{Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use dapplecroft_admission::Spending;
@@ -12,7 +12,7 @@
     CellId, Epoch, Origin, RefusalRecord, TransferRequest, TransferState, Visit, VisitorStep,
 };
 use dapplecroft_sched::Resources;
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::JobSpec;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     Answer(TransferState),
     /// This is committed first; then the request is looked at again. Credit that it
     /// spends has to be settled.
-    Commit(Unit, Option<Spending>),
+    Commit(AtomicUpdate, Option<Spending>),
     /// It is an incarnation that has been replaced.
     OutdatedSender,
     /// Nothing can be said now.
@@ -118,14 +118,14 @@
             watermark: self.federation.watermark(&from.name),
         };
         let room = request.spec.is_some_and(|spec| self.has_room_for_visitor(spec, taken_cpus, now));
-        let unit = match on_request(&known, from, request.epoch, request.request, room) {
+        let update = match on_request(&known, from, request.epoch, request.request, room) {
             VisitorStep::Answer(state) => return VisitPlan::Answer(state),
             VisitorStep::OutdatedSender => return VisitPlan::OutdatedSender,
             VisitorStep::Accept => return self.accept_plan(request),
-            VisitorStep::Refuse => self.refuse_unit(request),
-            VisitorStep::Withdraw => self.withdraw_visit_unit(request),
+            VisitorStep::Refuse => self.refuse_update(request),
+            VisitorStep::Withdraw => self.withdraw_visit_update(request),
         };
-        unit.map_or(VisitPlan::NotNow, |unit| VisitPlan::Commit(unit, None))
+        update.map_or(VisitPlan::NotNow, |update| VisitPlan::Commit(update, None))
     }
 
     /// The conditions of any change that a request brings: everything that the decision
@@ -156,26 +156,26 @@
         conditions.extend(admitted.conditions);
         let key = records::job_key(request.job);
         let value = self.job_value(&JobRecord { credit: admitted.tag, ..record });
-        let unit = Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        VisitPlan::Commit(unit, admitted.spending)
+        let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
+        VisitPlan::Commit(update, admitted.spending)
     }
 
     fn refuse_plan(&self, request: &VisitRequest) -> VisitPlan {
-        self.refuse_unit(request).map_or(VisitPlan::NotNow, |unit| VisitPlan::Commit(unit, None))
+        self.refuse_update(request).map_or(VisitPlan::NotNow, |update| VisitPlan::Commit(update, None))
     }
 
-    fn refuse_unit(&self, request: &VisitRequest) -> Option<Unit> {
+    fn refuse_update(&self, request: &VisitRequest) -> Option<AtomicUpdate> {
         let conditions = self.visit_conditions(request.from, request.job)?;
         let change = refusal(request.from, request.job, request.epoch);
-        Some(Unit { conditions, changes: vec![change] })
+        Some(AtomicUpdate { conditions, changes: vec![change] })
     }
 
-    fn withdraw_visit_unit(&self, request: &VisitRequest) -> Option<Unit> {
+    fn withdraw_visit_update(&self, request: &VisitRequest) -> Option<AtomicUpdate> {
         let conditions = self.visit_conditions(request.from, request.job)?;
         let (record, _) = self.withdrawal(request.job)?;
         let key = records::job_key(request.job);
         let value = self.job_value(&record);
-        Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Processors of other cells' jobs that are not over.
@@ -286,7 +286,7 @@
     /// known that nothing was placed.
     pub fn prepare_returns(&mut self, now: Instant) {
         for id in self.overdue_visits(now) {
-            let in_flight = self.commits.is_in_flight(&Subject::Job(id.clone()));
+            let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
             let Some(job) = self.open_job_mut(&id) else { continue };
             job.not_before = job.not_before.max(Some(now + RETURN_HOLD));
             if in_flight || !job.allocating.is_empty() || job.record.allocated.is_empty() {
@@ -300,7 +300,7 @@
 
     /// Units that give back jobs of other cells of which nothing was ever started or is
     /// allocated. Each is bound to the job's record, as every allocation is.
-    pub fn return_units(&self, most: usize, now: Instant) -> Vec<Unit> {
+    pub fn return_updates(&self, most: usize, now: Instant) -> Vec<AtomicUpdate> {
         let untouched = |id: &Arc<str>| self.open_job(id).is_some_and(|job| job.is_untouched(self.followed));
         let due = self.overdue_visits(now).into_iter().filter(untouched).take(most);
         due.filter_map(|id| {
@@ -308,18 +308,18 @@
             let conditions = self.visit_conditions(&origin.cell, &id)?;
             let drop = Change::Drop { key: records::job_key(&id) };
             let changes = vec![refusal(&origin.cell, &id, origin.epoch), drop];
-            Some(Unit { conditions, changes })
+            Some(AtomicUpdate { conditions, changes })
         })
         .collect()
     }
 
     /// The unit by which another cell's watermark is raised, if it tells anything new.
-    pub fn watermark_unit(&self, from: &CellId, epoch: Epoch) -> Option<Unit> {
+    pub fn watermark_update(&self, from: &CellId, epoch: Epoch) -> Option<AtomicUpdate> {
         let record = self.federation.watermark(&from.name).raised(from.incarnation, epoch)?;
         let key = records::watermark_key(&from.name);
         let conditions = vec![self.leader_condition()?, self.unchanged(key.clone())];
         let value = serde_json::to_value(record).ok()?;
-        Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Whether anything would be dropped if a watermark were raised.
@@ -341,7 +341,7 @@
     }
 
     /// Units that drop what home cells have finished with, a few keys each.
-    pub fn prune_units(&self, most: usize) -> Vec<Unit> {
+    pub fn prune_updates(&self, most: usize) -> Vec<AtomicUpdate> {
         let Some(leader) = self.leader_condition() else { return Vec::new() };
         let refusals = self.federation.refusals.iter().filter_map(|((cell, incarnation, job), refusal)| {
             let watermark = self.federation.watermark(cell);
@@ -353,7 +353,7 @@
             let prunable = is_prunable(origin.epoch, origin.cell.incarnation, &watermark);
             (prunable && self.is_over(id)).then(|| records::job_key(id))
         });
-        let drop = |key: String| Unit {
+        let drop = |key: String| AtomicUpdate {
             conditions: vec![leader.clone(), self.unchanged(key.clone())],
             changes: vec![Change::Drop { key }],
         };
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -1,6 +1,6 @@
 //! The wanted fleet, and what is to be done about the difference.
 
-use super::{Core, GroupUnit};
+use super::{Core, GroupUpdate};
 use crate::machines::{Fate, Machine};
 use crate::records::{GroupRecord, MemberRecord};
 use dapplecroft_cloud::MAX_RENT;
@@ -89,7 +89,7 @@
     /// How many machines are silent, asked about or not.
     pub quiet: usize,
     /// Records to write.
-    pub records: Vec<GroupUnit>,
+    pub records: Vec<GroupUpdate>,
 }
 
 impl Core {
@@ -117,7 +117,7 @@
         let machines = &self.machines;
         self.fleet.released.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
         let released = self.fleet.released.clone();
-        actions.records = self.group_units(&give_up, &released, now);
+        actions.records = self.group_updates(&give_up, &released, now);
         actions
     }
 
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -6,7 +6,7 @@
 use super::{Core, Group, reindex};
 use crate::machines::Machine;
 use crate::records::{self, GroupRecord, MemberRecord, stored_size};
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,11 +22,11 @@
 
 /// A change of a group's record.
 #[derive(Debug, Clone)]
-pub struct GroupUnit {
+pub struct GroupUpdate {
     /// The group.
     pub name: Arc<str>,
     /// The unit.
-    pub unit: Unit,
+    pub update: AtomicUpdate,
 }
 
 /// In which order groups' records are written.
@@ -56,7 +56,7 @@
 /// What becomes of a group's record.
 enum GroupWrite {
     /// It is written or dropped.
-    Unit(Unit),
+    Update(AtomicUpdate),
     /// Nothing was ever recorded of it, and nothing needs to be.
     Forget,
     /// Another process has to write it.
@@ -111,7 +111,7 @@
     /// The next step of a group's move into smaller ones: some of its machines
     /// get a record that is newer and so has them from then on; when none is
     /// left, the outgrown one is dropped without ever being written again.
-    fn move_unit(&self, name: &Arc<str>, group: &Group) -> Option<Unit> {
+    fn move_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
             Condition { key: records::LEADER.into(), version: self.role.leadership? },
@@ -126,14 +126,14 @@
             machine.is_none_or(|m| m.group.as_ref().is_none_or(|g| g == name))
         });
         if left.machines.is_empty() {
-            return Some(Unit { conditions, changes: vec![Change::Drop { key }] });
+            return Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] });
         }
         let part = left.split(self.limits().value).into_iter().next()?;
         let fresh = |n: &u32| !self.groups.contains_key(format!("{name}.{n}").as_str());
         let key = records::group_key(&format!("{name}.{}", (1..).find(fresh)?));
         conditions.push(Condition { key: key.clone(), version: 0 });
         let change = Change::Set { key, value: self.group_value(&part), lease: None };
-        Some(Unit { conditions, changes: vec![change] })
+        Some(AtomicUpdate { conditions, changes: vec![change] })
     }
 
     /// Takes note of machines that have left their group's record, once all that
@@ -195,13 +195,13 @@
 
     /// Group records that differ from what is known, as far as this process may
     /// write them.
-    pub(super) fn group_units(
+    pub(super) fn group_updates(
         &mut self,
         give_up: &BTreeSet<Arc<str>>,
         released: &BTreeSet<Arc<str>>,
         now: Instant,
-    ) -> Vec<GroupUnit> {
-        let mut units = Vec::new();
+    ) -> Vec<GroupUpdate> {
+        let mut updates = Vec::new();
         let mut addresses =
             self.fleet.addresses_at.is_none_or(|at| now.saturating_duration_since(at) >= ADDRESSES_EVERY);
         self.split_large_groups();
@@ -214,13 +214,13 @@
         let most = (self.limits().changes / 2).max(2);
         let left = most.saturating_sub(self.groups_on_way());
         for name in self.group_order(&released_groups, &given_up_groups, addresses) {
-            if units.len() >= left {
+            if updates.len() >= left {
                 break;
             }
             let Some(group) = self.groups.get(&name) else { continue };
             if self.is_outgrown(&name, group) {
-                let unit = self.move_unit(&name, group);
-                units.extend(unit.map(|unit| self.begin_group_write(&name, unit)));
+                let update = self.move_update(&name, group);
+                updates.extend(update.map(|update| self.begin_group_write(&name, update)));
                 continue;
             }
             if !addresses && group.version > 0 && !touched(&name) {
@@ -239,14 +239,14 @@
                 continue;
             }
             match self.group_write(&name, &record) {
-                GroupWrite::Unit(unit) => units.push(self.begin_group_write(&name, unit)),
+                GroupWrite::Update(update) => updates.push(self.begin_group_write(&name, update)),
                 GroupWrite::Forget => {
                     self.groups.remove(&name);
                 }
                 GroupWrite::NotAllowed => {}
             }
         }
-        units
+        updates
     }
 
     /// Splits groups that are not committed and too large for a record: they were
@@ -343,14 +343,14 @@
             true => Change::Drop { key },
             false => Change::Set { key, value: self.group_value(record), lease: None },
         };
-        GroupWrite::Unit(Unit { conditions, changes: vec![change] })
+        GroupWrite::Update(AtomicUpdate { conditions, changes: vec![change] })
     }
 
-    fn begin_group_write(&mut self, name: &Arc<str>, unit: Unit) -> GroupUnit {
+    fn begin_group_write(&mut self, name: &Arc<str>, update: AtomicUpdate) -> GroupUpdate {
         if let Some(group) = self.groups.get_mut(name) {
             group.writing = true;
         }
-        GroupUnit { name: name.clone(), unit }
+        GroupUpdate { name: name.clone(), update }
     }
 
     /// How many records of groups are about to be committed.
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -28,14 +28,14 @@
 mod shards;
 #[cfg(test)]
 mod testing;
-mod units;
+mod updates;
 
 pub use capacity_usage::CapacityUsage;
-pub use commit::{Subject, UnitEnd, WorkUnit};
+pub use commit::{CommitOutcome, CommitTarget, PendingCommit};
 pub use credit::{Ruling, SubmissionPlan};
-pub use federation::{AwayRequest, NotAway, OfferUnit, VisitPlan, VisitRequest};
+pub use federation::{AwayRequest, NotAway, OfferUpdate, VisitPlan, VisitRequest};
 pub use fleet::{FleetActions, MAX_CONSULTED};
-pub use groups::GroupUnit;
+pub use groups::GroupUpdate;
 pub use session::{CommandEnd, HeartbeatOutcome};
 pub use shards::{LeaseGrant, ShardLease};
 
@@ -433,7 +433,7 @@
             .placed
             .iter()
             .filter(|(index, p)| !p.committed && void(job, **index, p))
-            .filter(|(_, p)| !self.commits.is_in_flight(&Subject::Segment(p.home)))
+            .filter(|(_, p)| !self.commits.is_in_flight(&CommitTarget::Segment(p.home)))
             .map(|(i, p)| (*i, p.clone()))
             .collect();
         if void.is_empty() {
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -8,7 +8,7 @@
 use crate::machines::Fate;
 use crate::records::{self, stored_size};
 use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,10 +43,10 @@
 
     /// The records of the machine types that differ from what is recorded: one
     /// that any version reads, or as many as it takes for each to fit a value.
-    pub fn catalog_units(&self, catalog: &Catalog) -> Vec<Unit> {
+    pub fn catalog_updates(&self, catalog: &Catalog) -> Vec<AtomicUpdate> {
         let set = |key: String, value| {
             let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
-            Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] }
+            AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }
         };
         if self.is_mixed() {
             return vec![set(records::CATALOG.into(), to_value(catalog))];
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -1,6 +1,6 @@
 //! Leadership, and how long this process may act without a confirmation.
 
-use super::{Core, Subject, fleet};
+use super::{CommitTarget, Core, fleet};
 use crate::jobs::Job;
 use crate::records;
 use dapplecroft_wire::state::Condition;
@@ -96,7 +96,7 @@
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let decided = !(job.allocating.is_empty() && job.revoking.is_empty());
-            if decided && !self.commits.is_in_flight(&Subject::Job(id.clone())) {
+            if decided && !self.commits.is_in_flight(&CommitTarget::Job(id.clone())) {
                 job.allocating.clear();
                 job.revoking.clear();
                 self.rederive(&id);
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -7,7 +7,7 @@
 //! those that do are recorded first, and the others as neighbours join
 //! ([`Core::next_segment_record`]). So no order of ends can make a record outgrow a value.
 
-use super::{Core, Subject};
+use super::{CommitTarget, Core};
 use crate::jobs::{Placed, TaskId};
 use crate::machines::Machine;
 use crate::records::{SegmentId, SegmentRecord, stored_size};
@@ -203,7 +203,7 @@
             .range(of)
             .filter(|(_, load)| !load.is_empty())
             .map(|(other, _)| *other)
-            .filter(|other| *other != id && !self.commits.is_in_flight(&Subject::Segment(*other)))
+            .filter(|other| *other != id && !self.commits.is_in_flight(&CommitTarget::Segment(*other)))
             .min_by_key(|other| self.segment_weight(other))?;
         if self.limits().changes < 2 || own + self.segment_weight(&lightest) > most {
             return None;
--- a/crates/dapplecroft-controller/src/core/units.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -9,7 +9,7 @@
 use crate::records::{
     self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, Span, stored_size,
 };
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -148,7 +148,7 @@
     }
 
     /// What is to be committed of a segment, with what is proposed in it.
-    pub(super) fn segment_unit(&self, id: SegmentId) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         // A stale holder can commit nothing, hence start nothing.
         let shard_lease = self.role.leased_shards.get(&id.shard)?;
         let mut conditions =
@@ -160,7 +160,7 @@
             // Never written again: dropped once segments have all of it.
             let moved = old.is_some() && self.is_moved(id.shard);
             let changes = vec![Change::Drop { key }];
-            return moved.then_some((Unit { conditions, changes }, Vec::new()));
+            return moved.then_some((AtomicUpdate { conditions, changes }, Vec::new()));
         }
         let (record, proposals) = self.next_segment_record(id);
         if old.is_some_and(|o| o.record == record) || (old.is_none() && record == SegmentRecord::default()) {
@@ -175,7 +175,7 @@
             conditions.push(Condition { key: records::job_key(id), version: self.open_job(id)?.version });
         }
         let changes = vec![Change::Set { key, value: self.segment_value(id, &record), lease: None }];
-        Some((Unit { conditions, changes }, proposals))
+        Some((AtomicUpdate { conditions, changes }, proposals))
     }
 
     /// The record of a job once its user has withdrawn it, and the version that it
@@ -205,7 +205,7 @@
     }
 
     /// What is to be committed of a job: allocations, what is taken back, its end.
-    pub(super) fn job_unit(&self, id: &Arc<str>) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let leadership = self.role.leadership.filter(|_| self.fleet.ready());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
@@ -242,12 +242,12 @@
                 changes.push(Change::Set { key, value: to_value(&fold), lease: None });
             }
             if !all {
-                return Some((Unit { conditions, changes }, Vec::new()));
+                return Some((AtomicUpdate { conditions, changes }, Vec::new()));
             }
             record.legacy_done = Default::default();
         }
         changes.push(Change::Set { key: records::job_key(id), value: self.job_value(&record), lease: None });
-        Some((Unit { conditions, changes }, Vec::new()))
+        Some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
     /// Records of completed tasks that a job's record of the first layout names
@@ -292,14 +292,14 @@
         record
     }
 
-    pub(super) fn obsolete_key_unit(&self, key: &str) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let version = self.version(key);
         let conditions = vec![
             Condition { key: records::LEADER.into(), version: self.role.leadership? },
             Condition { key: key.into(), version },
         ];
         let changes = vec![Change::Drop { key: key.into() }];
-        (version > 0).then_some((Unit { conditions, changes }, Vec::new()))
+        (version > 0).then_some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
     /// Whether a shard's one record of the first layout has no room for more.
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::node::{Node, lock, now};
 use dapplecroft_net::Outcome;
-use dapplecroft_state::{Unit, Verdicts};
+use dapplecroft_state::{AtomicUpdate, Verdicts};
 use dapplecroft_wire::peer::DemandReply;
 use dapplecroft_wire::state::Transaction;
 use std::collections::BTreeMap;
@@ -28,13 +28,13 @@
             if self.with(|core| core.grants_credit(now())) {
                 let replies = self.ask_demand().await;
                 let wall = self.wall_seconds();
-                if let Some(unit) = self.with(|core| core.credit_unit(&replies, wall, now())) {
-                    self.commit_credit(unit).await;
+                if let Some(update) = self.with(|core| core.credit_update(&replies, wall, now())) {
+                    self.commit_credit(update).await;
                 }
             }
-            if let Some(unit) = self.with(|core| core.lift_unit()) {
+            if let Some(update) = self.with(|core| core.lift_update()) {
                 tracing::warn!("a live controller knows nothing of admission: no credit is demanded");
-                self.commit_credit(unit).await;
+                self.commit_credit(update).await;
             }
             sleep(SHORTEST_ROUND).await;
         }
@@ -60,8 +60,8 @@
     /// its conditions fail: only one of the copies can find them true. Until then nothing
     /// else is granted, since a late copy may change records that another plan leaves
     /// alone.
-    async fn commit_credit(&self, unit: Unit) {
-        let transaction = Transaction { conditions: unit.conditions, changes: unit.changes };
+    async fn commit_credit(&self, update: AtomicUpdate) {
+        let transaction = Transaction { conditions: update.conditions, changes: update.changes };
         let mut unknown = false;
         loop {
             match self.state.transact(&transaction, true).await {
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -7,7 +7,7 @@
 use crate::node::{Node, Reply, lock, now};
 use crate::records;
 use dapplecroft_federation::{CellId, Epoch, Federation, PeerCell, TransferState};
-use dapplecroft_state::UnitResult;
+use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::cells::ExchangeReply;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -138,9 +138,9 @@
         if state == TransferState::Refused {
             lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
         }
-        let unit = self.with(|core| core.away_answer(job, cell, epoch, state));
-        if let Some(unit) = unit {
-            let committed = self.commit_for_cells(unit).await;
+        let update = self.with(|core| core.away_answer(job, cell, epoch, state));
+        if let Some(update) = update {
+            let committed = self.commit_for_cells(update).await;
             tracing::info!(job, %cell, epoch = epoch.0, ?state, committed, "a job comes home");
         }
     }
@@ -153,14 +153,14 @@
             }
             self.offer_jobs(&federation).await;
             self.with(|core| core.prepare_returns(now()));
-            for unit in self.with(|core| core.return_units(MAX_OFFERS, now())) {
-                let key = unit.changes.last().map(|change| change.key().to_string());
-                let committed = self.commit_for_cells(unit).await;
+            for update in self.with(|core| core.return_updates(MAX_OFFERS, now())) {
+                let key = update.changes.last().map(|change| change.key().to_string());
+                let committed = self.commit_for_cells(update).await;
                 tracing::info!(key, committed, "a job of another cell is given back");
             }
             if self.state.write_room() > PRUNE_ABOVE {
-                for unit in self.with(|core| core.prune_units(MAX_PRUNED)) {
-                    self.commit_for_cells(unit).await;
+                for update in self.with(|core| core.prune_updates(MAX_PRUNED)) {
+                    self.commit_for_cells(update).await;
                 }
             }
         }
@@ -187,26 +187,26 @@
     /// Commits that a job is offered. Only the loop of the other cell sends the offer,
     /// from the record.
     async fn offer_job(&self, job: &Arc<str>, cell: CellId) {
-        let Some(offer) = self.with(|core| core.offer_unit(job, cell.clone())) else { return };
-        let result = self.committer.commit_soon(offer.unit.clone()).await;
+        let Some(offer) = self.with(|core| core.offer_update(job, cell.clone())) else { return };
+        let result = self.committer.commit_soon(offer.update.clone()).await;
         tracing::info!(%job, %cell, ?result, "a job is offered to another cell");
         match result {
-            UnitResult::Committed(revision) => {
+            UpdateResult::Committed(revision) => {
                 self.with(|core| {
-                    core.apply_changes(&offer.unit.changes, revision, now());
+                    core.apply_changes(&offer.update.changes, revision, now());
                     core.offer_settled(job);
                 });
             }
-            UnitResult::Conflict(keys) => {
+            UpdateResult::Conflict(keys) => {
                 self.with(|core| core.offer_settled(job));
                 for key in keys {
                     self.refresh(&key, || true).await;
                 }
             }
-            UnitResult::Refused(_) => self.with(|core| core.offer_settled(job)),
+            UpdateResult::Refused(_) => self.with(|core| core.offer_settled(job)),
             // It may yet be carried out: its epoch counts as used until the record that
             // it is bound to has changed.
-            UnitResult::Unknown(_) => {
+            UpdateResult::Unknown(_) => {
                 self.refresh(&records::job_key(job), || true).await;
             }
         }
@@ -218,8 +218,8 @@
         let deadline = tokio::time::Instant::now() + CANCEL_WAIT;
         loop {
             match self.with(|core| core.away_cancellation(id)) {
-                Ok(Some(unit)) => {
-                    self.commit_for_cells(unit).await;
+                Ok(Some(update)) => {
+                    self.commit_for_cells(update).await;
                 }
                 Ok(None) => sleep(CANCEL_CHECK).await,
                 Err(_) => break,
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -1,10 +1,10 @@
 //! The cloud: machine types, lists, rentals, releases, and silent machines.
 
-use crate::core::{GroupUnit, MAX_CONSULTED};
+use crate::core::{GroupUpdate, MAX_CONSULTED};
 use crate::node::{Node, now};
 use dapplecroft_cloud::{MAX_RELEASE, Rented};
 use dapplecroft_net::Outcome;
-use dapplecroft_state::UnitResult;
+use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::cloud::{Catalog, RentRequest};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -37,9 +37,9 @@
                 let node = self.clone();
                 self.spawn(async move { node.probe(id, address).await });
             }
-            for unit in actions.records {
+            for update in actions.records {
                 let node = self.clone();
-                self.spawn(async move { node.record(unit).await });
+                self.spawn(async move { node.record(update).await });
             }
             if !actions.silent.is_empty() && !self.consulting.swap(true, Ordering::Relaxed) {
                 let node = self.clone();
@@ -91,17 +91,17 @@
         self.with(|core| core.release_failed(&ids));
     }
 
-    async fn record(&self, group: GroupUnit) {
-        match self.committer.commit(group.unit.clone()).await {
-            UnitResult::Committed(revision) => {
-                self.with(|core| core.apply_changes(&group.unit.changes, revision, now()));
+    async fn record(&self, group: GroupUpdate) {
+        match self.committer.commit(group.update.clone()).await {
+            UpdateResult::Committed(revision) => {
+                self.with(|core| core.apply_changes(&group.update.changes, revision, now()));
             }
-            UnitResult::Conflict(failed) => {
+            UpdateResult::Conflict(failed) => {
                 for key in failed {
                     self.refresh(&key, || true).await;
                 }
             }
-            UnitResult::Refused(_) | UnitResult::Unknown(_) => sleep(PAUSE).await,
+            UpdateResult::Refused(_) | UpdateResult::Unknown(_) => sleep(PAUSE).await,
         }
         self.with(|core| core.group_written(&group.name));
     }
@@ -203,18 +203,18 @@
             _ => return false,
         };
         // Kept so that a restart during an outage of the cloud still knows.
-        let units = self.with(|core| {
+        let updates = self.with(|core| {
             let behind = core.take_catalog(catalog.clone());
-            if behind { core.catalog_units(&catalog) } else { Vec::new() }
+            if behind { core.catalog_updates(&catalog) } else { Vec::new() }
         });
         let mut all = true;
-        for unit in units {
-            match self.committer.commit(unit.clone()).await {
-                UnitResult::Committed(revision) => {
-                    self.with(|core| core.apply_changes(&unit.changes, revision, now()));
+        for update in updates {
+            match self.committer.commit(update.clone()).await {
+                UpdateResult::Committed(revision) => {
+                    self.with(|core| core.apply_changes(&update.changes, revision, now()));
                 }
-                UnitResult::Conflict(_) => {}
-                UnitResult::Refused(_) | UnitResult::Unknown(_) => all = false,
+                UpdateResult::Conflict(_) => {}
+                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => all = false,
             }
         }
         all
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -1,9 +1,9 @@
 //! Placement rounds, commits of jobs, and direct commands to workers.
 
-use crate::core::{CommandEnd, UnitEnd, WorkUnit};
+use crate::core::{CommandEnd, CommitOutcome, PendingCommit};
 use crate::node::{Node, lock, now};
 use dapplecroft_net::{Failure, Request};
-use dapplecroft_state::UnitResult;
+use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::workers::{DirectCommands, Heartbeat};
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,15 +48,15 @@
                 continue;
             }
             last = began;
-            let unit = self.with(|core| {
+            let update = self.with(|core| {
                 core.place(wall, scarce, now());
                 core.drain_step(now())
             });
-            if let Some(unit) = unit {
+            if let Some(update) = update {
                 let node = self.clone();
                 self.spawn(async move {
-                    if let UnitResult::Committed(revision) = node.committer.commit(unit.clone()).await {
-                        node.with(|core| core.apply_changes(&unit.changes, revision, now()));
+                    if let UpdateResult::Committed(revision) = node.committer.commit(update.clone()).await {
+                        node.with(|core| core.apply_changes(&update.changes, revision, now()));
                     }
                     // Else a later round sees what became of it.
                     node.with(|core| core.drain_written());
@@ -82,13 +82,13 @@
                 if full && self.committer.waiting_soon() >= enough {
                     break;
                 }
-                let Some(unit) = self.with(|core| core.next_unit(relaxed, full, now())) else { break };
+                let Some(update) = self.with(|core| core.next_commit(relaxed, full, now())) else { break };
                 let node = self.clone();
                 // It joins the queue at its first poll.
                 let (queued, joined) = tokio::sync::oneshot::channel();
                 self.spawn(async move {
                     let _ = queued.send(());
-                    node.commit_unit(unit).await;
+                    node.commit_update(update).await;
                 });
                 let _ = joined.await;
             }
@@ -105,41 +105,41 @@
     /// Commits a unit until its outcome is certain. One whose outcome is
     /// unknown may be made much later; trying the same again settles it, since
     /// only one of the two can find its conditions true.
-    async fn commit_unit(&self, unit: WorkUnit) {
+    async fn commit_update(&self, update: PendingCommit) {
         let mut pause = Duration::from_millis(100);
         loop {
-            let result = if unit.urgent {
-                self.committer.commit_soon(unit.unit.clone()).await
+            let result = if update.urgent {
+                self.committer.commit_soon(update.update.clone()).await
             } else {
-                self.committer.commit(unit.unit.clone()).await
+                self.committer.commit(update.update.clone()).await
             };
             match result {
-                UnitResult::Committed(revision) => {
-                    self.with(|core| core.unit_ended(&unit, UnitEnd::Committed(revision), now()));
+                UpdateResult::Committed(revision) => {
+                    self.with(|core| core.commit_ended(&update, CommitOutcome::Committed(revision), now()));
                     return;
                 }
-                UnitResult::Conflict(failed) => {
-                    tracing::debug!(subject = ?unit.subject, ?failed, "a change finds other records");
+                UpdateResult::Conflict(failed) => {
+                    tracing::debug!(subject = ?update.target, ?failed, "a change finds other records");
                     for key in failed {
                         self.refresh(&key, || true).await;
                     }
                     break;
                 }
-                UnitResult::Refused(error) if error.starts_with("status 400") => {
+                UpdateResult::Refused(error) if error.starts_with("status 400") => {
                     // It was not made and, being too large, never will be as it is:
                     // what is in it is put together anew.
-                    tracing::warn!(error, subject = ?unit.subject, "the state service refuses a change for good");
+                    tracing::warn!(error, subject = ?update.target, "the state service refuses a change for good");
                     sleep(Duration::from_secs(1)).await;
                     break;
                 }
-                UnitResult::Refused(error) | UnitResult::Unknown(error) => {
-                    tracing::debug!(error, subject = ?unit.subject, "a change is not committed yet");
+                UpdateResult::Refused(error) | UpdateResult::Unknown(error) => {
+                    tracing::debug!(error, subject = ?update.target, "a change is not committed yet");
                 }
             }
             sleep(pause).await;
             pause = (pause * 2).min(Duration::from_secs(1));
         }
-        self.with(|core| core.unit_ended(&unit, UnitEnd::NotMade, now()));
+        self.with(|core| core.commit_ended(&update, CommitOutcome::NotCommitted, now()));
     }
 
     /// Says every half minute how things stand on this node.
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -7,7 +7,7 @@
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use bytes::Bytes;
 use dapplecroft_sched::Resources;
-use dapplecroft_state::{Unit, UnitResult};
+use dapplecroft_state::{AtomicUpdate, UpdateResult};
 use dapplecroft_wire::MAX_BODY;
 use dapplecroft_wire::peer::ForwardRequest;
 use dapplecroft_wire::state::{Change, Condition};
@@ -196,19 +196,19 @@
             };
             record.credit.clone_from(&plan.tag);
             match self.commit_submission(&id, &record, plan).await {
-                UnitResult::Committed(_) => {
+                UpdateResult::Committed(_) => {
                     let status = JobStatus { id, stage: Stage::Queued, done: None, running: None };
                     return Reply::json(201, &status);
                 }
-                UnitResult::Conflict(keys) if keys.contains(&records::job_key(&id)) => {
+                UpdateResult::Conflict(keys) if keys.contains(&records::job_key(&id)) => {
                     return self.repeated(&id).await;
                 }
-                UnitResult::Conflict(keys) => {
+                UpdateResult::Conflict(keys) => {
                     for key in keys {
                         self.refresh(&key, || true).await;
                     }
                 }
-                UnitResult::Refused(_) | UnitResult::Unknown(_) => return Reply::busy("not stored", 1),
+                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => return Reply::busy("not stored", 1),
             }
         }
         Reply::busy("credit changes too quickly", 1)
@@ -231,16 +231,16 @@
         id: &str,
         record: &JobRecord,
         plan: SubmissionPlan,
-    ) -> UnitResult {
+    ) -> UpdateResult {
         let key = records::job_key(id);
         let value = self.with(|core| core.job_value(record));
         let mut conditions = vec![Condition { key: key.clone(), version: 0 }];
         conditions.extend(plan.conditions);
-        let unit = Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] };
+        let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
         let spending = plan.spending.map(|spending| OpenSpending::new(self, id, spending));
-        let result = self.committer.commit_first(unit.clone()).await;
-        if let UnitResult::Committed(revision) = &result {
-            self.with(|core| core.apply_changes(&unit.changes, *revision, now()));
+        let result = self.committer.commit_first(update.clone()).await;
+        if let UpdateResult::Committed(revision) = &result {
+            self.with(|core| core.apply_changes(&update.changes, *revision, now()));
         }
         if let Some(spending) = spending {
             spending.settle(&result);
@@ -327,14 +327,14 @@
                 continue;
             };
             let value = self.with(|core| core.job_value(&record));
-            let unit = Unit {
+            let update = AtomicUpdate {
                 conditions: vec![Condition { key: key.clone(), version }],
                 changes: vec![Change::Set { key, value, lease: None }],
             };
-            match self.committer.commit_first(unit.clone()).await {
-                UnitResult::Committed(revision) => {
+            match self.committer.commit_first(update.clone()).await {
+                UpdateResult::Committed(revision) => {
                     let status = self.with(|core| {
-                        core.apply_changes(&unit.changes, revision, now());
+                        core.apply_changes(&update.changes, revision, now());
                         core.jobs.get(id).map(|job| job.status(id))
                     });
                     return match status {
@@ -342,8 +342,8 @@
                         None => Reply::busy("not stored", 1),
                     };
                 }
-                UnitResult::Conflict(_) => {}
-                UnitResult::Refused(_) | UnitResult::Unknown(_) => return Reply::busy("not stored", 1),
+                UpdateResult::Conflict(_) => {}
+                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => return Reply::busy("not stored", 1),
             }
         }
         Reply::busy("the job changes too quickly", 1)
--- a/crates/dapplecroft-state/src/committer.rs
+++ b/crates/dapplecroft-state/src/committer.rs
@@ -25,7 +25,7 @@
 
 /// A change that is made whole or not at all.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Unit {
+pub struct AtomicUpdate {
     /// Conditions.
     pub conditions: Vec<Condition>,
     /// Changes.
@@ -34,7 +34,7 @@
 
 /// What became of a unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum UnitResult {
+pub enum UpdateResult {
     /// Made, at this revision.
     Committed(u64),
     /// Not made: these keys were not as the conditions said.
@@ -46,9 +46,9 @@
 }
 
 struct Waiting {
-    unit: Unit,
+    update: AtomicUpdate,
     bytes: usize,
-    reply: oneshot::Sender<UnitResult>,
+    reply: oneshot::Sender<UpdateResult>,
     rank: Rank,
     /// Whether it goes without others: together they were refused.
     alone: bool,
@@ -120,37 +120,37 @@
     }
 
     /// Queues a unit and waits for its result.
-    pub async fn commit(&self, unit: Unit) -> UnitResult {
-        self.enqueue(unit, Rank::Later).await
+    pub async fn commit(&self, update: AtomicUpdate) -> UpdateResult {
+        self.enqueue(update, Rank::Later).await
     }
 
     /// The same, ahead of what is queued already: a user waits for it.
-    pub async fn commit_first(&self, unit: Unit) -> UnitResult {
-        self.enqueue(unit, Rank::User).await
+    pub async fn commit_first(&self, update: AtomicUpdate) -> UpdateResult {
+        self.enqueue(update, Rank::User).await
     }
 
     /// The same, behind what users wait for: urgent work waits for it.
-    pub async fn commit_soon(&self, unit: Unit) -> UnitResult {
-        self.enqueue(unit, Rank::Soon).await
+    pub async fn commit_soon(&self, update: AtomicUpdate) -> UpdateResult {
+        self.enqueue(update, Rank::Soon).await
     }
 
-    async fn enqueue(&self, unit: Unit, rank: Rank) -> UnitResult {
+    async fn enqueue(&self, update: AtomicUpdate, rank: Rank) -> UpdateResult {
         let (reply, result) = oneshot::channel();
         let bytes =
-            serde_json::to_vec(&unit.changes).map_or(MAX_BYTES, |v| v.len()) + 80 * unit.conditions.len();
+            serde_json::to_vec(&update.changes).map_or(MAX_BYTES, |v| v.len()) + 80 * update.conditions.len();
         {
             let mut queue = self.lock();
             if queue.len() >= self.bound {
-                return UnitResult::Refused("too many changes waiting".into());
+                return UpdateResult::Refused("too many changes waiting".into());
             }
             if rank < Rank::Later {
                 self.urgent.notify_one();
             }
             let at = queue.iter().position(|w| w.rank > rank).unwrap_or(queue.len());
-            queue.insert(at, Waiting { unit, bytes, reply, rank, alone: false, since: Instant::now() });
+            queue.insert(at, Waiting { update, bytes, reply, rank, alone: false, since: Instant::now() });
         }
         self.wake.notify_one();
-        result.await.unwrap_or_else(|_| UnitResult::Unknown("committer ended".into()))
+        result.await.unwrap_or_else(|_| UpdateResult::Unknown("committer ended".into()))
     }
 
     /// Commits what is queued, for ever.
@@ -199,12 +199,12 @@
         let mut transaction = Transaction::default();
         let mut seen = HashSet::new();
         for waiting in &group {
-            for condition in &waiting.unit.conditions {
+            for condition in &waiting.update.conditions {
                 if seen.insert(condition.key.clone()) {
                     transaction.conditions.push(condition.clone());
                 }
             }
-            transaction.changes.extend(waiting.unit.changes.iter().cloned());
+            transaction.changes.extend(waiting.update.changes.iter().cloned());
         }
         let began = tokio::time::Instant::now();
         let outcome = client.transact(&transaction, true).await;
@@ -226,14 +226,14 @@
         );
         match outcome {
             Outcome::Done(Verdicts::Committed(revision)) => {
-                finish(group, |_| UnitResult::Committed(revision));
+                finish(group, |_| UpdateResult::Committed(revision));
             }
             Outcome::Done(Verdicts::Conflict(failed)) => {
                 let failed: HashSet<String> = failed.into_iter().collect();
                 let mut rest = Vec::new();
                 for waiting in group {
                     let own: Vec<String> = waiting
-                        .unit
+                        .update
                         .conditions
                         .iter()
                         .filter(|c| failed.contains(&c.key))
@@ -242,7 +242,7 @@
                     if own.is_empty() && !failed.is_empty() {
                         rest.push(waiting);
                     } else {
-                        let _ = waiting.reply.send(UnitResult::Conflict(own));
+                        let _ = waiting.reply.send(UpdateResult::Conflict(own));
                     }
                 }
                 // Units that only shared the transaction go first next time.
@@ -260,8 +260,8 @@
                     queue.push_front(Waiting { alone: true, ..waiting });
                 }
             }
-            Outcome::Refused(e) => finish(group, |_| UnitResult::Refused(e.clone())),
-            Outcome::Unknown(e) => finish(group, |_| UnitResult::Unknown(e.clone())),
+            Outcome::Refused(e) => finish(group, |_| UpdateResult::Refused(e.clone())),
+            Outcome::Unknown(e) => finish(group, |_| UpdateResult::Unknown(e.clone())),
         }
     }
 
@@ -272,13 +272,13 @@
         let mut conditions: HashMap<String, u64> = HashMap::new();
         let mut written: HashSet<String> = HashSet::new();
         while let Some(next) = queue.front() {
-            let unit = &next.unit;
-            let clash = unit.changes.iter().any(|c| written.contains(c.key()))
-                || unit.conditions.iter().any(|c| {
+            let update = &next.update;
+            let clash = update.changes.iter().any(|c| written.contains(c.key()))
+                || update.conditions.iter().any(|c| {
                     written.contains(&c.key) || conditions.get(&c.key).is_some_and(|v| *v != c.version)
                 });
-            let fresh = unit.conditions.iter().filter(|c| !conditions.contains_key(&c.key)).count();
-            let full = changes + unit.changes.len() > most
+            let fresh = update.conditions.iter().filter(|c| !conditions.contains_key(&c.key)).count();
+            let full = changes + update.changes.len() > most
                 || conditions.len() + fresh > 4 * self.max_changes()
                 || bytes + next.bytes > MAX_BYTES;
             // What can't wait goes without the others.
@@ -288,10 +288,10 @@
             if !group.is_empty() && (clash || full || other || alone) {
                 break;
             }
-            changes += unit.changes.len();
+            changes += update.changes.len();
             bytes += next.bytes;
-            conditions.extend(unit.conditions.iter().map(|c| (c.key.clone(), c.version)));
-            written.extend(unit.changes.iter().map(|c| c.key().to_string()));
+            conditions.extend(update.conditions.iter().map(|c| (c.key.clone(), c.version)));
+            written.extend(update.changes.iter().map(|c| c.key().to_string()));
             let Some(next) = queue.pop_front() else { break };
             group.push(next);
         }
@@ -315,9 +315,9 @@
     }
 }
 
-fn finish(group: Vec<Waiting>, result: impl Fn(&Unit) -> UnitResult) {
+fn finish(group: Vec<Waiting>, result: impl Fn(&AtomicUpdate) -> UpdateResult) {
     for waiting in group {
-        let outcome = result(&waiting.unit);
+        let outcome = result(&waiting.update);
         let _ = waiting.reply.send(outcome);
     }
 }
--- a/crates/dapplecroft-state/src/lib.rs
+++ b/crates/dapplecroft-state/src/lib.rs
@@ -2,7 +2,7 @@
 
 mod committer;
 
-pub use committer::{Committer, Unit, UnitResult};
+pub use committer::{AtomicUpdate, Committer, UpdateResult};
 
 use dapplecroft_net::{Budget, Failure, Outcome, Request, Response, Transport};
 use dapplecroft_wire::state::{Followed, Grant, Item, Listing, Transaction, Verdict};
