--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -87,7 +87,7 @@
     // What was taken back from a shard may be on a machine there all the same,
     // placed just before. What is done binds nothing any more, though the record
     // still says where it was allocated.
-    let placed = job.placed.values().map(|placed| placed.home.shard);
+    let placed = job.placed.values().map(|placed| placed.segment.shard);
     let waiting = job.waiting.keys().chain(job.revoking.keys());
     placed.chain(waiting.copied()).next()
 }
@@ -98,21 +98,21 @@
         let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
             let mut freed = Resources::default();
-            let mut home = None;
+            let mut segment_id = None;
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
                 if let Some(placed) = job.placed.get(&task.index).filter(|p| p.freed) {
                     freed += job.requirements.resources;
-                    home = Some(placed.home);
+                    segment_id = Some(placed.segment);
                 }
             }
-            if let Some(home) = home {
-                let version = self.segments.get(&home).map_or(0, |l| l.version);
-                let entry = parts.entry(home).or_insert_with(|| BlockRoom {
-                    block: home.shard,
+            if let Some(segment_id) = segment_id {
+                let version = self.segments.get(&segment_id).map_or(0, |l| l.version);
+                let entry = parts.entry(segment_id).or_insert_with(|| BlockRoom {
+                    block: segment_id.shard,
                     version,
                     freed: Vec::new(),
-                    part: home.segment,
+                    part: segment_id.segment,
                 });
                 entry.freed.push(FreedRoom {
                     machine: machine.id.to_string(),
@@ -129,8 +129,8 @@
     /// only on top of the record that it was told with, and not for long.
     pub fn take_room(&mut self, reply: &RoomReply, now: Instant) {
         for shard in &reply.blocks {
-            let home = SegmentId { shard: shard.block, segment: shard.part };
-            let current = self.segments.get(&home).map_or(0, |l| l.version);
+            let segment_id = SegmentId { shard: shard.block, segment: shard.part };
+            let current = self.segments.get(&segment_id).map_or(0, |l| l.version);
             if current != shard.version || self.is_holder(shard.block) {
                 continue;
             }
@@ -142,7 +142,7 @@
                     (f.machine.as_str().into(), resources)
                 })
                 .collect();
-            self.hints.insert(home, Hint { version: current, at: now, freed });
+            self.hints.insert(segment_id, Hint { version: current, at: now, freed });
             self.wakeups.place = true;
         }
     }
@@ -214,7 +214,7 @@
         let Some(job) = self.open_job(id).filter(|j| j.is_open() && !j.unallocated.is_empty()) else {
             return;
         };
-        if job.revoked > self.followed {
+        if job.revoked > self.applied_revision {
             // What was taken back from a shard may have been placed there just
             // before: that is known once the copy has caught up.
             return;
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -194,7 +194,7 @@
         // A replica is wanted again as soon as its end is committed.
         if !job.is_open() || job.is_service() || job.done.len() + more >= job.record.tasks {
             // With the last one, earlier ends that still wait for company.
-            let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.home);
+            let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.segment);
             let segments: BTreeSet<SegmentId> = ended.chain([segment]).collect();
             segments
                 .into_iter()
@@ -238,7 +238,8 @@
         }
         // A machine can go while a placement on it is in flight.
         let machines = update.proposals.iter().map(|(_, placed)| placed.machine.clone());
-        let lost: BTreeSet<Arc<str>> = machines.filter(|id| self.gone.contains_key(id)).collect();
+        let lost: BTreeSet<Arc<str>> =
+            machines.filter(|id| self.released_machines.contains_key(id)).collect();
         for id in lost {
             self.machine_gone(&id, now);
         }
@@ -309,7 +310,7 @@
     fn drop_void(&mut self, segment: SegmentId, now: Instant) {
         let old = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
         self.drop_placed(segment.shard, |job, index, p| {
-            p.home == segment && (old(p) || !job.allocates(segment.shard, index))
+            p.segment == segment && (old(p) || !job.allocates(segment.shard, index))
         });
     }
 
@@ -323,8 +324,11 @@
         for task in self.machines.values().filter(|m| m.shard == shard).flat_map(|m| &m.tasks) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
-            let own = !p.committed && p.home.shard == shard;
-            if own && void(job, task.index, p) && !self.commits.is_in_flight(&CommitTarget::Segment(p.home)) {
+            let own = !p.committed && p.segment.shard == shard;
+            if own
+                && void(job, task.index, p)
+                && !self.commits.is_in_flight(&CommitTarget::Segment(p.segment))
+            {
                 proposed.push((task.clone(), p.clone()));
             }
         }
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -74,7 +74,7 @@
     assert!(matches!(left, Change::Set { .. }), "{left:?}");
     core.commit_ended(&update, CommitOutcome::Committed(9), now);
     assert_eq!(core.version(&other.key()), 9);
-    assert_eq!(core.open_job("run-2").unwrap().placed[&0].home, one);
+    assert_eq!(core.open_job("run-2").unwrap().placed[&0].segment, one);
     assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
     // Its number is free, it is taken in only once, and what begins it again names
     // the version that it has.
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -83,7 +83,7 @@
                 let Some(job) = self.open_job(&task.job) else { continue };
                 let Some(placed) = job.placed.get(&task.index).filter(|p| !p.committed) else { continue };
                 let waited = now.saturating_duration_since(placed.since).as_secs_f64();
-                *priorities.entry(placed.home).or_default() +=
+                *priorities.entry(placed.segment).or_default() +=
                     task_priority(job) * waited.max(LEAST_TASK_WAIT_S);
             }
         }
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -155,7 +155,7 @@
         self.with_credit(|credit| credit.ledger.drop_job(id));
     }
 
-    pub(super) fn note_followed(&mut self, revision: u64) {
+    pub(super) fn note_applied_revision(&mut self, revision: u64) {
         self.with_credit(|credit| credit.ledger.followed(revision));
     }
 
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -70,7 +70,7 @@
             admission: &admission,
             controllers: self.controller_views(replies),
             term: leader.version,
-            all_know: self.live.values().all(|live| live.admission),
+            all_know: self.live_controllers.values().all(|live| live.admission),
             cpus_up: self.cpus_up(),
             now,
             wall,
@@ -105,7 +105,7 @@
                 stuck: reply.map_or(0, |reply| reply.stuck),
             }
         };
-        self.live.iter().map(view).collect()
+        self.live_controllers.iter().map(view).collect()
     }
 
     fn cpus_up(&self) -> f64 {
@@ -122,7 +122,8 @@
     /// knows nothing of it: that one would take everything the others refuse, or, as
     /// leader, would never grant any.
     pub fn lift_update(&self) -> Option<AtomicUpdate> {
-        let stranger = self.live.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
+        let stranger =
+            self.live_controllers.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
         let (policy, _) = self.credit.as_ref()?.ledger.policy().filter(|(policy, _)| policy.in_force)?;
         let lifted = PolicyRecord { in_force: false, ..policy.clone() };
         let change = set(records::ADMISSION_POLICY.into(), &lifted);
--- a/crates/dapplecroft-controller/src/core/credit/status.rs
+++ b/crates/dapplecroft-controller/src/core/credit/status.rs
@@ -38,7 +38,7 @@
         let of = |(host, epoch): (&String, &dapplecroft_admission::EpochRecord)| ControllerCredit {
             host: host.clone(),
             epoch: epoch.epoch,
-            live: self.live.get(host).is_some_and(|live| live.identity == epoch.identity),
+            live: self.live_controllers.get(host).is_some_and(|live| live.identity == epoch.identity),
             credit: credit.ledger.unspent(host).values().sum(),
             stuck: replies.get(host).map_or(0, |reply| reply.stuck),
             accepted: replies.get(host).map_or(0, |reply| reply.accepted),
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -48,9 +48,10 @@
     /// Whether nothing of it was ever started, and nothing can be under its record as it
     /// is: every placement rests on an allocation, and none is left that the copy has not
     /// caught up with.
-    pub(super) fn is_untouched(&self, followed: u64) -> bool {
+    pub(super) fn is_untouched(&self, applied_revision: u64) -> bool {
         let not_allocated = self.record.allocated.is_empty() && self.allocating.is_empty();
-        let settled = self.revoking.is_empty() && self.revoked <= followed && self.version <= followed;
+        let settled =
+            self.revoking.is_empty() && self.revoked <= applied_revision && self.version <= applied_revision;
         self.has_not_started() && not_allocated && settled
     }
 
@@ -123,7 +124,7 @@
         let headroom =
             self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
         let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
-        plain && headroom && !in_flight && job.is_untouched(self.followed)
+        plain && headroom && !in_flight && job.is_untouched(self.applied_revision)
     }
 
     /// The unit by which a job is offered to a cell.
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -301,7 +301,8 @@
     /// Units that give back jobs of other cells of which nothing was ever started or is
     /// allocated. Each is bound to the job's record, as every allocation is.
     pub fn return_updates(&self, most: usize, now: Instant) -> Vec<AtomicUpdate> {
-        let untouched = |id: &Arc<str>| self.open_job(id).is_some_and(|job| job.is_untouched(self.followed));
+        let untouched =
+            |id: &Arc<str>| self.open_job(id).is_some_and(|job| job.is_untouched(self.applied_revision));
         let due = self.overdue_visits(now).into_iter().filter(untouched).take(most);
         due.filter_map(|id| {
             let origin = self.federation.visits.get(&id)?;
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -1,7 +1,7 @@
 //! The wanted fleet, and what is to be done about the difference.
 
 use super::{Core, GroupUpdate};
-use crate::machines::{Fate, Machine};
+use crate::machines::{Machine, MachinePhase};
 use crate::records::{GroupRecord, MemberRecord};
 use dapplecroft_cloud::MAX_RENT;
 use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
@@ -100,7 +100,7 @@
             return actions;
         }
         self.move_replicas(now);
-        self.gone.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
+        self.released_machines.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
         let due = self.judge_machines(&mut actions, now);
         self.prove_released(now);
         // The cloud checks no token: a leader that may have been replaced leaves
@@ -128,11 +128,11 @@
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
-                || (machine.fate == Fate::Lost && !leased_shards.contains_key(&machine.shard));
+                || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
             let waits = machine.releasing || machine.group.is_none();
             if wanted && !waits && !self.fleet.released.contains(&machine.id) {
                 machine.releasing = true;
-                tracing::info!(machine = &*machine.id, fate = ?machine.fate, "releasing a machine");
+                tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
             }
         }
@@ -142,7 +142,7 @@
         let found = std::mem::take(&mut self.fleet.found);
         let unknown: Vec<Machine> = found
             .into_values()
-            .filter(|m| !self.is_grouped(&m.id) && !self.gone.contains_key(&m.id))
+            .filter(|m| !self.is_grouped(&m.id) && !self.released_machines.contains_key(&m.id))
             .collect();
         if !unknown.is_empty() {
             tracing::info!(machines = unknown.len(), "machines that nobody expected are taken in");
@@ -159,7 +159,7 @@
             .machines
             .values()
             .filter(|m| m.group.is_none() && self.role.leased_shards.contains_key(&m.shard))
-            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.followed))
+            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.applied_revision))
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
@@ -176,7 +176,7 @@
             if let Some(machine) = self.machines.get_mut(id)
                 && machine.missed_probes >= 1
             {
-                machine.fate = Fate::Lost;
+                machine.phase = MachinePhase::Lost;
             }
         }
         self.wakeups.fleet = true;
@@ -211,7 +211,7 @@
     pub(super) fn coming(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
-            let lost = machine.fate != Fate::Keep
+            let lost = machine.phase != MachinePhase::Active
                 || machine.given_up
                 || machine.group.is_none()
                 || machine.taken_at.is_some()
@@ -333,7 +333,7 @@
         }
         let machines: BTreeMap<String, MemberRecord> = machines
             .iter()
-            .filter(|id| !self.gone.contains_key(id.as_str()) && !self.is_grouped(id))
+            .filter(|id| !self.released_machines.contains_key(id.as_str()) && !self.is_grouped(id))
             .map(|id| (id.clone(), MemberRecord::default()))
             .collect();
         if !machines.is_empty() {
@@ -370,13 +370,13 @@
         // Before that, a list may still show what an earlier leader released.
         let settled = self.fleet.began.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
-            if self.gone.contains_key(listed.id.as_str()) {
+            if self.released_machines.contains_key(listed.id.as_str()) {
                 continue;
             }
             match self.machines.get_mut(listed.id.as_str()).filter(|m| m.group.is_some()) {
-                Some(machine) if listed.state == "failed" && machine.fate != Fate::Lost => {
+                Some(machine) if listed.state == "failed" && machine.phase != MachinePhase::Lost => {
                     tracing::info!(machine = &*machine.id, "a machine stopped on its own");
-                    machine.fate = Fate::Lost;
+                    machine.phase = MachinePhase::Lost;
                     self.wakeups.fleet = true;
                 }
                 Some(_) => {}
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -140,10 +140,10 @@
     /// came before that is known: those that are in no other were released, and
     /// the release was answered.
     pub(super) fn settle_departed(&mut self, now: Instant) {
-        let followed = self.followed;
+        let applied_revision = self.applied_revision;
         let departed = std::mem::take(&mut self.departed);
         let (known, later): (Vec<Departed>, Vec<Departed>) =
-            departed.into_iter().partition(|departed| departed.revision <= followed);
+            departed.into_iter().partition(|departed| departed.revision <= applied_revision);
         self.departed = later;
         for Departed { machine: id, group, .. } in known {
             let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -3,7 +3,7 @@
 //! soon, the dearest first.
 
 use super::Core;
-use crate::machines::{Fate, Machine};
+use crate::machines::{Machine, MachinePhase};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -83,7 +83,7 @@
         }
         let window = self.longest_boot_time() * BOOT_TIMES;
         let expected = self.arrivals.keep_busy(window, now);
-        let keeps = |m: &&Machine| m.group.is_some() && m.fate == Fate::Keep && !m.given_up;
+        let keeps = |m: &&Machine| m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up;
         let capacity = |own: bool| -> i64 {
             let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.shard));
             counted.map(|m| m.capacity.cpus).sum()
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -70,7 +70,7 @@
     /// The transaction by which this process leaves its mark, if it is missing.
     pub fn mark_transaction(&self) -> Option<Transaction> {
         let host = &self.settings.host_name;
-        if self.marks.get(host).is_some_and(|known| *known >= LAYOUT) {
+        if self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT) {
             return None;
         }
         let key = records::mark_key(host);
@@ -81,10 +81,10 @@
 
     /// The transaction of the switch, once this leader may make it.
     pub fn switch_transaction(&self) -> Option<Transaction> {
-        let leadership = self.role.leadership.filter(|l| *l <= self.followed)?;
+        let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
-        let all = members.all(|host| self.marks.get(host).is_some_and(|known| *known >= LAYOUT));
+        let all = members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT));
         if !self.is_mixed() || !all || self.version(records::FORMAT) > 0 {
             return None;
         }
--- a/crates/dapplecroft-controller/src/core/machine_fate.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -2,7 +2,7 @@
 //! which are returned because nothing needs them.
 
 use super::{Core, FleetActions};
-use crate::machines::{Fate, Machine};
+use crate::machines::{Machine, MachinePhase};
 use dapplecroft_sched::TaskRequirements;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 type WantedRequirements = Vec<(Arc<TaskRequirements>, i64)>;
 
 /// What the fates of all machines are decided by.
-struct FateRules {
+struct PhaseRules {
     now: Instant,
     heartbeat_interval: Duration,
     lease: Duration,
@@ -53,7 +53,7 @@
     standby: BTreeSet<Arc<str>>,
 }
 
-impl FateRules {
+impl PhaseRules {
     fn age(&self, machine: &Machine) -> Duration {
         self.now.saturating_duration_since(machine.since)
     }
@@ -66,9 +66,9 @@
     fn judge_boot(&self, machine: &mut Machine) {
         let boot = self.boot_times.get(&machine.machine_type).copied().unwrap_or(self.heartbeat_interval);
         let age = self.age(machine);
-        if machine.fate == Fate::Keep && age > boot * BOOT_FACTOR + BOOT_MARGIN {
+        if machine.phase == MachinePhase::Active && age > boot * BOOT_FACTOR + BOOT_MARGIN {
             tracing::info!(machine = &*machine.id, ?age, "a machine did not come up");
-            machine.fate = Fate::Lost;
+            machine.phase = MachinePhase::Lost;
         }
     }
 
@@ -85,9 +85,9 @@
     /// worker has ended its tasks for want of an answer, and it is of no more use.
     fn judge_deaf(&self, machine: &mut Machine) {
         let deaf = machine.deaf_since.is_some_and(|at| self.now.saturating_duration_since(at) > self.lease);
-        if deaf && machine.fate != Fate::Lost {
+        if deaf && machine.phase != MachinePhase::Lost {
             tracing::info!(machine = &*machine.id, "a machine that reports and hears nothing is given up");
-            machine.fate = Fate::Lost;
+            machine.phase = MachinePhase::Lost;
         }
     }
 
@@ -96,7 +96,7 @@
         let limit =
             if self.with_replicas.contains(&machine.id) { REPLICA_SILENT_AFTER } else { SILENT_AFTER };
         let overdue = self.silence(machine) > self.heartbeat_interval.mul_f64(limit);
-        overdue && machine.missed_probes >= 1 && machine.fate != Fate::Lost
+        overdue && machine.missed_probes >= 1 && machine.phase != MachinePhase::Lost
     }
 
     /// Decides whether a machine is returned: tasks of several jobs failed on it,
@@ -104,7 +104,7 @@
     /// time, so it is kept a while, the dearer the shorter; and a machine is paid
     /// for a minute in any case.
     fn judge_use(&self, machine: &mut Machine, wanted: &mut WantedRequirements) {
-        if machine.fate != Fate::Keep {
+        if machine.phase != MachinePhase::Active {
             return;
         }
         let kind = (machine.machine_type.clone(), machine.spot);
@@ -117,9 +117,9 @@
         let unused = idle && !take_wanted(machine, wanted) && !self.standby.contains(&machine.id);
         if machine.failed_jobs.len() >= MOST_FAILED_JOBS {
             tracing::info!(machine = &*machine.id, "tasks of several jobs failed: quarantined");
-            machine.fate = Fate::Returning;
+            machine.phase = MachinePhase::Returning;
         } else if unused && machine.heard.is_some() && machine.taken_at.is_none() {
-            machine.fate = Fate::Returning;
+            machine.phase = MachinePhase::Returning;
         }
     }
 }
@@ -142,7 +142,7 @@
     /// probed; returns those that are due to be released.
     pub(super) fn judge_machines(&mut self, actions: &mut FleetActions, now: Instant) -> BTreeSet<Arc<str>> {
         let surplus = self.surplus_machines(now);
-        let rules = self.fate_rules(surplus, now);
+        let rules = self.phase_rules(surplus, now);
         let mut wanted = self.wanted_requirements();
         let leased = &self.role.leased_shards;
         let own = |m: &Machine| m.group.is_some() && leased.contains_key(&m.shard);
@@ -159,7 +159,8 @@
             }
             rules.judge_use(machine, &mut wanted);
             let empty = machine.tasks.is_empty();
-            let over = machine.fate == Fate::Lost || (machine.fate == Fate::Returning && empty);
+            let over =
+                machine.phase == MachinePhase::Lost || (machine.phase == MachinePhase::Returning && empty);
             if over && !machine.given_up {
                 due.insert(machine.id.clone());
             }
@@ -167,9 +168,9 @@
         due
     }
 
-    fn fate_rules(&self, surplus: BTreeSet<Arc<str>>, now: Instant) -> FateRules {
+    fn phase_rules(&self, surplus: BTreeSet<Arc<str>>, now: Instant) -> PhaseRules {
         let machine_types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
-        FateRules {
+        PhaseRules {
             now,
             heartbeat_interval: self.settings.heartbeat_interval(),
             lease: Duration::from_secs_f64(self.settings.params.workers.lease_s * LEASE_MARGIN),
@@ -205,7 +206,7 @@
 }
 
 /// Decides what is asked of and about a machine that has come up.
-fn judge_contact(rules: &FateRules, machine: &mut Machine, actions: &mut FleetActions, probes: &mut usize) {
+fn judge_contact(rules: &PhaseRules, machine: &mut Machine, actions: &mut FleetActions, probes: &mut usize) {
     let most_probes = if machine.heard.is_some() { MAX_SILENT_PROBES } else { MAX_PROBES };
     if let Some(address) = &machine.address
         && rules.wants_probe(machine)
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -7,19 +7,19 @@
 mod commit;
 mod commit_priority;
 mod commit_queue;
-mod copy;
 mod credit;
-mod displace;
 mod drain;
 mod federation;
 mod fleet;
 mod groups;
 mod idle_reserve;
 mod layout;
-mod machine_fate;
+mod machine_phase;
 mod migration;
 mod offers;
 mod placing;
+mod preemption;
+mod record_replica;
 mod roles;
 mod segment_sync;
 mod segments;
@@ -172,13 +172,13 @@
     /// The layout of the records that is in force, as their record says.
     pub format: u32,
     /// The layouts that controllers were once seen to know.
-    pub marks: BTreeMap<String, u32>,
+    pub known_layouts: BTreeMap<String, u32>,
     /// Why this process must end.
     pub ended: Option<String>,
     /// Records that could not be read.
     pub unreadable: u64,
     /// Revision up to which changes are known.
-    pub followed: u64,
+    pub applied_revision: u64,
     versions: HashMap<String, u64, RandomState>,
     dropped: HashMap<String, u64>,
     /// Jobs.
@@ -218,7 +218,7 @@
     /// Machines that left a group's record, until the copy has caught up with that.
     departed: Vec<groups::Departed>,
     /// Segments of the machine types: of how many, and which.
-    catalog_segments: BTreeMap<u32, copy::CatalogSegment>,
+    catalog_segments: BTreeMap<u32, record_replica::CatalogSegment>,
     /// Groups of machines.
     pub groups: BTreeMap<Arc<str>, Group>,
     /// Teams.
@@ -228,9 +228,9 @@
     /// The shards' records and versions.
     pub shards: BTreeMap<u32, (ShardRecord, u64)>,
     /// Live controllers.
-    pub live: BTreeMap<String, LiveRecord>,
+    pub live_controllers: BTreeMap<String, LiveRecord>,
     /// Since when this process knows each of them.
-    pub live_since: BTreeMap<String, Instant>,
+    pub controller_live_since: BTreeMap<String, Instant>,
     /// Machine types.
     pub catalog: Option<Catalog>,
     /// The drains under way, by shard.
@@ -240,14 +240,14 @@
     /// Tasks seen on machines where no record has them.
     pub unexpected_tasks: HashMap<TaskId, Arc<str>>,
     /// Machines whose release was answered, and when.
-    pub gone: HashMap<Arc<str>, Instant>,
+    pub released_machines: HashMap<Arc<str>, Instant>,
     /// Tasks that found no place in the last round.
     pub unplaced: Vec<Demand>,
     /// Loops to wake.
     pub wakeups: Wakeups,
     fleet: fleet::FleetState,
     draining: drain::DrainState,
-    displaced: Option<Instant>,
+    last_preemption: Option<Instant>,
     /// What is known of hand-overs to and from other cells.
     pub(crate) federation: federation::FederationState,
     /// What is known of admission control, where it is on.
@@ -255,7 +255,7 @@
     /// Whether the policy of admission control demands credit.
     admission_in_force: bool,
     /// The time of day at the last round, in seconds since 1970.
-    wall: f64,
+    wall_clock_s: f64,
 }
 
 impl Core {
@@ -271,10 +271,10 @@
             identity,
             loaded: false,
             format: 1,
-            marks: BTreeMap::new(),
+            known_layouts: BTreeMap::new(),
             ended: None,
             unreadable: 0,
-            followed: 0,
+            applied_revision: 0,
             versions: HashMap::default(),
             dropped: HashMap::new(),
             jobs: HashMap::default(),
@@ -299,22 +299,22 @@
             teams,
             leader: None,
             shards: BTreeMap::new(),
-            live: BTreeMap::new(),
-            live_since: BTreeMap::new(),
+            live_controllers: BTreeMap::new(),
+            controller_live_since: BTreeMap::new(),
             catalog: None,
             drains: BTreeMap::new(),
             role: Role::default(),
             unexpected_tasks: HashMap::new(),
-            gone: HashMap::new(),
+            released_machines: HashMap::new(),
             unplaced: Vec::new(),
             wakeups: Wakeups::default(),
             fleet: fleet::FleetState::default(),
             draining: drain::DrainState::default(),
-            displaced: None,
+            last_preemption: None,
             federation: federation::FederationState::default(),
             credit,
             admission_in_force: false,
-            wall: 0.0,
+            wall_clock_s: 0.0,
         }
     }
 
@@ -372,7 +372,7 @@
         // A withdrawal, or what was taken back from a shard, can be known before
         // a placement that came before it: what was counted stays counted until
         // the copy has caught up.
-        let settled = job.settles_at() <= self.followed;
+        let settled = job.settles_at() <= self.applied_revision;
         let counts = match (settled, job.is_open()) {
             (true, _) => job.counts(),
             (false, true) => job.counts().max(job.counted),
@@ -422,7 +422,7 @@
     /// Takes back proposals for tasks that the leader has taken back since from
     /// the shard: the record that they would be bound to no longer allows them.
     fn drop_unallocated(&mut self, id: &Arc<str>) {
-        self.drop_if(id, |job, index, p| !job.allocates(p.home.shard, index));
+        self.drop_if(id, |job, index, p| !job.allocates(p.segment.shard, index));
     }
 
     /// Takes back proposed placements. Those in a shard with a unit on its way
@@ -433,7 +433,7 @@
             .placed
             .iter()
             .filter(|(index, p)| !p.committed && void(job, **index, p))
-            .filter(|(_, p)| !self.commits.is_in_flight(&CommitTarget::Segment(p.home)))
+            .filter(|(_, p)| !self.commits.is_in_flight(&CommitTarget::Segment(p.segment)))
             .map(|(i, p)| (*i, p.clone()))
             .collect();
         if void.is_empty() {
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -2,10 +2,10 @@
 //! what is kept up for services.
 
 use super::Core;
-use super::copy::CatalogSegment;
 use super::fleet::MachineKind;
 use super::layout::to_value;
-use crate::machines::Fate;
+use super::record_replica::CatalogSegment;
+use crate::machines::MachinePhase;
 use crate::records::{self, stored_size};
 use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
 use dapplecroft_state::AtomicUpdate;
@@ -131,7 +131,7 @@
         let mut names: Vec<&Arc<str>> = self
             .machines
             .values()
-            .filter(|m| !m.spot && m.group.is_some() && m.fate == Fate::Keep && !m.given_up)
+            .filter(|m| !m.spot && m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up)
             .map(|m| &m.id)
             .collect();
         names.sort_unstable();
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -85,15 +85,15 @@
     }
 
     /// One round. Proposals become commands only once they are committed.
-    /// `wall` is the time of day in seconds since 1970; `scarce` says that few
+    /// `wall_clock_s` is the time of day in seconds since 1970; `scarce` says that few
     /// changes of records can be made just now.
-    pub fn place(&mut self, wall: f64, scarce: bool, now: Instant) {
+    pub fn place(&mut self, wall_clock_s: f64, scarce: bool, now: Instant) {
         if !self.loaded || !self.has_role() || !self.in_contact(now) || self.catalog.is_none() {
             return;
         }
-        self.wall = wall;
+        self.wall_clock_s = wall_clock_s;
         let leads = self.leads(now);
-        let order = self.serving_order(wall, now);
+        let order = self.serving_order(wall_clock_s, now);
         let mut round = Round { left: MAX_PER_ROUND, scarce, ..Round::default() };
         if leads {
             self.measure_shards(&mut round);
@@ -117,7 +117,7 @@
             self.wakeups.place = true;
         }
         if self.options.preempt {
-            self.displace(&unplaced, now);
+            self.preempt(&unplaced, now);
         }
         if leads {
             if !unplaced.is_empty() {
@@ -359,8 +359,8 @@
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
             return false;
         };
-        let Some(home) = self.assign_segment(machine) else { return false };
-        if !self.weigh(task, home) {
+        let Some(segment_id) = self.assign_segment(machine) else { return false };
+        if !self.weigh(task, segment_id) {
             return false;
         }
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
@@ -373,7 +373,7 @@
             Placed {
                 attempt,
                 machine: machine.clone(),
-                home,
+                segment: segment_id,
                 session,
                 committed: false,
                 since: now,
@@ -384,8 +384,8 @@
                 freed: false,
             },
         );
-        self.book(task, machine, home.shard, now);
-        self.mark_segment(home, urgent);
+        self.book(task, machine, segment_id.shard, now);
+        self.mark_segment(segment_id, urgent);
         true
     }
 }
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 /// Most tasks stopped at a time.
-const MAX_DISPLACED: usize = 40;
+const MAX_PREEMPTED_TASKS: usize = 40;
 /// What a task that saves is given beyond the time that it needs.
 const SAVE_MARGIN: Duration = Duration::from_secs(1);
 /// Pause between two looks for work to displace, which go over all machines.
-const DISPLACEMENT_INTERVAL: Duration = Duration::from_millis(250);
+const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A machine with work that may have to give way.
 struct Host {
@@ -48,7 +48,7 @@
 
 /// What is stopped to make room.
 #[derive(Default)]
-struct Displacement {
+struct Preemption {
     tasks: Vec<TaskId>,
     /// Machine time that is lost.
     lost: Duration,
@@ -74,7 +74,7 @@
     hosts: &mut [&mut Host],
     request: &RoomRequest<'_>,
     fetch_time: impl Fn(&Host) -> Duration,
-) -> Displacement {
+) -> Preemption {
     let requirements = request.requirements;
     let mut wanted = request.wanted;
     for host in hosts.iter_mut() {
@@ -92,22 +92,22 @@
     };
     let mut choices: Vec<Choice> = hosts.iter().enumerate().filter_map(choice).collect();
     choices.sort();
-    let mut displacement = Displacement::default();
+    let mut preemption = Preemption::default();
     for choice in choices {
-        if wanted <= 0 || displacement.tasks.len() + choice.victims.len() > request.most {
+        if wanted <= 0 || preemption.tasks.len() + choice.victims.len() > request.most {
             break;
         }
         let host = &mut hosts[choice.host];
         for victim in choice.victims {
             host.residents[victim].leaving = true;
-            displacement.tasks.push(host.tasks[victim].clone());
+            preemption.tasks.push(host.tasks[victim].clone());
         }
-        displacement.lost += choice.lost;
+        preemption.lost += choice.lost;
         let fitting = host.fits(requirements).clamp(1, wanted);
         host.slot.booked += requirements.resources.times(fitting);
         wanted -= fitting;
     }
-    displacement
+    preemption
 }
 
 impl Core {
@@ -158,7 +158,7 @@
 
     /// Stops work that has to give way to waiting work, where the least
     /// machine time is lost. What is leaving anyway counts as room that will be there.
-    pub(super) fn displace(&mut self, unplaced: &[Unplaced], now: Instant) {
+    pub(super) fn preempt(&mut self, unplaced: &[Unplaced], now: Instant) {
         let urgent = |u: &Unplaced| {
             !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
@@ -166,11 +166,11 @@
         // work that is stopped for it waits in its turn, and so on.
         let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| urgent(u)).collect();
         let recent =
-            self.displaced.is_some_and(|at| now.saturating_duration_since(at) < DISPLACEMENT_INTERVAL);
+            self.last_preemption.is_some_and(|at| now.saturating_duration_since(at) < PREEMPTION_INTERVAL);
         if claimants.is_empty() || recent || self.role.leased_shards.is_empty() {
             return;
         }
-        self.displaced = Some(now);
+        self.last_preemption = Some(now);
         let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.rank());
         let best = ranks.min().unwrap_or(0);
         let guaranteed = self.guaranteed();
@@ -186,7 +186,7 @@
                 Host { shard: m.shard, slot: self.slot(m, now), tasks, residents }
             })
             .collect();
-        let mut left = MAX_DISPLACED;
+        let mut left = MAX_PREEMPTED_TASKS;
         for unplaced in claimants {
             let Some(job) = self.open_job(&unplaced.job) else { continue };
             let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
@@ -203,10 +203,10 @@
                     hosts.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
                 let request =
                     RoomRequest { requirements: &unplaced.requirements, claim, wanted, most: left, limit };
-                let displacement = make_room(&mut own, &request, fetch_time);
-                left -= displacement.tasks.len();
-                lost += displacement.lost;
-                stopped.extend(displacement.tasks);
+                let preemption = make_room(&mut own, &request, fetch_time);
+                left -= preemption.tasks.len();
+                lost += preemption.lost;
+                stopped.extend(preemption.tasks);
             }
             if !stopped.is_empty() {
                 tracing::info!(for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost, "tasks give way");
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -54,12 +54,12 @@
 
     /// Notes that all changes up to a revision are known.
     pub fn caught_up(&mut self, revision: u64) {
-        self.followed = self.followed.max(revision);
-        let followed = self.followed;
-        self.dropped.retain(|_, at| *at > followed);
-        self.note_followed(followed);
+        self.applied_revision = self.applied_revision.max(revision);
+        let applied_revision = self.applied_revision;
+        self.dropped.retain(|_, at| *at > applied_revision);
+        self.note_applied_revision(applied_revision);
         while let Some(&(sent, at)) = self.role.pending.front() {
-            if at > followed {
+            if at > applied_revision {
                 break;
             }
             self.role.contact = self.role.contact.max(Some(sent));
@@ -68,7 +68,7 @@
         let settled: Vec<Arc<str>> = self
             .unsettled
             .iter()
-            .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= followed))
+            .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= applied_revision))
             .cloned()
             .collect();
         for id in settled {
@@ -78,7 +78,7 @@
         }
         self.settle_departed(Instant::now());
         // What was leased to this process may be known well enough by now.
-        let waits = |version: u64| version <= followed;
+        let waits = |version: u64| version <= applied_revision;
         let leased = self.shards.iter().any(|(n, (b, version))| {
             b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
         });
@@ -200,7 +200,7 @@
             self.versions.insert(key.to_string(), version);
         } else {
             self.versions.remove(key);
-            if version > self.followed {
+            if version > self.applied_revision {
                 self.dropped.insert(key.to_string(), version);
             }
         }
@@ -208,7 +208,7 @@
     }
 
     fn apply_mark(&mut self, host: &str, record: LayoutRecord) {
-        let known = self.marks.entry(host.to_string()).or_default();
+        let known = self.known_layouts.entry(host.to_string()).or_default();
         *known = record.layout.max(*known);
         self.wakeups.role = true;
     }
@@ -244,15 +244,15 @@
     fn apply_live(&mut self, host: &str, record: Option<LiveRecord>, now: Instant) {
         self.wakeups.role = true;
         let Some(record) = record else {
-            self.live.remove(host);
-            self.live_since.remove(host);
+            self.live_controllers.remove(host);
+            self.controller_live_since.remove(host);
             return;
         };
-        let same = self.live.get(host).is_some_and(|live| live.identity == record.identity);
+        let same = self.live_controllers.get(host).is_some_and(|live| live.identity == record.identity);
         if !same {
-            self.live_since.insert(host.to_string(), now);
+            self.controller_live_since.insert(host.to_string(), now);
         }
-        self.live.insert(host.to_string(), record);
+        self.live_controllers.insert(host.to_string(), record);
     }
 
     fn apply_catalog_segment(&mut self, number: u32, record: Option<CatalogSegment>) {
@@ -397,7 +397,7 @@
         if let Some(job) = self.open_job(&id) {
             let urgent = job.spec.priority < Priority::Normal;
             let own: BTreeSet<SegmentId> =
-                job.placed.values().filter(|p| !p.committed).map(|p| p.home).collect();
+                job.placed.values().filter(|p| !p.committed).map(|p| p.segment).collect();
             own.into_iter().for_each(|segment| self.mark_segment(segment, urgent));
         }
         self.finish_if_over(&id);
@@ -431,7 +431,7 @@
         }
         job.allocating.clear();
         job.revoking.clear();
-        if job.version > self.followed {
+        if job.version > self.applied_revision {
             self.unsettled.insert(id.clone());
         }
         self.drop_proposals(id);
--- a/crates/dapplecroft-controller/src/core/copy/tests.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica/tests.rs
@@ -66,7 +66,8 @@
         |data: Value, version| Logged { set: Some("dc/p/0".into()), drop: None, data: Some(data), version };
     let there = json!({"j": ["run-1"], "m": {"i-1": [[0, 0, 0]]}});
     core.follow(Followed { revision: 150, log: vec![set(there, 150)] }, now);
-    let at = |core: &Core| core.open_job("run-1").unwrap().placed.get(&0).map(|p| (p.home.shard, p.attempt));
+    let at =
+        |core: &Core| core.open_job("run-1").unwrap().placed.get(&0).map(|p| (p.segment.shard, p.attempt));
     assert_eq!(at(&core), Some((8, 2)));
     assert!(core.machines.get("i-1").is_none_or(|m| m.tasks.is_empty()));
     let gone = json!({"t": {"run-1": {"0": 1}}});
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -25,7 +25,7 @@
     /// It counts once all changes up to that revision are known, so that a
     /// holder in contact has heard of every cancellation before it.
     pub fn confirmed(&mut self, sent: Instant, revision: u64) {
-        if revision <= self.followed {
+        if revision <= self.applied_revision {
             self.role.contact = self.role.contact.max(Some(sent));
         } else if self.role.pending.len() < 64 {
             self.role.pending.push_back((sent, revision));
@@ -70,7 +70,7 @@
     /// known: nothing of theirs can be committed any more, since every such
     /// commit names their key's version.
     pub fn begin_to_lead(&mut self, now: Instant) {
-        let ready = self.role.leadership.is_some_and(|l| l <= self.followed);
+        let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.ready() {
             self.fleet.begin(now);
             self.begin_granting();
@@ -149,7 +149,7 @@
     /// The leader's node, if it is another one and up.
     pub fn leader_host(&self) -> Option<&str> {
         let (leader, _) = self.leader.as_ref()?;
-        let live = self.live.get(&leader.host).is_some_and(|l| l.identity == leader.identity);
+        let live = self.live_controllers.get(&leader.host).is_some_and(|l| l.identity == leader.identity);
         (live && leader.identity != self.identity).then_some(leader.host.as_str())
     }
 
--- a/crates/dapplecroft-controller/src/core/roles/tests.rs
+++ b/crates/dapplecroft-controller/src/core/roles/tests.rs
@@ -8,7 +8,7 @@
 fn a_replaced_leader_acts_by_its_own_old_key_no_more() {
     let now = Instant::now();
     let mut core = core();
-    core.followed = 5;
+    core.applied_revision = 5;
     core.lead(5);
     core.begin_to_lead(now);
     core.confirmed(now, 5);
@@ -26,7 +26,7 @@
 fn a_confirmation_of_a_role_that_was_lost_meanwhile_does_not_count() {
     let now = Instant::now();
     let mut core = core();
-    core.followed = 5;
+    core.applied_revision = 5;
     core.lead(5);
     core.begin_to_lead(now);
     let asked = core.generation();
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -107,7 +107,7 @@
             // What another segment has is for that one to say, unless this one takes
             // over from a record of the first layout.
             let whole = SegmentId::whole(id.shard);
-            let own = placed.home == id || (placed.home == whole && id.segment.is_some());
+            let own = placed.segment == id || (placed.segment == whole && id.segment.is_some());
             if placed.committed && own && !stays {
                 difference.departed.push((task.clone(), placed.clone()));
             }
@@ -164,8 +164,8 @@
     /// drops it, and the task would seem to wait.
     fn is_newer_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
         let known = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
-        let other = known.filter(|p| p.committed && p.home != id);
-        other.and_then(|p| self.segments.get(&p.home)).is_some_and(|segment| segment.version > version)
+        let other = known.filter(|p| p.committed && p.segment != id);
+        other.and_then(|p| self.segments.get(&p.segment)).is_some_and(|segment| segment.version > version)
     }
 
     /// Puts one task on its machine; `false`: its job is over.
@@ -185,14 +185,14 @@
             // worker, and committed by another holder since: a session older than
             // the record's would later pass for proof that the task is gone.
             placed.session = session;
-            placed.home = id;
+            placed.segment = id;
             placed.stop = stop.or(placed.stop);
             return true;
         }
         let placed = Placed {
             attempt,
             machine: machine.clone(),
-            home: id,
+            segment: id,
             session,
             committed: true,
             since: now,
@@ -285,7 +285,7 @@
                         let placed = job.placed.get(&index);
                         let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
                         let moved = |p: &Placed| {
-                            let other = self.segments.get(&p.home).filter(|_| p.home != *segment);
+                            let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment);
                             other.is_some_and(|l| l.version > load.version)
                         };
                         if !placed.is_some_and(|p| here(p) || moved(p)) {
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -183,7 +183,7 @@
                 let joins = same.is_some_and(|(t, n)| t.index + 1 == task.index && n == p.attempt);
                 // Other machines of the segment may have tasks of the job, too.
                 // Those that move here from a whole shard's record bring names.
-                let named = if p.home.segment.is_some() { NAMED } else { task.job.len() + NAMED };
+                let named = if p.segment.segment.is_some() { NAMED } else { task.job.len() + NAMED };
                 sum += task_weight(joins) + if same.is_some() { 0 } else { named };
                 last = Some((task, p.attempt));
             }
@@ -277,10 +277,10 @@
         for (task, segment) in proposed {
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             let Some(p) = job.placed.get_mut(&task.index).filter(|p| !p.committed) else { continue };
-            let home = SegmentId { shard, segment };
-            if p.home != home && segment.is_some() {
-                p.home = home;
-                self.mark_segment(home, false);
+            let segment_id = SegmentId { shard, segment };
+            if p.segment != segment_id && segment.is_some() {
+                p.segment = segment_id;
+                self.mark_segment(segment_id, false);
             }
         }
     }
@@ -314,9 +314,10 @@
                 self.machines.get(&machine).map(|m| m.tasks.iter().cloned().collect()).unwrap_or_default();
             for task in tasks {
                 if let Some(job) = self.open_job_mut(&task.job)
-                    && let Some(p) = job.placed.get_mut(&task.index).filter(|p| !p.committed && p.home == id)
+                    && let Some(p) =
+                        job.placed.get_mut(&task.index).filter(|p| !p.committed && p.segment == id)
                 {
-                    p.home = other;
+                    p.segment = other;
                 }
             }
             self.mark_segment(other, false);
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -121,14 +121,14 @@
     /// first, and missed deadlines last, must starve nobody.
     fn is_starved(&self, job: &OpenJob) -> bool {
         let begun = !job.placed.is_empty() || !job.done.is_empty();
-        self.wall - job.record.at > if begun { END_WITHIN } else { BEGIN_WITHIN }
+        self.wall_clock_s - job.record.at > if begun { END_WITHIN } else { BEGIN_WITHIN }
     }
 
     /// A job's rank, one higher once it has waited very long. What is placed of
     /// it keeps that rank while it is young, or the job would be undone again
     /// and again by more urgent ones.
     pub(super) fn effective_rank(&self, job: &OpenJob) -> u8 {
-        let old = self.wall - job.record.at > BEGIN_WITHIN;
+        let old = self.wall_clock_s - job.record.at > BEGIN_WITHIN;
         // A few tasks are enough to begin: a large job must not take the place
         // of all urgent work.
         let few = job.placed.len() <= STARTER_TASKS && job.done.is_empty();
@@ -136,7 +136,7 @@
     }
 
     /// Waiting jobs in the order in which they are served.
-    pub(super) fn serving_order(&self, wall: f64, now: Instant) -> Vec<(ServingKey, Arc<str>)> {
+    pub(super) fn serving_order(&self, wall_clock_s: f64, now: Instant) -> Vec<(ServingKey, Arc<str>)> {
         let guaranteed = self.guaranteed();
         let mut order: Vec<(ServingKey, Arc<str>)> = self
             .waiting
@@ -156,7 +156,7 @@
                     starved_since: if starved { submitted_ms } else { u64::MAX },
                     over_quota: !within,
                     rank,
-                    deadline: deadline_state(due - wall, job.spec.estimate_s),
+                    deadline: deadline_state(due - wall_clock_s, job.spec.estimate_s),
                     task_cpus: Reverse(job.requirements.resources.cpus),
                     work_left_s: (f64::from(job.left()) * job.spec.estimate_s) as u64,
                     due_ms: (due.max(0.0) * 1000.0) as u64,
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -35,7 +35,7 @@
     /// is the right one, or nobody is known to be. `None`: it must be read.
     pub fn not_taken(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
         let id = head.machine.as_str();
-        if !self.loaded || self.gone.contains_key(id) {
+        if !self.loaded || self.released_machines.contains_key(id) {
             // If its release was answered, this is a late copy of a message.
             return Some(HeartbeatOutcome::Unavailable);
         }
@@ -96,7 +96,7 @@
     pub fn apply_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
-        if self.gone.contains_key(&machine.id)
+        if self.released_machines.contains_key(&machine.id)
             || (report.session, report.sequence) <= (machine.session, machine.sequence)
         {
             return;
@@ -238,7 +238,7 @@
         // A replica is never done: whatever it ended by, it is wanted again.
         let service = job.is_service();
         let done = why == Some(ExitReason::Done) && !service;
-        let Some(home) = job.placed.get(&task.index).map(|p| p.home) else { return };
+        let Some(segment_id) = job.placed.get(&task.index).map(|p| p.segment) else { return };
         if job.exits.insert(task.index, Exit { attempt, done }).is_some() {
             return;
         }
@@ -286,18 +286,18 @@
         }
         self.free(task);
         // What runs where a record of the first layout says so ends in a segment.
-        let segment = if home.segment.is_some() { Some(home) } else { self.assign_segment(id) };
-        self.note_end(&task.job, segment.unwrap_or(home), now);
+        let segment = if segment_id.segment.is_some() { Some(segment_id) } else { self.assign_segment(id) };
+        self.note_end(&task.job, segment.unwrap_or(segment_id), now);
     }
 
     /// Ends everything on a machine whose release was answered: it is gone.
     pub fn machine_gone(&mut self, id: &Arc<str>, now: Instant) {
-        self.gone.entry(id.clone()).or_insert(now);
+        self.released_machines.entry(id.clone()).or_insert(now);
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get(id) else { return };
         for task in machine.tasks.clone() {
             let placed = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
-            let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.home.shard));
+            let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.segment.shard));
             if let Some(attempt) = own.map(|p| p.attempt) {
                 self.end(&task, attempt, None, id, now);
             }
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -54,7 +54,7 @@
     /// the most to the least loaded if that evens them out. The leader's own
     /// work grows with the number of shards, so it holds fewer of many.
     pub fn wanted_leases(&self, now: Instant) -> Vec<LeaseGrant> {
-        let Some(leadership) = self.role.leadership.filter(|l| *l <= self.followed) else {
+        let Some(leadership) = self.role.leadership.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
         };
         let numbers = self.shard_numbers();
@@ -62,18 +62,16 @@
         let size = |shard: &u32| sizes.get(shard).copied().unwrap_or(0);
         let own_work = (numbers.len() - 1) * self.shard_machines() / 8;
         let mut load: BTreeMap<&str, usize> = self
-            .live
+            .live_controllers
             .iter()
             .map(|(host, l)| (host.as_str(), if l.identity == self.identity { own_work } else { 0 }))
             .collect();
         let mut vacant = Vec::new();
         let mut held: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for shard in &numbers {
-            let holder = self
-                .shards
-                .get(shard)
-                .map(|(b, _)| b)
-                .filter(|b| self.live.get(&b.host).is_some_and(|live| live.identity == b.identity));
+            let holder = self.shards.get(shard).map(|(b, _)| b).filter(|b| {
+                self.live_controllers.get(&b.host).is_some_and(|live| live.identity == b.identity)
+            });
             match holder {
                 Some(holder) => {
                     *load.entry(holder.host.as_str()).or_default() += size(shard);
@@ -82,13 +80,14 @@
                 None => vacant.push(*shard),
             }
         }
-        let leader = self.live.iter().find(|(_, l)| l.identity == self.identity).map(|(h, _)| h.as_str());
+        let leader =
+            self.live_controllers.iter().find(|(_, l)| l.identity == self.identity).map(|(h, _)| h.as_str());
         // One that has just come up gets no more than its part: after a restart
         // of all, the first would else take everything, drown in its workers'
         // reports and lose its lease again; the others come up just after it.
         let part = numbers.len().div_ceil(self.settings.params.nodes.max(1) as usize);
         let settled = |host: &str| {
-            let since = self.live_since.get(host);
+            let since = self.controller_live_since.get(host);
             since.is_some_and(|at| now.saturating_duration_since(*at) >= self.options.node_lease * 2)
         };
         let mut counts: BTreeMap<&str, usize> = held.iter().map(|(host, b)| (*host, b.len())).collect();
@@ -126,7 +125,7 @@
     }
 
     fn lease(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
-        let live = self.live.get(host)?;
+        let live = self.live_controllers.get(host)?;
         let (old, version) = self.shards.get(&shard).map_or((0, 0), |(b, v)| (b.epoch, *v));
         // The epoch comes from a revision of the state service, and only grows.
         let epoch = (old + 1).max(leadership);
@@ -162,7 +161,7 @@
             .iter()
             .filter(|(n, (b, version))| {
                 b.identity == self.identity
-                    && *version <= self.followed
+                    && *version <= self.applied_revision
                     && !self.role.leased_shards.contains_key(n)
             })
             .map(|(n, (b, version))| (*n, ShardLease { epoch: b.epoch, version: *version }))
@@ -190,7 +189,7 @@
         jobs.dedup();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
-            for placed in job.placed.values_mut().filter(|p| p.home.shard == shard) {
+            for placed in job.placed.values_mut().filter(|p| p.segment.shard == shard) {
                 placed.sent = 0;
                 placed.running = None;
                 placed.since = now;
@@ -214,7 +213,7 @@
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let resources = job.requirements.resources;
-            for p in job.placed.values_mut().filter(|p| p.home.shard == shard && p.freed) {
+            for p in job.placed.values_mut().filter(|p| p.segment.shard == shard && p.freed) {
                 p.freed = false;
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
                     let before = machine.room().cpus;
@@ -223,7 +222,7 @@
                 }
             }
             let placed = &job.placed;
-            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.home.shard != shard));
+            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
         }
         self.drop_proposals_in(shard);
         self.commits.drop_deferred_ends_of(shard);
@@ -256,7 +255,7 @@
     /// The node, other than this one, that workers of a shard should report to.
     pub fn holder_host(&self, shard: u32) -> Option<&str> {
         let (shard, _) = self.shards.get(&shard)?;
-        let live = self.live.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
+        let live = self.live_controllers.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
         (live && shard.identity != self.identity).then_some(shard.host.as_str())
     }
 }
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -33,7 +33,7 @@
     Placed {
         attempt,
         machine: machine.into(),
-        home: segment,
+        segment,
         session: 1,
         committed: false,
         since,
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -97,7 +97,7 @@
         for machine in self.machines.values().filter(here) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
-                let Some(p) = job.placed.get(&task.index).filter(|p| p.home.shard == id.shard) else {
+                let Some(p) = job.placed.get(&task.index).filter(|p| p.segment.shard == id.shard) else {
                     continue;
                 };
                 if !p.committed {
@@ -188,7 +188,7 @@
         let job = self.open_job(id)?;
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
-        let record = if untouched && job.version <= self.followed {
+        let record = if untouched && job.version <= self.applied_revision {
             job.record.compact(JobStage::Withdrawn, done)
         } else {
             // What was allocated where is of no use any more, and may be long.
@@ -216,7 +216,7 @@
             // A placement made before the withdrawal may not be known yet; once
             // it would be, and none is, there will never be one.
             let left = job.placed.values().any(|p| p.committed);
-            if left || job.version > self.followed {
+            if left || job.version > self.applied_revision {
                 return None;
             }
             let done = job.record.done.unwrap_or(0).max(job.done.len());
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -54,7 +54,7 @@
     /// The machine.
     pub machine: Arc<str>,
     /// The segment of its shard in whose record it is, or will be.
-    pub home: SegmentId,
+    pub segment: SegmentId,
     /// The worker's session that it was placed in.
     pub session: u64,
     /// Whether the record is committed; nothing is commanded before.
@@ -256,10 +256,13 @@
     /// Whether a last attempt in a record says nothing any more, since another
     /// record has a later one. Replicas run again for ever: what they have been
     /// through must not gather.
-    pub fn outdates(&self, home: SegmentId, index: u32, attempt: u64) -> bool {
+    pub fn outdates(&self, segment_id: SegmentId, index: u32, attempt: u64) -> bool {
         let later = |p: &Placed| p.committed && p.attempt > attempt;
         self.placed.get(&index).is_some_and(later)
-            || self.tries.iter().any(|(id, t)| *id != home && t.get(&index).is_some_and(|n| *n > attempt))
+            || self
+                .tries
+                .iter()
+                .any(|(id, t)| *id != segment_id && t.get(&index).is_some_and(|n| *n > attempt))
     }
 
     /// Whether its tasks are replicas that run until it is withdrawn.
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -116,7 +116,7 @@
             Outcome::Refused(_) | Outcome::Unknown(_) => return false,
         };
         let known = timeout(CATCH_UP_TIMEOUT, async {
-            while self.with(|core| core.followed) < revision {
+            while self.with(|core| core.applied_revision) < revision {
                 sleep(CATCH_UP_CHECK).await;
             }
         });
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -66,7 +66,9 @@
                 // A late write of an earlier process of this node may have taken
                 // the place of this one's entry.
                 let own = self.with(|core| {
-                    core.live.get(&self.settings.host_name).is_some_and(|l| l.identity == core.identity)
+                    core.live_controllers
+                        .get(&self.settings.host_name)
+                        .is_some_and(|l| l.identity == core.identity)
                 });
                 own || self.announce(lease).await
             }
@@ -92,8 +94,9 @@
         let host = &self.settings.host_name;
         // A key of the same name belongs to a process that this one replaces:
         // there is one at a time, so it has ended and its lease can go at once.
-        let before =
-            self.with(|core| core.live.get(host).filter(|l| l.identity != core.identity).map(|l| l.lease));
+        let before = self.with(|core| {
+            core.live_controllers.get(host).filter(|l| l.identity != core.identity).map(|l| l.lease)
+        });
         if let Some(lease) = before {
             tracing::info!("ending the lease of this node's earlier process");
             let _ = self.state.revoke(lease).await;
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/follow.rs
@@ -22,7 +22,7 @@
                 sleep(PAUSE).await;
             }
             loop {
-                let from = self.with(|core| core.followed);
+                let from = self.with(|core| core.applied_revision);
                 match self.state.follow(PREFIX, from, WATCH).await {
                     Outcome::Done(Watched::Changes(followed)) => {
                         let some = !followed.log.is_empty();
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -13,9 +13,9 @@
 
 /// What is to become of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum MachinePhase {
     /// It takes work.
-    Keep,
+    Active,
     /// It takes no more work, and is returned once it is empty.
     Returning,
     /// It is released whatever is on it.
@@ -81,7 +81,7 @@
     /// Probes in a row without an answer.
     pub missed_probes: u32,
     /// What is to become of it.
-    pub fate: Fate,
+    pub phase: MachinePhase,
     /// Whether its record says that its holder has given it up.
     pub given_up: bool,
     /// Whether a release is on its way.
@@ -122,7 +122,7 @@
             command_after: None,
             probing: false,
             missed_probes: 0,
-            fate: Fate::Keep,
+            phase: MachinePhase::Active,
             given_up: false,
             releasing: false,
             failed_jobs: BTreeSet::new(),
@@ -173,7 +173,7 @@
     pub fn open(&self, epoch: u64, silence: Duration, now: Instant) -> bool {
         self.heard.is_some_and(|at| now.saturating_duration_since(at) <= silence)
             && self.synced(epoch)
-            && self.fate == Fate::Keep
+            && self.phase == MachinePhase::Active
             && !self.given_up
             && !self.releasing
             && self.taken_at.is_none()
@@ -203,7 +203,7 @@
         self.probing = false;
         self.missed_probes = 0;
         self.releasing = false;
-        self.fate = Fate::Keep;
+        self.phase = MachinePhase::Active;
         self.taken_at = None;
         if self.tasks.is_empty() {
             self.idle_since = Some(now);
--- a/crates/dapplecroft-controller/tests/stories/failures.rs
+++ b/crates/dapplecroft-controller/tests/stories/failures.rs
@@ -266,7 +266,7 @@
     c.net.rule(Rule::all("", STATE, Action::Drop).path("/multi").body("\"t\":\"0:0*1\""));
     let leader = c.leader().unwrap();
     c.until("the release is answered", || {
-        c.node(leader).with(|core| core.gone.contains_key(machine.as_str()))
+        c.node(leader).with(|core| core.released_machines.contains_key(machine.as_str()))
     })
     .await;
     pause(3.0).await;
