--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -1,14 +1,14 @@
 //! The home cell's part: which jobs are offered, what is away, and what an answer makes
 //! of a job's record.
 
-use crate::core::{Core, Subject};
+use crate::core::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage};
 use dapplecroft_federation::home::watermark;
 use dapplecroft_federation::summary::Wish;
 use dapplecroft_federation::{AwayRecord, CellId, Epoch, HomeStep, Outcome, TransferRequest, TransferState};
 use dapplecroft_sched::PendingCapacity;
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::Change;
 use dapplecroft_wire::users::JobSpec;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 
 /// An offer that is to be committed before it is sent.
 #[derive(Debug, Clone)]
-pub struct OfferUnit {
+pub struct OfferUpdate {
     /// The job.
     pub job: Arc<str>,
     /// What is committed.
-    pub unit: Unit,
+    pub update: AtomicUpdate,
 }
 
 /// What to ask another cell about one job.
@@ -48,24 +48,25 @@
     /// Whether nothing of it was ever started, and nothing can be under its record as it
     /// is: every placement rests on an allocation, and none is left that the copy has not
     /// caught up with.
-    pub(super) fn is_untouched(&self, followed: u64) -> bool {
+    pub(super) fn is_untouched(&self, applied_revision: u64) -> bool {
         let not_allocated = self.record.allocated.is_empty() && self.allocating.is_empty();
-        let settled = self.revoking.is_empty() && self.revoked <= followed && self.version <= followed;
+        let settled =
+            self.revoking.is_empty() && self.revoked <= applied_revision && self.version <= applied_revision;
         self.has_not_started() && not_allocated && settled
     }
 
     fn wish(&self) -> Wish {
-        Wish { need: (*self.need).clone(), tasks: self.record.tasks }
+        Wish { requirements: (*self.requirements).clone(), tasks: self.record.tasks }
     }
 }
 
 /// Takes room for as many of `count` tasks as there is; returns how many found some.
 fn take_room(rooms: &mut Vec<PendingCapacity>, wish: &Wish) -> i64 {
-    let need = &wish.need;
+    let requirements = &wish.requirements;
     let mut left = i64::from(wish.tasks);
     let mut used: Vec<PendingCapacity> = Vec::new();
-    for room in rooms.iter_mut().filter(|r| need.allows(&r.machine_type, &r.zone, r.spot)) {
-        let each = need.amounts.times_in(&room.room);
+    for room in rooms.iter_mut().filter(|r| requirements.allows(&r.machine_type, &r.zone, r.spot)) {
+        let each = requirements.resources.times_in(&room.room);
         if each == 0 || left == 0 {
             continue;
         }
@@ -74,7 +75,7 @@
         left -= taken;
         room.count -= machines;
         used.push(PendingCapacity {
-            room: room.room - need.amounts.times(each),
+            room: room.room - requirements.resources.times(each),
             count: machines,
             ..room.clone()
         });
@@ -100,10 +101,10 @@
         for (id, job) in waiting {
             let wish = job.wish();
             let has_room = take_room(&mut rooms, &wish) > 0;
-            let need = &job.need;
+            let requirements = &job.requirements;
             let rentable = offers.iter().any(|offer| {
-                need.allows(&offer.machine_type, &offer.zone, offer.spot)
-                    && need.amounts.fits(&offer.capacity)
+                requirements.allows(&offer.machine_type, &offer.zone, offer.spot)
+                    && requirements.resources.fits(&offer.capacity)
             });
             let waited = now.saturating_duration_since(job.learned) >= federation.spill_after;
             if waited && !has_room && !rentable && self.may_leave(id, job) {
@@ -120,13 +121,14 @@
     /// for its team's limit. One that visits is not passed on: one hop at most.
     fn may_leave(&self, id: &Arc<str>, job: &OpenJob) -> bool {
         let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
-        let headroom = self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.need.amounts) > 0);
-        let in_flight = self.commits.is_in_flight(&Subject::Job(id.clone()));
-        plain && headroom && !in_flight && job.is_untouched(self.followed)
+        let headroom =
+            self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
+        let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
+        plain && headroom && !in_flight && job.is_untouched(self.applied_revision)
     }
 
     /// The unit by which a job is offered to a cell.
-    pub fn offer_unit(&mut self, id: &Arc<str>, cell: CellId) -> Option<OfferUnit> {
+    pub fn offer_update(&mut self, id: &Arc<str>, cell: CellId) -> Option<OfferUpdate> {
         let job = self.open_job(id).filter(|job| self.may_leave(id, job))?;
         let (version, record) = (job.version, job.record.clone());
         let leader = self.leader_condition()?;
@@ -137,8 +139,8 @@
         let value = self.job_value(&JobRecord { stage: JobStage::Away, away, ..record });
         self.federation.offers += 1;
         self.federation.unsettled.insert(id.clone(), (version, epoch));
-        let unit = Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        Some(OfferUnit { job: id.clone(), unit })
+        let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
+        Some(OfferUpdate { job: id.clone(), update })
     }
 
     /// Notes that the transaction of an offer will not be carried out any more, or was.
@@ -216,7 +218,7 @@
         from: &CellId,
         epoch: Epoch,
         state: TransferState,
-    ) -> Option<Unit> {
+    ) -> Option<AtomicUpdate> {
         let leader = self.leader_condition()?;
         let Some(Job::Away(away_job)) = self.jobs.get_mut(job) else { return None };
         let away = away_job.record.away.clone()?;
@@ -234,19 +236,19 @@
         let key = records::job_key(job);
         let conditions = vec![leader, self.unchanged(key.clone())];
         let value = self.job_value(&record);
-        Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] })
+        Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// The unit by which any node notes that a job which is away is to be cancelled;
     /// `Ok(None)`: that is noted already. `Err`: it is not away.
-    pub fn away_cancellation(&self, id: &str) -> Result<Option<Unit>, NotAway> {
+    pub fn away_cancellation(&self, id: &str) -> Result<Option<AtomicUpdate>, NotAway> {
         let Some(Job::Away(job)) = self.jobs.get(id) else { return Err(NotAway) };
         let Some(away) = job.record.away.as_ref().filter(|away| !away.cancelling) else { return Ok(None) };
         let key = records::job_key(id);
         let record = JobRecord { away: Some(away.cancelled()), ..job.record.clone() };
         let conditions = vec![self.unchanged(key.clone())];
         let value = self.job_value(&record);
-        Ok(Some(Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] }))
+        Ok(Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }))
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -1,12 +1,12 @@
 //! The wanted fleet, and what is to be done about the difference.
 
-use super::{Core, GroupUnit};
-use crate::machines::{Fate, Machine};
+use super::{Core, GroupUpdate};
+use crate::machines::{Machine, MachinePhase};
 use crate::records::{GroupRecord, MemberRecord};
 use dapplecroft_cloud::MAX_RENT;
-use dapplecroft_sched::{Amounts, PendingCapacity, plan_scale_out};
+use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
-use dapplecroft_wire::workers::Report;
+use dapplecroft_wire::workers::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -89,7 +89,7 @@
     /// How many machines are silent, asked about or not.
     pub quiet: usize,
     /// Records to write.
-    pub records: Vec<GroupUnit>,
+    pub records: Vec<GroupUpdate>,
 }
 
 impl Core {
@@ -100,7 +100,7 @@
             return actions;
         }
         self.move_replicas(now);
-        self.gone.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
+        self.released_machines.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
         let due = self.judge_machines(&mut actions, now);
         self.prove_released(now);
         // The cloud checks no token: a leader that may have been replaced leaves
@@ -117,22 +117,22 @@
         let machines = &self.machines;
         self.fleet.released.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
         let released = self.fleet.released.clone();
-        actions.records = self.group_units(&give_up, &released, now);
+        actions.records = self.group_updates(&give_up, &released, now);
         actions
     }
 
-    /// What is to be released: what is due in the leader's own blocks, and what
+    /// What is to be released: what is due in the leader's own shards, and what
     /// other holders have given up or the cloud says has stopped.
     fn releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
-        let leased_blocks = &self.role.leased_blocks;
+        let leased_shards = &self.role.leased_shards;
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
-                || (machine.fate == Fate::Lost && !leased_blocks.contains_key(&machine.block));
+                || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
             let waits = machine.releasing || machine.group.is_none();
             if wanted && !waits && !self.fleet.released.contains(&machine.id) {
                 machine.releasing = true;
-                tracing::info!(machine = &*machine.id, fate = ?machine.fate, "releasing a machine");
+                tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
             }
         }
@@ -142,7 +142,7 @@
         let found = std::mem::take(&mut self.fleet.found);
         let unknown: Vec<Machine> = found
             .into_values()
-            .filter(|m| !self.is_grouped(&m.id) && !self.gone.contains_key(&m.id))
+            .filter(|m| !self.is_grouped(&m.id) && !self.released_machines.contains_key(&m.id))
             .collect();
         if !unknown.is_empty() {
             tracing::info!(machines = unknown.len(), "machines that nobody expected are taken in");
@@ -158,8 +158,8 @@
         let orphans: Vec<Arc<str>> = self
             .machines
             .values()
-            .filter(|m| m.group.is_none() && self.role.leased_blocks.contains_key(&m.block))
-            .filter(|m| self.segments_of(m.block).all(|(_, l)| l.version <= self.followed))
+            .filter(|m| m.group.is_none() && self.role.leased_shards.contains_key(&m.shard))
+            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.applied_revision))
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
@@ -176,15 +176,15 @@
             if let Some(machine) = self.machines.get_mut(id)
                 && machine.missed_probes >= 1
             {
-                machine.fate = Fate::Lost;
+                machine.phase = MachinePhase::Lost;
             }
         }
         self.wakeups.fleet = true;
     }
 
-    /// How many machines of own blocks have come up.
+    /// How many machines of own shards have come up.
     pub fn heard_machines(&self) -> usize {
-        let own = self.machines.values().filter(|m| self.is_holder(m.block));
+        let own = self.machines.values().filter(|m| self.is_holder(m.shard));
         own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
     }
 
@@ -211,7 +211,7 @@
     pub(super) fn coming(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
-            let lost = machine.fate != Fate::Keep
+            let lost = machine.phase != MachinePhase::Active
                 || machine.given_up
                 || machine.group.is_none()
                 || machine.taken_at.is_some()
@@ -230,7 +230,7 @@
                 machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot,
-                room: Amounts { cpus, gpus, memory },
+                room: Resources { cpus, gpus, memory },
                 count,
             })
             .collect();
@@ -264,17 +264,17 @@
             plan.extend(self.standby_rental(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
-        for (request, block) in self.fleet.renting.values() {
-            *taken.entry(*block).or_default() += request.count as usize;
+        for (request, shard) in self.fleet.renting.values() {
+            *taken.entry(*shard).or_default() += request.count as usize;
         }
         for rental in plan {
             let offer = &offers[rental.offer];
             let mut left = rental.count;
             while left > 0 && self.fleet.renting.len() < most {
-                let (block, space) = self.block_with_room(&taken);
+                let (shard, space) = self.shard_with_room(&taken);
                 let count = left.min(MAX_RENT).min(space.max(1) as u32);
                 left -= count;
-                *taken.entry(block).or_default() += count as usize;
+                *taken.entry(shard).or_default() += count as usize;
                 // The name is unique without a write of its own: the version of
                 // the leader's key, committed before, belongs to this
                 // leadership alone.
@@ -289,10 +289,10 @@
                     machine_type = request.machine_type,
                     spot = request.spot,
                     count,
-                    block,
+                    block = shard,
                     "renting machines"
                 );
-                self.fleet.renting.insert(request.request.clone(), (request.clone(), block));
+                self.fleet.renting.insert(request.request.clone(), (request.clone(), shard));
                 actions.rent.push(request);
             }
         }
@@ -300,7 +300,7 @@
 
     /// Notes the machines that a request brought; none: there is no capacity.
     pub fn rented(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
-        let Some((_, block)) = self.fleet.renting.remove(&request.request) else { return };
+        let Some((_, shard)) = self.fleet.renting.remove(&request.request) else { return };
         let kind = MachineKind {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
@@ -333,12 +333,12 @@
         }
         let machines: BTreeMap<String, MemberRecord> = machines
             .iter()
-            .filter(|id| !self.gone.contains_key(id.as_str()) && !self.is_grouped(id))
+            .filter(|id| !self.released_machines.contains_key(id.as_str()) && !self.is_grouped(id))
             .map(|id| (id.clone(), MemberRecord::default()))
             .collect();
         if !machines.is_empty() {
             let (machine_type, zone) = (request.machine_type.clone(), request.zone.clone());
-            let record = GroupRecord { block, machine_type, zone, spot: request.spot, machines };
+            let record = GroupRecord { shard, machine_type, zone, spot: request.spot, machines };
             self.new_group(&request.request, record);
         }
         self.wakeups.fleet = true;
@@ -350,7 +350,7 @@
     }
 
     /// Notes a machine that reports and that no record names.
-    pub(super) fn found(&mut self, report: &Report, now: Instant) {
+    pub(super) fn found(&mut self, report: &Heartbeat, now: Instant) {
         let id: Arc<str> = report.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
         machine.machine_type.clone_from(&report.machine_type);
@@ -370,13 +370,13 @@
         // Before that, a list may still show what an earlier leader released.
         let settled = self.fleet.began.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
-            if self.gone.contains_key(listed.id.as_str()) {
+            if self.released_machines.contains_key(listed.id.as_str()) {
                 continue;
             }
             match self.machines.get_mut(listed.id.as_str()).filter(|m| m.group.is_some()) {
-                Some(machine) if listed.state == "failed" && machine.fate != Fate::Lost => {
+                Some(machine) if listed.state == "failed" && machine.phase != MachinePhase::Lost => {
                     tracing::info!(machine = &*machine.id, "a machine stopped on its own");
-                    machine.fate = Fate::Lost;
+                    machine.phase = MachinePhase::Lost;
                     self.wakeups.fleet = true;
                 }
                 Some(_) => {}
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -3,7 +3,7 @@
 //! soon, the dearest first.
 
 use super::Core;
-use crate::machines::{Fate, Machine};
+use crate::machines::{Machine, MachinePhase};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -75,7 +75,7 @@
 }
 
 impl Core {
-    /// Machines of own blocks that are idle beyond this holder's part of the
+    /// Machines of own shards that are idle beyond this holder's part of the
     /// reserve. None, if operators have set how long idle machines are kept.
     pub(super) fn surplus_machines(&mut self, now: Instant) -> BTreeSet<Arc<str>> {
         if self.options.idle_return.is_some() {
@@ -83,16 +83,16 @@
         }
         let window = self.longest_boot_time() * BOOT_TIMES;
         let expected = self.arrivals.keep_busy(window, now);
-        let keeps = |m: &&Machine| m.group.is_some() && m.fate == Fate::Keep && !m.given_up;
+        let keeps = |m: &&Machine| m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up;
         let capacity = |own: bool| -> i64 {
-            let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.block));
+            let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.shard));
             counted.map(|m| m.capacity.cpus).sum()
         };
         let (own, all) = (capacity(true), capacity(false).max(1));
         let reserve = (expected as f64 * own as f64 / all as f64) as i64;
         let is_idle = |m: &&Machine| {
             let since = m.idle_since.is_some_and(|at| now.saturating_duration_since(at) > SURPLUS_AFTER);
-            self.is_holder(m.block) && m.tasks.is_empty() && m.heard.is_some() && since
+            self.is_holder(m.shard) && m.tasks.is_empty() && m.heard.is_some() && since
         };
         let idle = self.machines.values().filter(keeps).filter(is_idle).map(|m| Idle {
             id: m.id.clone(),
@@ -109,7 +109,7 @@
         // No more of it runs at a time than its team's limit lets.
         let tasks = i64::from(job.record.tasks);
         let limit = self.teams.get(&job.spec.team).map_or(0, |team| team.limit.cpus);
-        let cpus = job.need.amounts.cpus * tasks;
+        let cpus = job.requirements.resources.cpus * tasks;
         let cpus = if limit > 0 { cpus.min(limit) } else { cpus };
         let run_time = Duration::try_from_secs_f64(job.spec.estimate_s).unwrap_or_default();
         self.arrivals.note(cpus, run_time, now);
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -2,13 +2,13 @@
 //! what is kept up for services.
 
 use super::Core;
-use super::copy::CatalogSegment;
 use super::fleet::MachineKind;
 use super::layout::to_value;
-use crate::machines::Fate;
+use super::record_replica::CatalogSegment;
+use crate::machines::MachinePhase;
 use crate::records::{self, stored_size};
-use dapplecroft_sched::{Amounts, Offer, PendingCapacity, ScaleOutRequest};
-use dapplecroft_state::Unit;
+use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,10 +43,10 @@
 
     /// The records of the machine types that differ from what is recorded: one
     /// that any version reads, or as many as it takes for each to fit a value.
-    pub fn catalog_units(&self, catalog: &Catalog) -> Vec<Unit> {
+    pub fn catalog_updates(&self, catalog: &Catalog) -> Vec<AtomicUpdate> {
         let set = |key: String, value| {
             let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
-            Unit { conditions, changes: vec![Change::Set { key, value, lease: None }] }
+            AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }
         };
         if self.is_mixed() {
             return vec![set(records::CATALOG.into(), to_value(catalog))];
@@ -72,7 +72,11 @@
                         machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
-                        capacity: Amounts::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+                        capacity: Resources::new(
+                            machine_type.cpus,
+                            machine_type.gpus,
+                            machine_type.memory_gb,
+                        ),
                         price: if spot { machine_type.spot_price } else { machine_type.price },
                         boot_s: machine_type.boot_s,
                     });
@@ -127,7 +131,7 @@
         let mut names: Vec<&Arc<str>> = self
             .machines
             .values()
-            .filter(|m| !m.spot && m.group.is_some() && m.fate == Fate::Keep && !m.given_up)
+            .filter(|m| !m.spot && m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up)
             .map(|m| &m.id)
             .collect();
         names.sort_unstable();
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -1,13 +1,15 @@
 //! A round of placement: jobs in the order in which they are served, each by
-//! best fit decreasing on the dominant share inside this holder's blocks.
+//! best fit decreasing on the dominant share inside this holder's shards.
 
 use super::Core;
 use super::serving_order::STARTER_TASKS;
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::records::DrainMove;
-use dapplecroft_sched::{Amounts, Candidate, Demand, ImagePresence, Need, TeamQuota, best_fit_capped};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_sched::{
+    Candidate, Demand, ImagePresence, Resources, TaskRequirements, TeamQuota, best_fit_capped,
+};
+use dapplecroft_wire::users::Priority;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,14 +24,14 @@
 pub(super) struct Round {
     /// Placements that may still be made.
     pub left: usize,
-    /// Room that the leader counts on in other holders' blocks.
-    pub reserved: HashMap<Arc<str>, Amounts>,
-    /// Processors of work that other holders have waiting, by block.
+    /// Room that the leader counts on in other holders' shards.
+    pub reserved: HashMap<Arc<str>, Resources>,
+    /// Processors of work that other holders have waiting, by shard.
     pub backlog: BTreeMap<u32, i64>,
-    /// What found too little room in a block, or (`None`) in all blocks: room
+    /// What found too little room in a shard, or (`None`) in all shards: room
     /// only shrinks within a round, so what needs no less finds none either.
-    pub full: Vec<(Option<u32>, Arc<Need>)>,
-    /// Processors of the machines that are up, by block.
+    pub full: Vec<(Option<u32>, Arc<TaskRequirements>)>,
+    /// Processors of the machines that are up, by shard.
     pub sizes: BTreeMap<u32, i64>,
     /// The same of the ordinary ones alone.
     pub ordinary: BTreeMap<u32, i64>,
@@ -45,13 +47,13 @@
 
 impl Round {
     /// Whether it is known that a need finds no room any more.
-    pub fn is_full(&self, block: Option<u32>, need: &Need) -> bool {
+    pub fn is_full(&self, shard: Option<u32>, requirements: &TaskRequirements) -> bool {
         self.full.iter().any(|(b, full)| {
-            (*b == block || b.is_none())
-                && full.amounts.fits(&need.amounts)
-                && (full.types.is_none() || full.types == need.types)
-                && (full.zone.is_none() || full.zone == need.zone)
-                && (full.spot || !need.spot)
+            (*b == shard || b.is_none())
+                && full.resources.fits(&requirements.resources)
+                && (full.types.is_none() || full.types == requirements.types)
+                && (full.zone.is_none() || full.zone == requirements.zone)
+                && (full.spot || !requirements.spot)
         })
     }
 }
@@ -59,8 +61,8 @@
 /// Work that found no place: the job, and how much of it.
 pub(super) struct Unplaced {
     pub job: Arc<str>,
-    pub need: Arc<Need>,
-    /// Tasks that wait in each own block, and (`None`) those that the leader may
+    pub requirements: Arc<TaskRequirements>,
+    /// Tasks that wait in each own shard, and (`None`) those that the leader may
     /// still allocate to any.
     pub here: BTreeMap<Option<u32>, i64>,
     /// All tasks for which machines are wanted.
@@ -69,10 +71,10 @@
 
 impl Core {
     /// What a machine of a type has.
-    pub(super) fn capacity(&self, machine_type: &str) -> Option<Amounts> {
+    pub(super) fn capacity(&self, machine_type: &str) -> Option<Resources> {
         let catalog = self.catalog.as_ref()?;
         let machine_type = catalog.machine_types.iter().find(|t| t.name == machine_type)?;
-        Some(Amounts::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
+        Some(Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
     }
 
     /// How quickly machines of a type fetch images, in megabytes a second.
@@ -83,18 +85,18 @@
     }
 
     /// One round. Proposals become commands only once they are committed.
-    /// `wall` is the time of day in seconds since 1970; `scarce` says that few
+    /// `wall_clock_s` is the time of day in seconds since 1970; `scarce` says that few
     /// changes of records can be made just now.
-    pub fn place(&mut self, wall: f64, scarce: bool, now: Instant) {
+    pub fn place(&mut self, wall_clock_s: f64, scarce: bool, now: Instant) {
         if !self.loaded || !self.has_role() || !self.in_contact(now) || self.catalog.is_none() {
             return;
         }
-        self.wall = wall;
+        self.wall_clock_s = wall_clock_s;
         let leads = self.leads(now);
-        let order = self.serving_order(wall, now);
+        let order = self.serving_order(wall_clock_s, now);
         let mut round = Round { left: MAX_PER_ROUND, scarce, ..Round::default() };
         if leads {
-            self.measure_blocks(&mut round);
+            self.measure_shards(&mut round);
             self.reserve_backlog(&mut round, now);
         }
         let mut unplaced = Vec::new();
@@ -102,8 +104,8 @@
             let Some(job) = self.open_job(id) else { continue };
             round.most = if self.effective_rank(job) < job.rank() { STARTER_TASKS } else { usize::MAX };
             let here: Vec<u32> = job.waiting.keys().copied().filter(|b| self.is_holder(*b)).collect();
-            for block in here {
-                self.place_in(id, block, &mut round, now);
+            for shard in here {
+                self.place_in(id, shard, &mut round, now);
             }
             if leads {
                 self.take_back_stalled(id, &round, now);
@@ -115,7 +117,7 @@
             self.wakeups.place = true;
         }
         if self.options.preempt {
-            self.displace(&unplaced, now);
+            self.preempt(&unplaced, now);
         }
         if leads {
             if !unplaced.is_empty() {
@@ -130,7 +132,7 @@
                     // for them only where none does.
                     let waits = now.saturating_duration_since(job.served) >= GIVE_WAY;
                     (!job.is_service() || waits).then(|| Demand {
-                        need: (*u.need).clone(),
+                        requirements: (*u.requirements).clone(),
                         count: u.count,
                         fastest: job.is_service(),
                     })
@@ -143,13 +145,13 @@
     /// team's limit lets start.
     fn left_unplaced(&self, id: &Arc<str>, round: &mut Round, leads: bool) -> Option<Unplaced> {
         let job = self.open_job(id)?;
-        let need = &job.need;
+        let requirements = &job.requirements;
         let mut here = BTreeMap::new();
         let mut waiting = 0;
-        for (block, ranges) in &job.waiting {
+        for (shard, ranges) in &job.waiting {
             waiting += i64::from(ranges.len());
-            if self.is_holder(*block) {
-                here.insert(Some(*block), i64::from(ranges.len()));
+            if self.is_holder(*shard) {
+                here.insert(Some(*shard), i64::from(ranges.len()));
             }
         }
         if leads && !job.unallocated.is_empty() {
@@ -157,40 +159,45 @@
                 .books
                 .entry(job.spec.team.clone())
                 .or_insert_with(|| self.teams.get(&job.spec.team).cloned().unwrap_or_default());
-            let room = book.headroom(&need.amounts).min(i64::from(job.unallocated.len()));
-            book.used += need.amounts.times(room);
+            let room = book.headroom(&requirements.resources).min(i64::from(job.unallocated.len()));
+            book.used += requirements.resources.times(room);
             if room > 0 {
                 here.insert(None, room);
             }
             waiting += room;
         }
-        (waiting > 0).then(|| Unplaced { job: id.clone(), need: need.clone(), here, count: waiting })
+        (waiting > 0).then(|| Unplaced {
+            job: id.clone(),
+            requirements: requirements.clone(),
+            here,
+            count: waiting,
+        })
     }
 
-    /// Machines of a block on which a task of a job may start now, as far as
-    /// this process knows: in its own blocks exactly, in others by what their
+    /// Machines of a shard on which a task of a job may start now, as far as
+    /// this process knows: in its own shards exactly, in others by what their
     /// holders have committed.
     pub(super) fn candidates(
         &self,
         id: &Arc<str>,
         job: &OpenJob,
-        block: u32,
-        reserved: &HashMap<Arc<str>, Amounts>,
+        shard: u32,
+        reserved: &HashMap<Arc<str>, Resources>,
         now: Instant,
     ) -> Vec<(Arc<str>, Candidate)> {
-        let need = &job.need;
+        let requirements = &job.requirements;
         let Some(machines_by_free_cpus) =
-            self.machines_by_free_cpus.get(&block).filter(|_| !self.is_record_full(block))
+            self.machines_by_free_cpus.get(&shard).filter(|_| !self.is_record_full(shard))
         else {
             return Vec::new();
         };
-        let epoch = self.role.leased_blocks.get(&block).map(|h| h.epoch);
+        let epoch = self.role.leased_shards.get(&shard).map(|h| h.epoch);
         let silence = self.silence();
-        let kept = self.drains.get(&block).map(|(d, _)| d).filter(|d| *d.for_job != **id);
+        let kept = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
         // Where it failed, unless it fails everywhere.
         let avoid = job.failed_on.len() < 2;
-        let hints = if epoch.is_none() { self.hinted(block, now) } else { Vec::new() };
+        let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
         let consider = |name: &Arc<str>| {
             let machine = self.machines.get(name)?;
             let open = match epoch {
@@ -202,7 +209,7 @@
             if !open
                 || barred
                 || self.is_recordless(machine)
-                || !need.allows(&machine.machine_type, &machine.zone, machine.spot)
+                || !requirements.allows(&machine.machine_type, &machine.zone, machine.spot)
             {
                 return None;
             }
@@ -210,11 +217,11 @@
             if let Some(freed) = hints.iter().find_map(|h| h.freed.get(name)) {
                 booked -= *freed;
             }
-            need.amounts.fits(&(machine.capacity - booked)).then(|| {
+            requirements.resources.fits(&(machine.capacity - booked)).then(|| {
                 let candidate = Candidate {
                     capacity: machine.capacity,
                     booked,
-                    image: has_image(machine, need),
+                    image: has_image(machine, requirements),
                     doubtful: !machine.failed_jobs.is_empty(),
                     sibling: service && machine.tasks.iter().any(|t| t.job == *id),
                     fetch: if service { self.fetch_rate(&machine.machine_type) } else { 0 },
@@ -222,7 +229,7 @@
                 (name.clone(), candidate)
             })
         };
-        let least: (i64, Arc<str>) = (need.amounts.cpus, "".into());
+        let least: (i64, Arc<str>) = (requirements.resources.cpus, "".into());
         let mut found: Vec<(Arc<str>, Candidate)> =
             machines_by_free_cpus.range(least..).filter_map(|(_, name)| consider(name)).collect();
         if !hints.is_empty() {
@@ -230,7 +237,9 @@
             let mut more: Vec<&Arc<str>> = hints
                 .iter()
                 .flat_map(|h| h.freed.keys())
-                .filter(|name| self.machines.get(*name).is_some_and(|m| m.room().cpus < need.amounts.cpus))
+                .filter(|name| {
+                    self.machines.get(*name).is_some_and(|m| m.room().cpus < requirements.resources.cpus)
+                })
                 .collect();
             more.sort_unstable();
             found.extend(more.into_iter().filter_map(consider));
@@ -240,23 +249,23 @@
 
     /// How long a worker may be silent before it takes no more work.
     pub(super) fn silence(&self) -> std::time::Duration {
-        self.settings.report_every().mul_f64(1.5)
+        self.settings.heartbeat_interval().mul_f64(1.5)
     }
 
-    /// Places what waits in a block of this holder.
-    pub(super) fn place_in(&mut self, id: &Arc<str>, block: u32, round: &mut Round, now: Instant) {
+    /// Places what waits in a shard of this holder.
+    pub(super) fn place_in(&mut self, id: &Arc<str>, shard: u32, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { return };
-        let need = job.need.clone();
-        let mut waiting = self.placeable(id, job, block, round);
-        if waiting.is_empty() || round.is_full(Some(block), &need) {
+        let requirements = job.requirements.clone();
+        let mut waiting = self.placeable(id, job, shard, round);
+        if waiting.is_empty() || round.is_full(Some(shard), &requirements) {
             return;
         }
         let before = waiting.len();
-        self.place_drained(id, block, &mut waiting, now);
+        self.place_drained(id, shard, &mut waiting, now);
         let Some(job) = self.open_job(id) else { return };
         let (constrained, service) = (job.is_constrained(), job.is_service());
         while !waiting.is_empty() {
-            let placed = self.place_some(id, block, &waiting, now);
+            let placed = self.place_some(id, shard, &waiting, now);
             waiting.drain(..placed);
             // With constraints on zones each task may change what the next may do;
             // replicas go to one machine each while there is a choice.
@@ -266,7 +275,7 @@
         }
         let never_failed = self.open_job(id).is_some_and(|j| j.failed_on.is_empty());
         if !waiting.is_empty() && !constrained && !service && never_failed {
-            round.full.push((Some(block), need));
+            round.full.push((Some(shard), requirements));
         }
         let placed = before - waiting.len();
         if placed > 0 {
@@ -275,26 +284,26 @@
         }
     }
 
-    /// Tasks of a job that wait in a block and may be placed in this round. One
+    /// Tasks of a job that wait in a shard and may be placed in this round. One
     /// that is still on a machine, against all records, waits.
-    fn placeable(&self, id: &Arc<str>, job: &OpenJob, block: u32, round: &Round) -> Vec<u32> {
+    fn placeable(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round) -> Vec<u32> {
         let most = round.left.min(round.most);
         let is_elsewhere = |index: u32| {
             let task = TaskId { job: id.clone(), index };
             !self.unexpected_tasks.is_empty() && self.unexpected_tasks.contains_key(&task)
         };
-        let waiting = job.waiting.get(&block).into_iter().flat_map(|ranges| ranges.iter());
+        let waiting = job.waiting.get(&shard).into_iter().flat_map(|ranges| ranges.iter());
         waiting.take(most).filter(|index| !is_elsewhere(*index)).collect()
     }
 
     /// What a drain moves goes where the drain says, if it still fits.
-    fn place_drained(&mut self, id: &Arc<str>, block: u32, waiting: &mut Vec<u32>, now: Instant) {
-        let Some((drain, _)) = self.drains.get(&block).cloned() else { return };
+    fn place_drained(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
+        let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
         for DrainMove { index, to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
             let Some(position) = waiting.iter().position(|waits| waits == index) else { continue };
             let to: Arc<str> = to.as_str().into();
             let Some(job) = self.open_job(id) else { return };
-            let machines = self.candidates(id, job, block, &HashMap::new(), now);
+            let machines = self.candidates(id, job, shard, &HashMap::new(), now);
             if machines.iter().any(|(name, _)| *name == to) {
                 waiting.remove(position);
                 self.propose(&TaskId { job: id.clone(), index: *index }, &to, now);
@@ -304,9 +313,9 @@
 
     /// Places the first of the waiting tasks by best fit, as many as find room at
     /// once; returns how many.
-    fn place_some(&mut self, id: &Arc<str>, block: u32, waiting: &[u32], now: Instant) -> usize {
+    fn place_some(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
         let Some(job) = self.open_job(id) else { return 0 };
-        let mut machines = self.candidates(id, job, block, &HashMap::new(), now);
+        let mut machines = self.candidates(id, job, shard, &HashMap::new(), now);
         if job.is_constrained() {
             let zones = self.zones_of(job);
             machines.retain(|(name, _)| {
@@ -316,7 +325,7 @@
         let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
         let each = if job.is_service() { 1 } else { i64::MAX };
         let candidates: Vec<Candidate> = machines.iter().map(|(_, candidate)| *candidate).collect();
-        let chosen = best_fit_capped(&candidates, &job.need.amounts, count, each);
+        let chosen = best_fit_capped(&candidates, &job.requirements.resources, count, each);
         let mut placed = 0;
         for (index, tasks) in chosen {
             let machine = machines[index].0.clone();
@@ -350,21 +359,21 @@
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
             return false;
         };
-        let Some(home) = self.assign_segment(machine) else { return false };
-        if !self.weigh(task, home) {
+        let Some(segment_id) = self.assign_segment(machine) else { return false };
+        if !self.weigh(task, segment_id) {
             return false;
         }
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
         let waited = now.saturating_duration_since(job.learned);
         tracing::debug!(%task, class = job.spec.class, machine = &**machine, attempt, ?waited, "placing");
-        let urgent = job.spec.priority < Rank::Normal;
+        let urgent = job.spec.priority < Priority::Normal;
         job.served = now;
         job.placed.insert(
             task.index,
             Placed {
                 attempt,
                 machine: machine.clone(),
-                home,
+                segment: segment_id,
                 session,
                 committed: false,
                 since: now,
@@ -375,8 +384,8 @@
                 freed: false,
             },
         );
-        self.book(task, machine, home.block, now);
-        self.mark_segment(home, urgent);
+        self.book(task, machine, segment_id.shard, now);
+        self.mark_segment(segment_id, urgent);
         true
     }
 }
@@ -388,8 +397,8 @@
         && (!job.spec.spread || here < job.record.tasks.div_ceil(2))
 }
 
-pub(super) fn has_image(machine: &Machine, need: &Need) -> ImagePresence {
-    match need.image.as_ref().map(|image| machine.image(image)) {
+pub(super) fn has_image(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
+    match requirements.image.as_ref().map(|image| machine.image(image)) {
         None | Some(Some(true)) => ImagePresence::Yes,
         Some(Some(false)) => ImagePresence::Fetching,
         Some(None) => ImagePresence::No,
--- a/crates/dapplecroft-controller/src/core/displace.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -4,20 +4,20 @@
 use super::placing::{Unplaced, has_image};
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::machines::Machine;
-use dapplecroft_sched::{Amounts, Claim, ImagePresence, Need, Resident, Slot, pick_victims};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
+use dapplecroft_wire::users::Priority;
 use std::time::{Duration, Instant};
 
 /// Most tasks stopped at a time.
-const MAX_DISPLACED: usize = 40;
+const MAX_PREEMPTED_TASKS: usize = 40;
 /// What a task that saves is given beyond the time that it needs.
 const SAVE_MARGIN: Duration = Duration::from_secs(1);
 /// Pause between two looks for work to displace, which go over all machines.
-const DISPLACEMENT_INTERVAL: Duration = Duration::from_millis(250);
+const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A machine with work that may have to give way.
 struct Host {
-    block: u32,
+    shard: u32,
     slot: Slot,
     tasks: Vec<TaskId>,
     residents: Vec<Resident>,
@@ -25,16 +25,17 @@
 
 impl Host {
     /// How many tasks fit once all that is leaving has left.
-    fn fits(&self, need: &Need) -> i64 {
-        let leaving: Amounts = self.residents.iter().filter(|r| r.leaving).map(|r| r.need.amounts).sum();
-        need.amounts.times_in(&(self.slot.room() + leaving))
+    fn fits(&self, requirements: &TaskRequirements) -> i64 {
+        let leaving: Resources =
+            self.residents.iter().filter(|r| r.leaving).map(|r| r.requirements.resources).sum();
+        requirements.resources.times_in(&(self.slot.room() + leaving))
     }
 }
 
 /// What room is to be made for.
 struct RoomRequest<'a> {
     /// What each waiting task needs.
-    need: &'a Need,
+    requirements: &'a TaskRequirements,
     /// What entitles it to displace others.
     claim: Claim,
     /// How many tasks wait.
@@ -47,7 +48,7 @@
 
 /// What is stopped to make room.
 #[derive(Default)]
-struct Displacement {
+struct Preemption {
     tasks: Vec<TaskId>,
     /// Machine time that is lost.
     lost: Duration,
@@ -73,46 +74,46 @@
     hosts: &mut [&mut Host],
     request: &RoomRequest<'_>,
     fetch_time: impl Fn(&Host) -> Duration,
-) -> Displacement {
-    let need = request.need;
+) -> Preemption {
+    let requirements = request.requirements;
     let mut wanted = request.wanted;
     for host in hosts.iter_mut() {
-        let allowed = need.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
+        let allowed = requirements.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
         if wanted > 0 && host.slot.open && allowed {
-            let fitting = host.fits(need).min(wanted);
-            host.slot.booked += need.amounts.times(fitting);
+            let fitting = host.fits(requirements).min(wanted);
+            host.slot.booked += requirements.resources.times(fitting);
             wanted -= fitting;
         }
     }
     let choice = |(index, host): (usize, &&mut Host)| {
-        let found = pick_victims(&host.slot, &host.residents, need, request.claim, request.limit)?;
+        let found = pick_victims(&host.slot, &host.residents, requirements, request.claim, request.limit)?;
         let cost = found.lost + found.delay + fetch_time(host);
         Some(Choice { cost, host: index, lost: found.lost, victims: found.residents })
     };
     let mut choices: Vec<Choice> = hosts.iter().enumerate().filter_map(choice).collect();
     choices.sort();
-    let mut displacement = Displacement::default();
+    let mut preemption = Preemption::default();
     for choice in choices {
-        if wanted <= 0 || displacement.tasks.len() + choice.victims.len() > request.most {
+        if wanted <= 0 || preemption.tasks.len() + choice.victims.len() > request.most {
             break;
         }
         let host = &mut hosts[choice.host];
         for victim in choice.victims {
             host.residents[victim].leaving = true;
-            displacement.tasks.push(host.tasks[victim].clone());
+            preemption.tasks.push(host.tasks[victim].clone());
         }
-        displacement.lost += choice.lost;
-        let fitting = host.fits(need).clamp(1, wanted);
-        host.slot.booked += need.amounts.times(fitting);
+        preemption.lost += choice.lost;
+        let fitting = host.fits(requirements).clamp(1, wanted);
+        host.slot.booked += requirements.resources.times(fitting);
         wanted -= fitting;
     }
-    displacement
+    preemption
 }
 
 impl Core {
-    /// A machine of an own block as drains and displacement see it.
+    /// A machine of an own shard as drains and displacement see it.
     pub(super) fn slot(&self, machine: &Machine, now: Instant) -> Slot {
-        let epoch = self.role.leased_blocks.get(&machine.block).map(|h| h.epoch);
+        let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
         Slot {
             machine: machine.id.to_string(),
             machine_type: machine.machine_type.clone(),
@@ -139,7 +140,7 @@
             let progress = job.progress(placed, now);
             let resident = Resident {
                 slot,
-                need: job.need.clone(),
+                requirements: job.requirements.clone(),
                 age: progress.age,
                 loss: progress.loss(),
                 save_time: progress.time_to_save().unwrap_or_default(),
@@ -157,19 +158,19 @@
 
     /// Stops work that has to give way to waiting work, where the least
     /// machine time is lost. What is leaving anyway counts as room that will be there.
-    pub(super) fn displace(&mut self, unplaced: &[Unplaced], now: Instant) {
+    pub(super) fn preempt(&mut self, unplaced: &[Unplaced], now: Instant) {
         let urgent = |u: &Unplaced| {
-            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Rank::Normal)
+            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
         // Among ordinary work a guarantee is served first, but stops nothing:
         // work that is stopped for it waits in its turn, and so on.
         let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| urgent(u)).collect();
         let recent =
-            self.displaced.is_some_and(|at| now.saturating_duration_since(at) < DISPLACEMENT_INTERVAL);
-        if claimants.is_empty() || recent || self.role.leased_blocks.is_empty() {
+            self.last_preemption.is_some_and(|at| now.saturating_duration_since(at) < PREEMPTION_INTERVAL);
+        if claimants.is_empty() || recent || self.role.leased_shards.is_empty() {
             return;
         }
-        self.displaced = Some(now);
+        self.last_preemption = Some(now);
         let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.rank());
         let best = ranks.min().unwrap_or(0);
         let guaranteed = self.guaranteed();
@@ -178,14 +179,14 @@
             .values()
             .filter(|m| {
                 let lower = |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.rank() > best);
-                self.is_holder(m.block) && m.tasks.iter().any(lower)
+                self.is_holder(m.shard) && m.tasks.iter().any(lower)
             })
             .map(|m| {
                 let (tasks, residents) = self.residents(m, 0, Duration::MAX, now).into_iter().unzip();
-                Host { block: m.block, slot: self.slot(m, now), tasks, residents }
+                Host { shard: m.shard, slot: self.slot(m, now), tasks, residents }
             })
             .collect();
-        let mut left = MAX_DISPLACED;
+        let mut left = MAX_PREEMPTED_TASKS;
         for unplaced in claimants {
             let Some(job) = self.open_job(&unplaced.job) else { continue };
             let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
@@ -195,16 +196,17 @@
             let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
-            for (&block, &wanted) in &unplaced.here {
-                // What waits in a block can use room in that block alone: room
+            for (&shard, &wanted) in &unplaced.here {
+                // What waits in a shard can use room in that shard alone: room
                 // made elsewhere would be filled by others and made again.
                 let mut own: Vec<&mut Host> =
-                    hosts.iter_mut().filter(|h| block.is_none_or(|b| b == h.block)).collect();
-                let request = RoomRequest { need: &unplaced.need, claim, wanted, most: left, limit };
-                let displacement = make_room(&mut own, &request, fetch_time);
-                left -= displacement.tasks.len();
-                lost += displacement.lost;
-                stopped.extend(displacement.tasks);
+                    hosts.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
+                let request =
+                    RoomRequest { requirements: &unplaced.requirements, claim, wanted, most: left, limit };
+                let preemption = make_room(&mut own, &request, fetch_time);
+                left -= preemption.tasks.len();
+                lost += preemption.lost;
+                stopped.extend(preemption.tasks);
             }
             if !stopped.is_empty() {
                 tracing::info!(for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost, "tasks give way");
@@ -218,7 +220,7 @@
     /// How long the image of a job's tasks takes on a machine.
     fn fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
-        if has_image(machine, &job.need) != ImagePresence::No {
+        if has_image(machine, &job.requirements) != ImagePresence::No {
             return Duration::ZERO;
         }
         let rate = f64::from(self.fetch_rate(&machine.machine_type)) / 1000.0;
--- a/crates/dapplecroft-controller/src/core/copy.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -1,15 +1,15 @@
 //! The copy of the records, and what follows from each change of it.
 
-use super::{Core, Subject};
+use super::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob, Placed, Stop, TaskId};
 use crate::legacy;
 use crate::records::{
-    BlockRecord, CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord,
-    SegmentId, SegmentRecord,
+    CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord, SegmentId,
+    SegmentRecord, ShardRecord,
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Followed, Item};
-use dapplecroft_wire::users::Rank;
+use dapplecroft_wire::users::Priority;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -54,12 +54,12 @@
 
     /// Notes that all changes up to a revision are known.
     pub fn caught_up(&mut self, revision: u64) {
-        self.followed = self.followed.max(revision);
-        let followed = self.followed;
-        self.dropped.retain(|_, at| *at > followed);
-        self.note_followed(followed);
+        self.applied_revision = self.applied_revision.max(revision);
+        let applied_revision = self.applied_revision;
+        self.dropped.retain(|_, at| *at > applied_revision);
+        self.note_applied_revision(applied_revision);
         while let Some(&(sent, at)) = self.role.pending.front() {
-            if at > followed {
+            if at > applied_revision {
                 break;
             }
             self.role.contact = self.role.contact.max(Some(sent));
@@ -68,7 +68,7 @@
         let settled: Vec<Arc<str>> = self
             .unsettled
             .iter()
-            .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= followed))
+            .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= applied_revision))
             .cloned()
             .collect();
         for id in settled {
@@ -78,9 +78,9 @@
         }
         self.settle_departed(Instant::now());
         // What was leased to this process may be known well enough by now.
-        let waits = |version: u64| version <= followed;
-        let leased = self.blocks.iter().any(|(n, (b, version))| {
-            b.identity == self.identity && waits(*version) && !self.role.leased_blocks.contains_key(n)
+        let waits = |version: u64| version <= applied_revision;
+        let leased = self.shards.iter().any(|(n, (b, version))| {
+            b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
         });
         if leased || self.role.leadership.is_some_and(waits) && !self.fleet.ready() {
             self.wakeups.role = true;
@@ -160,9 +160,9 @@
                 let record = self.read(key, value);
                 self.apply_leader(record, version, now);
             }
-            Some(Key::Block(block)) => {
+            Some(Key::Shard(shard)) => {
                 let record = self.read(key, value);
-                self.apply_block(block, record, version, now);
+                self.apply_shard(shard, record, version, now);
             }
             Some(Key::Live(host)) => {
                 let record = self.read(key, value);
@@ -179,10 +179,10 @@
                 let record = self.read(key, value);
                 self.apply_catalog_segment(number, record);
             }
-            Some(Key::Drain(block)) => {
+            Some(Key::Drain(shard)) => {
                 match self.read(key, value) {
-                    Some(record) => self.drains.insert(block, (record, version)),
-                    None => self.drains.remove(&block),
+                    Some(record) => self.drains.insert(shard, (record, version)),
+                    None => self.drains.remove(&shard),
                 };
             }
             None => tracing::debug!(key, "a key of another version of the program"),
@@ -200,7 +200,7 @@
             self.versions.insert(key.to_string(), version);
         } else {
             self.versions.remove(key);
-            if version > self.followed {
+            if version > self.applied_revision {
                 self.dropped.insert(key.to_string(), version);
             }
         }
@@ -208,7 +208,7 @@
     }
 
     fn apply_mark(&mut self, host: &str, record: LayoutRecord) {
-        let known = self.marks.entry(host.to_string()).or_default();
+        let known = self.known_layouts.entry(host.to_string()).or_default();
         *known = record.layout.max(*known);
         self.wakeups.role = true;
     }
@@ -230,29 +230,29 @@
         }
     }
 
-    fn apply_block(&mut self, block: u32, record: Option<BlockRecord>, version: u64, now: Instant) {
+    fn apply_shard(&mut self, shard: u32, record: Option<ShardRecord>, version: u64, now: Instant) {
         match record {
-            Some(record) => self.blocks.insert(block, (record, version)),
-            None => self.blocks.remove(&block),
+            Some(record) => self.shards.insert(shard, (record, version)),
+            None => self.shards.remove(&shard),
         };
         self.wakeups.role = true;
-        if self.role.leased_blocks.get(&block).is_some_and(|own| own.version != version) {
-            self.lose_block(block, "leased anew", now);
+        if self.role.leased_shards.get(&shard).is_some_and(|own| own.version != version) {
+            self.lose_shard(shard, "leased anew", now);
         }
     }
 
     fn apply_live(&mut self, host: &str, record: Option<LiveRecord>, now: Instant) {
         self.wakeups.role = true;
         let Some(record) = record else {
-            self.live.remove(host);
-            self.live_since.remove(host);
+            self.live_controllers.remove(host);
+            self.controller_live_since.remove(host);
             return;
         };
-        let same = self.live.get(host).is_some_and(|live| live.identity == record.identity);
+        let same = self.live_controllers.get(host).is_some_and(|live| live.identity == record.identity);
         if !same {
-            self.live_since.insert(host.to_string(), now);
+            self.controller_live_since.insert(host.to_string(), now);
         }
-        self.live.insert(host.to_string(), record);
+        self.live_controllers.insert(host.to_string(), record);
     }
 
     fn apply_catalog_segment(&mut self, number: u32, record: Option<CatalogSegment>) {
@@ -361,8 +361,8 @@
             Some(Job::Final { .. }) => return,
             Some(Job::Open(job)) => {
                 // What was being allocated or taken back is in the record now.
-                for (block, allocated) in &record.allocated {
-                    if let Some(own) = job.allocating.get_mut(block) {
+                for (shard, allocated) in &record.allocated {
+                    if let Some(own) = job.allocating.get_mut(shard) {
                         *own = own.without(allocated);
                     }
                 }
@@ -370,8 +370,8 @@
                     job.revoked = version;
                     self.unsettled.insert(id.clone());
                 }
-                for (block, revoked) in &mut job.revoking {
-                    let still = record.allocated.get(block).cloned().unwrap_or_default();
+                for (shard, revoked) in &mut job.revoking {
+                    let still = record.allocated.get(shard).cloned().unwrap_or_default();
                     *revoked = revoked.without(&revoked.without(&still));
                 }
                 job.allocating.retain(|_, r| !r.is_empty());
@@ -395,9 +395,9 @@
         self.drop_unallocated(&id);
         // What was proposed on this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
-            let urgent = job.spec.priority < Rank::Normal;
+            let urgent = job.spec.priority < Priority::Normal;
             let own: BTreeSet<SegmentId> =
-                job.placed.values().filter(|p| !p.committed).map(|p| p.home).collect();
+                job.placed.values().filter(|p| !p.committed).map(|p| p.segment).collect();
             own.into_iter().for_each(|segment| self.mark_segment(segment, urgent));
         }
         self.finish_if_over(&id);
@@ -431,7 +431,7 @@
         }
         job.allocating.clear();
         job.revoking.clear();
-        if job.version > self.followed {
+        if job.version > self.applied_revision {
             self.unsettled.insert(id.clone());
         }
         self.drop_proposals(id);
@@ -455,19 +455,19 @@
 
     fn forget_job(&mut self, id: &Arc<str>) {
         if let Some(Job::Open(job)) = self.jobs.get(id) {
-            let amounts = job.need.amounts;
+            let resources = job.requirements.resources;
             let (team, counted) = (job.spec.team.clone(), job.counted);
             let placed: Vec<(u32, Placed)> = job.placed.iter().map(|(i, p)| (*i, p.clone())).collect();
             for (index, placed) in placed {
-                self.unbook(&TaskId { job: id.clone(), index }, &placed, amounts);
+                self.unbook(&TaskId { job: id.clone(), index }, &placed, resources);
             }
-            self.teams.book(&team, amounts.times(-counted));
+            self.teams.book(&team, resources.times(-counted));
             self.jobs.remove(id);
         }
         let completed_records = self.completed_records.remove(id).unwrap_or_default();
         self.obsolete_keys
             .extend(completed_records.keys().map(|part| crate::records::completed_tasks_key(id, *part)));
-        self.commits.forget_sent(&Subject::Job(id.clone()));
+        self.commits.forget_sent(&CommitTarget::Job(id.clone()));
         self.open.remove(id);
         self.waiting.remove(id);
     }
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,4 +1,4 @@
-//! What runs in each block, as its record says, taken over into the copy.
+//! What runs in each shard, as its record says, taken over into the copy.
 
 use super::{Core, Segment};
 use crate::jobs::{Job, Placed, Stop, TaskId};
@@ -26,7 +26,7 @@
 }
 
 impl Core {
-    /// Brings what runs in a block up to a segment's record. Only machines whose
+    /// Brings what runs in a shard up to a segment's record. Only machines whose
     /// spans changed are looked at.
     pub(super) fn apply_segment(
         &mut self,
@@ -49,7 +49,7 @@
             let weight = super::segments::weight(&record);
             self.segments.insert(id, Segment { record, version, size, weight });
         }
-        if self.is_holder(id.block) && id.segment.is_some() && !self.absorbs(id) {
+        if self.is_holder(id.shard) && id.segment.is_some() && !self.absorbs(id) {
             self.follow_segment(id);
         }
         for job in &jobs {
@@ -66,9 +66,9 @@
         new: &SegmentRecord,
     ) -> SegmentDifference {
         let (before, mut after) = (tasks_of(old), tasks_of(new));
-        // Segments speak for their machines, whatever a whole block's record says.
+        // Segments speak for their machines, whatever a whole shard's record says.
         let elsewhere =
-            |machine: &str| id.segment.is_none() && self.recorded_segment(id.block, machine).is_some();
+            |machine: &str| id.segment.is_none() && self.recorded_segment(id.shard, machine).is_some();
         after.retain(|machine, _| !elsewhere(machine));
         let names: BTreeSet<&str> = before.keys().chain(after.keys()).copied().collect();
         let mut difference = SegmentDifference::default();
@@ -106,8 +106,8 @@
             let stays = there.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
             // What another segment has is for that one to say, unless this one takes
             // over from a record of the first layout.
-            let whole = SegmentId::whole(id.block);
-            let own = placed.home == id || (placed.home == whole && id.segment.is_some());
+            let whole = SegmentId::whole(id.shard);
+            let own = placed.segment == id || (placed.segment == whole && id.segment.is_some());
             if placed.committed && own && !stays {
                 difference.departed.push((task.clone(), placed.clone()));
             }
@@ -127,8 +127,8 @@
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             job.placed.remove(&task.index);
             job.exits.remove(&task.index);
-            let amounts = job.need.amounts;
-            self.unbook(&task, &placed, amounts);
+            let resources = job.requirements.resources;
+            self.unbook(&task, &placed, resources);
             jobs.insert(task.job);
         }
         jobs
@@ -150,7 +150,7 @@
                 continue;
             }
             let machine = arrival.machine.clone();
-            if self.add_task(id, arrival, now) && self.is_holder(id.block) {
+            if self.add_task(id, arrival, now) && self.is_holder(id.shard) {
                 self.wakeups.command.insert(machine);
             }
         }
@@ -164,8 +164,8 @@
     /// drops it, and the task would seem to wait.
     fn is_newer_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
         let known = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
-        let other = known.filter(|p| p.committed && p.home != id);
-        other.and_then(|p| self.segments.get(&p.home)).is_some_and(|segment| segment.version > version)
+        let other = known.filter(|p| p.committed && p.segment != id);
+        other.and_then(|p| self.segments.get(&p.segment)).is_some_and(|segment| segment.version > version)
     }
 
     /// Puts one task on its machine; `false`: its job is over.
@@ -185,14 +185,14 @@
             // worker, and committed by another holder since: a session older than
             // the record's would later pass for proof that the task is gone.
             placed.session = session;
-            placed.home = id;
+            placed.segment = id;
             placed.stop = stop.or(placed.stop);
             return true;
         }
         let placed = Placed {
             attempt,
             machine: machine.clone(),
-            home: id,
+            segment: id,
             session,
             committed: true,
             since: now,
@@ -202,12 +202,12 @@
             grace: Duration::ZERO,
             freed: false,
         };
-        let amounts = job.need.amounts;
+        let resources = job.requirements.resources;
         // A proposal of this process may have lost against the record.
         if let Some(lost) = job.placed.insert(task.index, placed) {
-            self.unbook(&task, &lost, amounts);
+            self.unbook(&task, &lost, resources);
         }
-        self.book(&task, &machine, id.block, now);
+        self.book(&task, &machine, id.shard, now);
         true
     }
 
@@ -242,7 +242,7 @@
         job.exits.retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
     }
 
-    /// A block's record can be known before a job that runs there, when it was
+    /// A shard's record can be known before a job that runs there, when it was
     /// read by itself or keys were read page by page: what it says of the job is
     /// taken over once the job is known. Else its tasks would seem to wait, and
     /// be started a second time.
@@ -273,7 +273,7 @@
         let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
         for (segment, load) in &self.segments {
             for (machine, spans) in tasks_of(&load.record) {
-                if segment.segment.is_none() && self.recorded_segment(segment.block, machine).is_some() {
+                if segment.segment.is_none() && self.recorded_segment(segment.shard, machine).is_some() {
                     continue;
                 }
                 for (id, span) in spans {
@@ -285,7 +285,7 @@
                         let placed = job.placed.get(&index);
                         let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
                         let moved = |p: &Placed| {
-                            let other = self.segments.get(&p.home).filter(|_| p.home != *segment);
+                            let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment);
                             other.is_some_and(|l| l.version > load.version)
                         };
                         if !placed.is_some_and(|p| here(p) || moved(p)) {
--- a/crates/dapplecroft-controller/src/core/units.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -9,13 +9,13 @@
 use crate::records::{
     self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, Span, stored_size,
 };
-use dapplecroft_state::Unit;
+use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Nothing more is placed in a block whose record of the first layout has so
+/// Nothing more is placed in a shard whose record of the first layout has so
 /// much of a value's limit: what is left is for the ends of what is placed.
 const SPARE: f64 = 0.7;
 /// Bytes of a record of completed tasks.
@@ -93,11 +93,11 @@
         let mut waiting: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
         let whole = id.segment.is_none();
         let here =
-            |m: &&Machine| m.block == id.block && (whole || m.segment == id.segment) && !m.tasks.is_empty();
+            |m: &&Machine| m.shard == id.shard && (whole || m.segment == id.segment) && !m.tasks.is_empty();
         for machine in self.machines.values().filter(here) {
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
-                let Some(p) = job.placed.get(&task.index).filter(|p| p.home.block == id.block) else {
+                let Some(p) = job.placed.get(&task.index).filter(|p| p.segment.shard == id.shard) else {
                     continue;
                 };
                 if !p.committed {
@@ -125,9 +125,9 @@
         let mut scale = Scale::new(&record, limits.value, whole);
         for (_, _, task, p) in waiting {
             // A task is placed only while its job is open and the record of the
-            // job, to whose version the unit is bound, allocates it to the block.
+            // job, to whose version the unit is bound, allocates it to the shard.
             let Some(job) = self.open_job(&task.job) else { continue };
-            let allocated = job.record.allocated.get(&id.block).is_some_and(|r| r.contains(task.index));
+            let allocated = job.record.allocated.get(&id.shard).is_some_and(|r| r.contains(task.index));
             if !job.is_open() || !allocated {
                 continue;
             }
@@ -148,47 +148,47 @@
     }
 
     /// What is to be committed of a segment, with what is proposed in it.
-    pub(super) fn segment_unit(&self, id: SegmentId) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         // A stale holder can commit nothing, hence start nothing.
-        let block_lease = self.role.leased_blocks.get(&id.block)?;
+        let shard_lease = self.role.leased_shards.get(&id.shard)?;
         let mut conditions =
-            vec![Condition { key: records::block_key(id.block), version: block_lease.version }];
+            vec![Condition { key: records::shard_key(id.shard), version: shard_lease.version }];
         let key = id.key();
         let old = self.segments.get(&id);
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
         if !self.is_mixed() && id.segment.is_none() {
             // Never written again: dropped once segments have all of it.
-            let moved = old.is_some() && self.is_moved(id.block);
+            let moved = old.is_some() && self.is_moved(id.shard);
             let changes = vec![Change::Drop { key }];
-            return moved.then_some((Unit { conditions, changes }, Vec::new()));
+            return moved.then_some((AtomicUpdate { conditions, changes }, Vec::new()));
         }
         let (record, proposals) = self.next_segment_record(id);
         if old.is_some_and(|o| o.record == record) || (old.is_none() && record == SegmentRecord::default()) {
             return None;
         }
-        if let Some(whole) = self.segments.get(&SegmentId::whole(id.block)).filter(|_| id.segment.is_some()) {
+        if let Some(whole) = self.segments.get(&SegmentId::whole(id.shard)).filter(|_| id.segment.is_some()) {
             // No late write of it may come between this segment and its being dropped.
-            conditions.push(Condition { key: SegmentId::whole(id.block).key(), version: whole.version });
+            conditions.push(Condition { key: SegmentId::whole(id.shard).key(), version: whole.version });
         }
         let jobs: BTreeSet<&Arc<str>> = proposals.iter().map(|(t, _)| &t.job).collect();
         for id in jobs {
             conditions.push(Condition { key: records::job_key(id), version: self.open_job(id)?.version });
         }
         let changes = vec![Change::Set { key, value: self.segment_value(id, &record), lease: None }];
-        Some((Unit { conditions, changes }, proposals))
+        Some((AtomicUpdate { conditions, changes }, proposals))
     }
 
     /// The record of a job once its user has withdrawn it, and the version that it
-    /// replaces. If none of its tasks was allocated to a block, none was placed,
+    /// replaces. If none of its tasks was allocated to a shard, none was placed,
     /// and none ever will be, since every placement is bound to the record: then
     /// this is its final form already. That none was placed is certain only once
     /// the copy has caught up with the record, which may have been read by itself:
-    /// what the leader took back from a block may have been placed there before.
+    /// what the leader took back from a shard may have been placed there before.
     pub fn withdrawal(&self, id: &str) -> Option<(JobRecord, u64)> {
         let job = self.open_job(id)?;
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
-        let record = if untouched && job.version <= self.followed {
+        let record = if untouched && job.version <= self.applied_revision {
             job.record.compact(JobStage::Withdrawn, done)
         } else {
             // What was allocated where is of no use any more, and may be long.
@@ -205,7 +205,7 @@
     }
 
     /// What is to be committed of a job: allocations, what is taken back, its end.
-    pub(super) fn job_unit(&self, id: &Arc<str>) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let leadership = self.role.leadership.filter(|_| self.fleet.ready());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
@@ -216,7 +216,7 @@
             // A placement made before the withdrawal may not be known yet; once
             // it would be, and none is, there will never be one.
             let left = job.placed.values().any(|p| p.committed);
-            if left || job.version > self.followed {
+            if left || job.version > self.applied_revision {
                 return None;
             }
             let done = job.record.done.unwrap_or(0).max(job.done.len());
@@ -242,12 +242,12 @@
                 changes.push(Change::Set { key, value: to_value(&fold), lease: None });
             }
             if !all {
-                return Some((Unit { conditions, changes }, Vec::new()));
+                return Some((AtomicUpdate { conditions, changes }, Vec::new()));
             }
             record.legacy_done = Default::default();
         }
         changes.push(Change::Set { key: records::job_key(id), value: self.job_value(&record), lease: None });
-        Some((Unit { conditions, changes }, Vec::new()))
+        Some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
     /// Records of completed tasks that a job's record of the first layout names
@@ -264,18 +264,18 @@
     }
 
     /// A job's record with this leader's decisions. While the first layout is in
-    /// force, what is done is noted in it as well, so that blocks need not.
+    /// force, what is done is noted in it as well, so that shards need not.
     pub(super) fn allocations(&self, job: &OpenJob) -> JobRecord {
         let mut record = job.record.clone();
         if job.allocating.is_empty() && job.revoking.is_empty() {
             return record;
         }
-        for (block, ranges) in &job.allocating {
-            let allocated = record.allocated.entry(*block).or_default();
+        for (shard, ranges) in &job.allocating {
+            let allocated = record.allocated.entry(*shard).or_default();
             *allocated = allocated.union(ranges);
         }
-        for (block, ranges) in &job.revoking {
-            if let Some(allocated) = record.allocated.get_mut(block) {
+        for (shard, ranges) in &job.revoking {
+            if let Some(allocated) = record.allocated.get_mut(shard) {
                 *allocated = allocated.without(ranges);
             }
         }
@@ -292,20 +292,20 @@
         record
     }
 
-    pub(super) fn obsolete_key_unit(&self, key: &str) -> Option<(Unit, Vec<(TaskId, Placed)>)> {
+    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let version = self.version(key);
         let conditions = vec![
             Condition { key: records::LEADER.into(), version: self.role.leadership? },
             Condition { key: key.into(), version },
         ];
         let changes = vec![Change::Drop { key: key.into() }];
-        (version > 0).then_some((Unit { conditions, changes }, Vec::new()))
+        (version > 0).then_some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
-    /// Whether a block's one record of the first layout has no room for more.
-    pub(super) fn is_record_full(&self, block: u32) -> bool {
+    /// Whether a shard's one record of the first layout has no room for more.
+    pub(super) fn is_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * SPARE;
-        self.is_mixed() && self.segments.get(&SegmentId::whole(block)).is_some_and(|l| l.size as f64 > limit)
+        self.is_mixed() && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
     }
 }
 
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -1,21 +1,21 @@
 //! Machines as their workers report them.
 
 use crate::jobs::TaskId;
-use dapplecroft_sched::Amounts;
-use dapplecroft_wire::workers::TaskReport;
+use dapplecroft_sched::Resources;
+use dapplecroft_wire::workers::TaskStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bits of a fencing token below the block's epoch. A holder raises them for
+/// Bits of a fencing token below the shard's epoch. A holder raises them for
 /// one worker without a write to the state service.
 const COUNTER_BITS: u32 = 20;
 
 /// What is to become of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum MachinePhase {
     /// It takes work.
-    Keep,
+    Active,
     /// It takes no more work, and is returned once it is empty.
     Returning,
     /// It is released whatever is on it.
@@ -27,14 +27,14 @@
 pub struct Machine {
     /// Its name.
     pub id: Arc<str>,
-    /// The block that it belongs to.
-    pub block: u32,
-    /// The segment of the block in whose record it is, or will be; none yet.
+    /// The shard that it belongs to.
+    pub shard: u32,
+    /// The segment of the shard in whose record it is, or will be; none yet.
     pub segment: Option<u32>,
     /// The group whose record has it; none once it was released.
     pub group: Option<Arc<str>>,
     /// What it has; nothing while its type is unknown.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// Its type.
     pub machine_type: String,
     /// Its zone.
@@ -65,11 +65,11 @@
     /// When the cloud takes it away.
     pub taken_at: Option<Instant>,
     /// Tasks in its newest message.
-    pub reported: BTreeMap<TaskId, TaskReport>,
+    pub reported: BTreeMap<TaskId, TaskStatus>,
     /// Tasks booked on it.
     pub tasks: BTreeSet<TaskId>,
     /// What they take.
-    pub booked: Amounts,
+    pub booked: Resources,
     /// Images that it has or fetches; `true` once a task ran with it.
     images: BTreeMap<String, bool>,
     /// Whether direct commands are on their way.
@@ -81,7 +81,7 @@
     /// Probes in a row without an answer.
     pub missed_probes: u32,
     /// What is to become of it.
-    pub fate: Fate,
+    pub phase: MachinePhase,
     /// Whether its record says that its holder has given it up.
     pub given_up: bool,
     /// Whether a release is on its way.
@@ -94,13 +94,13 @@
 
 impl Machine {
     /// A machine that has not been heard.
-    pub fn new(id: &str, block: u32, now: Instant) -> Self {
+    pub fn new(id: &str, shard: u32, now: Instant) -> Self {
         Machine {
             id: id.into(),
-            block,
+            shard,
             segment: None,
             group: None,
-            capacity: Amounts::default(),
+            capacity: Resources::default(),
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
@@ -116,13 +116,13 @@
             taken_at: None,
             reported: BTreeMap::new(),
             tasks: BTreeSet::new(),
-            booked: Amounts::default(),
+            booked: Resources::default(),
             images: BTreeMap::new(),
             commanding: false,
             command_after: None,
             probing: false,
             missed_probes: 0,
-            fate: Fate::Keep,
+            phase: MachinePhase::Active,
             given_up: false,
             releasing: false,
             failed_jobs: BTreeSet::new(),
@@ -164,7 +164,7 @@
     }
 
     /// What is left on it.
-    pub fn room(&self) -> Amounts {
+    pub fn room(&self) -> Resources {
         self.capacity - self.booked
     }
 
@@ -173,7 +173,7 @@
     pub fn open(&self, epoch: u64, silence: Duration, now: Instant) -> bool {
         self.heard.is_some_and(|at| now.saturating_duration_since(at) <= silence)
             && self.synced(epoch)
-            && self.fate == Fate::Keep
+            && self.phase == MachinePhase::Active
             && !self.given_up
             && !self.releasing
             && self.taken_at.is_none()
@@ -203,7 +203,7 @@
         self.probing = false;
         self.missed_probes = 0;
         self.releasing = false;
-        self.fate = Fate::Keep;
+        self.phase = MachinePhase::Active;
         self.taken_at = None;
         if self.tasks.is_empty() {
             self.idle_since = Some(now);
