--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -159,7 +159,7 @@
 
     /// Whether a shard has a holder that is up.
     fn is_served(&self, shard: u32) -> bool {
-        self.is_holder(shard) || self.holder_host(shard).is_some()
+        self.is_holder(shard) || self.remote_holder_host(shard).is_some()
     }
 
     /// Sets room aside for what other holders have been given and have not
@@ -315,8 +315,8 @@
         let own = job.allocating.entry(shard).or_default();
         *own = own.union(&ranges);
         let Some(job) = self.open_job(id) else { return false };
-        let allocated = self.allocations(job);
-        if !self.is_mixed() && stored_size(&self.job_value(&allocated)) > self.limits().value {
+        let allocated = self.record_with_allocations(job);
+        if !self.uses_legacy_layout() && stored_size(&self.job_value(&allocated)) > self.limits().value {
             if let Some(job) = self.open_job_mut(id) {
                 job.allocating = before;
             }
@@ -356,7 +356,7 @@
             let capacity = Resources::new(t.cpus, t.gpus, t.memory_gb);
             job.requirements.resources.times_in(&capacity)
         });
-        let part = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
+        let part = on_one.max().unwrap_or(1).max(1) as u64 * self.max_shard_machines() as u64;
         (u64::from(shard) * part % u64::from(job.record.tasks)) as u32
     }
 
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -120,7 +120,7 @@
         };
         let Some((mut update, proposals)) = update else {
             if let (Some(other), CommitTarget::Segment(by)) = (absorbed, target) {
-                self.restore(other, by);
+                self.undo_segment_merge(other, by);
             }
             return None;
         };
@@ -138,10 +138,10 @@
     /// another segment, which it returns, if both are light.
     fn make_segment_fit(&mut self, id: SegmentId) -> Option<SegmentId> {
         if self.segments.contains_key(&SegmentId::whole(id.shard)) {
-            self.relieve(id);
+            self.move_excess_machines(id);
             return None;
         }
-        self.absorb(id)
+        self.merge_lightest_segment(id)
     }
 
     /// Adds to a unit that the segment which is taken in has nothing any more.
@@ -234,7 +234,7 @@
     fn update_committed(&mut self, update: &PendingCommit, revision: u64, now: Instant) {
         self.apply_changes(&update.update.changes, revision, now);
         if let (Some(other), CommitTarget::Segment(by)) = (update.absorbed, &update.target) {
-            self.absorbed(other, *by, now);
+            self.finish_segment_merge(other, *by, now);
         }
         // A machine can go while a placement on it is in flight.
         let machines = update.proposals.iter().map(|(_, placed)| placed.machine.clone());
@@ -249,7 +249,7 @@
         if let (Some(other), CommitTarget::Segment(by)) = (update.absorbed, &update.target)
             && self.is_holder(by.shard)
         {
-            self.restore(other, *by);
+            self.undo_segment_merge(other, *by);
         }
         let mut jobs: BTreeSet<Arc<str>> = BTreeSet::new();
         for (task, placed) in &update.proposals {
@@ -300,8 +300,8 @@
                 self.inherited.remove(&id);
             }
         }
-        self.reweigh(id);
-        self.continue_move(id.shard, now);
+        self.recompute_pending_weight(id);
+        self.continue_migration(id.shard, now);
     }
 
     /// Takes back proposals that found no room in their segment's record, and those
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -65,7 +65,7 @@
     core.apply(&one.key(), Some(span("run-1", "i-1", 0)), 4, now);
     core.apply(&other.key(), Some(span("run-2", "i-2", 0)), 5, now);
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
-    core.learn_parts(0);
+    core.load_machine_segments(0);
     // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
     let update = core.next_commit(true, false, now).unwrap();
@@ -75,7 +75,7 @@
     core.commit_ended(&update, CommitOutcome::Committed(9), now);
     assert_eq!(core.version(&other.key()), 9);
     assert_eq!(core.open_job("run-2").unwrap().placed[&0].segment, one);
-    assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
+    assert!(core.replica_inconsistencies().is_empty(), "{:?}", core.replica_inconsistencies());
     // Its number is free, it is taken in only once, and what begins it again names
     // the version that it has.
     assert!(!core.segment_numbers(0).contains(&1));
@@ -123,5 +123,5 @@
     let next = NextTarget { target: CommitTarget::Segment(one), urgent: false };
     assert!(core.pending_commit(next, now).is_none());
     assert_eq!(core.commits.backlog(), 0, "nothing is queued again");
-    assert!(!core.absorbs(other));
+    assert!(!core.is_being_merged(other));
 }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -54,7 +54,7 @@
 
     /// Whether this process grants credit.
     pub fn grants_credit(&self, now: Instant) -> bool {
-        self.credit.is_some() && !self.is_mixed() && self.leads(now)
+        self.credit.is_some() && !self.uses_legacy_layout() && self.leads(now)
     }
 
     /// What the leader has to commit, given what the controllers that answered wanted.
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -69,7 +69,7 @@
     /// Whether this process may act for its cell towards others: as leader whose copy
     /// has caught up, once every member can read the records of hand-overs.
     pub fn leads_federation(&self, now: std::time::Instant) -> bool {
-        self.options.federation.is_some() && !self.is_mixed() && self.leads(now)
+        self.options.federation.is_some() && !self.uses_legacy_layout() && self.leads(now)
     }
 
     /// Whether another cell answers for a job that is here.
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -146,7 +146,7 @@
             .collect();
         if !unknown.is_empty() {
             tracing::info!(machines = unknown.len(), "machines that nobody expected are taken in");
-            self.adopt(unknown);
+            self.adopt_machines(unknown);
         }
     }
 
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -14,11 +14,11 @@
 
 /// Addresses are written for one group at a time, this far apart: hundreds of
 /// machines that come up together must not use up the writes.
-const ADDRESSES_EVERY: Duration = Duration::from_millis(1500);
+const ADDRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Machines whose tasks take about a kilobyte of their shard's record, with a
 /// wide margin for many small tasks.
-const MACHINES_PER_KB: f64 = 6.0;
+const SHARD_MACHINES_PER_RECORD_KB: f64 = 6.0;
 
 /// A change of a group's record.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
 
 /// In which order groups' records are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum GroupOrder {
+enum GroupWritePriority {
     /// Machines of it were released.
     Released,
     /// It is not recorded yet.
@@ -39,14 +39,14 @@
     /// Its holder has given machines up.
     GivenUp,
     /// It has to move into smaller ones.
-    Outgrown,
+    NeedsSplit,
     /// Addresses of its machines are known and not recorded.
     Addresses,
 }
 
 /// A machine that left a group's record.
 #[derive(Debug, Clone)]
-pub(super) struct Departed {
+pub(super) struct DepartedMachine {
     /// The revision with which it left.
     revision: u64,
     machine: Arc<str>,
@@ -65,7 +65,7 @@
 
 /// Takes as many newly given up machines out of a record as it takes to fit a
 /// value of `limit` bytes; they are given up later.
-fn limit_given_up(record: &mut GroupRecord, old: &GroupRecord, limit: usize) {
+fn limit_newly_given_up(record: &mut GroupRecord, old: &GroupRecord, limit: usize) {
     let fresh: Vec<String> = record
         .machines
         .iter()
@@ -86,7 +86,8 @@
     /// Begins a group of machines that this leader rented or takes in, or as
     /// many as their records need to fit a value each.
     pub(super) fn new_group(&mut self, name: &str, record: GroupRecord) {
-        let records = if self.is_mixed() { vec![record] } else { record.split(self.limits().value) };
+        let records =
+            if self.uses_legacy_layout() { vec![record] } else { record.split(self.limits().value) };
         for (n, record) in records.into_iter().enumerate() {
             let name = if n == 0 { name.to_string() } else { format!("{name}.{n}") };
             let group = Group { record, version: 0, writing: false, addresses_unrecorded: false };
@@ -97,40 +98,40 @@
 
     /// Whether a group's record is too large to be written again, or some of
     /// its machines are in others already that take its place.
-    fn is_outgrown(&self, name: &str, group: &Group) -> bool {
-        let left = |id: &String| {
+    fn needs_split(&self, name: &str, group: &Group) -> bool {
+        let is_elsewhere = |id: &String| {
             let own = self.machines.get(id.as_str()).and_then(|m| m.group.as_deref());
             own.is_some_and(|g| g != name)
         };
-        let most = self.limits().value * 7 / 8;
-        !self.is_mixed()
+        let max_bytes = self.limits().value * 7 / 8;
+        !self.uses_legacy_layout()
             && group.version > 0
-            && (group.record.bytes() > most || group.record.machines.keys().any(left))
+            && (group.record.bytes() > max_bytes || group.record.machines.keys().any(is_elsewhere))
     }
 
     /// The next step of a group's move into smaller ones: some of its machines
     /// get a record that is newer and so has them from then on; when none is
     /// left, the outgrown one is dropped without ever being written again.
-    fn move_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
+    fn split_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
             Condition { key: records::LEADER.into(), version: self.role.leadership? },
             Condition { key: key.clone(), version: group.version },
         ];
-        let mut left = group.record.clone();
-        left.machines.retain(|id, member| {
+        let mut remaining = group.record.clone();
+        remaining.machines.retain(|id, member| {
             let machine = self.machines.get(id.as_str());
             if let Some(machine) = machine {
                 member.address = machine.address.clone().or(member.address.take());
             }
             machine.is_none_or(|m| m.group.as_ref().is_none_or(|g| g == name))
         });
-        if left.machines.is_empty() {
+        if remaining.machines.is_empty() {
             return Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] });
         }
-        let part = left.split(self.limits().value).into_iter().next()?;
-        let fresh = |n: &u32| !self.groups.contains_key(format!("{name}.{n}").as_str());
-        let key = records::group_key(&format!("{name}.{}", (1..).find(fresh)?));
+        let part = remaining.split(self.limits().value).into_iter().next()?;
+        let is_unused = |n: &u32| !self.groups.contains_key(format!("{name}.{n}").as_str());
+        let key = records::group_key(&format!("{name}.{}", (1..).find(is_unused)?));
         conditions.push(Condition { key: key.clone(), version: 0 });
         let change = Change::Set { key, value: self.group_value(&part), lease: None };
         Some(AtomicUpdate { conditions, changes: vec![change] })
@@ -139,13 +140,13 @@
     /// Takes note of machines that have left their group's record, once all that
     /// came before that is known: those that are in no other were released, and
     /// the release was answered.
-    pub(super) fn settle_departed(&mut self, now: Instant) {
+    pub(super) fn remove_departed_machines(&mut self, now: Instant) {
         let applied_revision = self.applied_revision;
         let departed = std::mem::take(&mut self.departed);
-        let (known, later): (Vec<Departed>, Vec<Departed>) =
+        let (known, later): (Vec<DepartedMachine>, Vec<DepartedMachine>) =
             departed.into_iter().partition(|departed| departed.revision <= applied_revision);
         self.departed = later;
-        for Departed { machine: id, group, .. } in known {
+        for DepartedMachine { machine: id, group, .. } in known {
             let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
             let here = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
             if here && !named {
@@ -156,7 +157,7 @@
     }
 
     /// Whether a machine is in a group that is not committed yet.
-    pub(super) fn is_expected(&self, machine: &str) -> bool {
+    pub(super) fn is_in_uncommitted_group(&self, machine: &str) -> bool {
         self.groups.values().any(|g| g.version == 0 && g.record.machines.contains_key(machine))
     }
 
@@ -165,32 +166,32 @@
     /// machine can report, or be listed, before the answer to its rental is
     /// known, and is then taken in; the answer must not bring it a second time.
     pub(super) fn is_grouped(&self, machine: &str) -> bool {
-        self.machines.get(machine).is_some_and(|m| m.group.is_some()) || self.is_expected(machine)
+        self.machines.get(machine).is_some_and(|m| m.group.is_some()) || self.is_in_uncommitted_group(machine)
     }
 
     /// How many machines a shard has at most: what runs on them is one record,
     /// and the fewer records, the fewer changes.
-    pub(super) fn shard_machines(&self) -> usize {
-        let by_value = (self.settings.params.state.value_kb * MACHINES_PER_KB) as usize;
+    pub(super) fn max_shard_machines(&self) -> usize {
+        let by_value = (self.settings.params.state.value_kb * SHARD_MACHINES_PER_RECORD_KB) as usize;
         self.options.shard_machines.unwrap_or(by_value.clamp(10, 200))
     }
 
     /// The shard that further machines join, and how many: the fullest with
     /// room left, else a new one.
     pub(super) fn shard_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
-        let most = self.shard_machines();
+        let max_machines = self.max_shard_machines();
         let sizes = self.shard_sizes();
         let size = |b: u32| sizes.get(&b).copied().unwrap_or(0) + taken.get(&b).copied().unwrap_or(0);
         let mut numbers = self.shard_numbers();
         numbers.extend(taken.keys());
         numbers.sort_unstable();
         numbers.dedup();
-        let open = numbers.iter().copied().filter(|b| size(*b) < most);
-        let shard = open.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
+        let with_room = numbers.iter().copied().filter(|b| size(*b) < max_machines);
+        let shard = with_room.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
         // The lowest number that is not in use.
-        let fresh = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
-        let shard = shard.unwrap_or(fresh);
-        (shard, most - size(shard))
+        let unused = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
+        let shard = shard.unwrap_or(unused);
+        (shard, max_machines - size(shard))
     }
 
     /// Group records that differ from what is known, as far as this process may
@@ -202,35 +203,37 @@
         now: Instant,
     ) -> Vec<GroupUpdate> {
         let mut updates = Vec::new();
-        let mut addresses =
-            self.fleet.addresses_at.is_none_or(|at| now.saturating_duration_since(at) >= ADDRESSES_EVERY);
-        self.split_large_groups();
-        let released_groups = self.groups_of(released);
-        let given_up_groups = self.groups_of(give_up);
-        let touched = |name: &str| released_groups.contains(name) || given_up_groups.contains(name);
+        let mut write_addresses = self
+            .fleet
+            .addresses_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= ADDRESS_WRITE_INTERVAL);
+        self.split_large_uncommitted_groups();
+        let released_groups = self.groups_containing(released);
+        let given_up_groups = self.groups_containing(give_up);
+        let must_write = |name: &str| released_groups.contains(name) || given_up_groups.contains(name);
         // A wave of lost machines touches nearly all groups, again and again.
         // Few are written at a time, or allocations and placements would wait
         // behind them until the wave is over.
-        let most = (self.limits().changes / 2).max(2);
-        let left = most.saturating_sub(self.groups_on_way());
-        for name in self.group_order(&released_groups, &given_up_groups, addresses) {
-            if updates.len() >= left {
+        let max_in_flight = (self.limits().changes / 2).max(2);
+        let max_updates = max_in_flight.saturating_sub(self.group_writes_in_flight());
+        for name in self.groups_to_write(&released_groups, &given_up_groups, write_addresses) {
+            if updates.len() >= max_updates {
                 break;
             }
             let Some(group) = self.groups.get(&name) else { continue };
-            if self.is_outgrown(&name, group) {
-                let update = self.move_update(&name, group);
+            if self.needs_split(&name, group) {
+                let update = self.split_update(&name, group);
                 updates.extend(update.map(|update| self.begin_group_write(&name, update)));
                 continue;
             }
-            if !addresses && group.version > 0 && !touched(&name) {
+            if !write_addresses && group.version > 0 && !must_write(&name) {
                 continue;
             }
-            let record = self.updated_group(group, give_up, released);
+            let record = self.updated_group_record(group, give_up, released);
             let unchanged = record == group.record && group.version > 0;
             let held = self.is_holder(group.record.shard);
             if !unchanged && group.addresses_unrecorded && held {
-                addresses = false;
+                write_addresses = false;
                 self.fleet.addresses_at = Some(now);
             }
             let Some(group) = self.groups.get_mut(&name) else { continue };
@@ -251,12 +254,12 @@
 
     /// Splits groups that are not committed and too large for a record: they were
     /// decided on before the layout was switched.
-    fn split_large_groups(&mut self) {
+    fn split_large_uncommitted_groups(&mut self) {
         let limit = self.limits().value;
         let large: Vec<Arc<str>> = self
             .groups
             .iter()
-            .filter(|(_, g)| !self.is_mixed() && g.version == 0 && !g.writing)
+            .filter(|(_, g)| !self.uses_legacy_layout() && g.version == 0 && !g.writing)
             .filter(|(_, g)| g.record.most_bytes() > limit && g.record.machines.len() > 1)
             .map(|(name, _)| name.clone())
             .collect();
@@ -268,36 +271,36 @@
     }
 
     /// The groups that have these machines.
-    fn groups_of(&self, machines: &BTreeSet<Arc<str>>) -> BTreeSet<Arc<str>> {
+    fn groups_containing(&self, machines: &BTreeSet<Arc<str>>) -> BTreeSet<Arc<str>> {
         machines.iter().filter_map(|id| self.machines.get(id)?.group.clone()).collect()
     }
 
     /// Groups whose records may have to be written, the most important first.
-    fn group_order(
+    fn groups_to_write(
         &self,
         released: &BTreeSet<Arc<str>>,
         given_up: &BTreeSet<Arc<str>>,
-        addresses: bool,
+        write_addresses: bool,
     ) -> Vec<Arc<str>> {
         let leads = self.role.leadership.is_some();
-        let order = |name: &Arc<str>, group: &Group| match () {
+        let priority = |name: &Arc<str>, group: &Group| match () {
             () if group.writing => None,
             // What ran on released machines waits for it elsewhere.
-            () if released.contains(name) => Some(GroupOrder::Released),
-            () if group.version == 0 => Some(GroupOrder::New),
-            () if given_up.contains(name) => Some(GroupOrder::GivenUp),
-            () if leads && self.is_outgrown(name, group) => Some(GroupOrder::Outgrown),
-            () if addresses && group.addresses_unrecorded => Some(GroupOrder::Addresses),
+            () if released.contains(name) => Some(GroupWritePriority::Released),
+            () if group.version == 0 => Some(GroupWritePriority::New),
+            () if given_up.contains(name) => Some(GroupWritePriority::GivenUp),
+            () if leads && self.needs_split(name, group) => Some(GroupWritePriority::NeedsSplit),
+            () if write_addresses && group.addresses_unrecorded => Some(GroupWritePriority::Addresses),
             () => None,
         };
-        let mut names: Vec<(GroupOrder, &Arc<str>)> =
-            self.groups.iter().filter_map(|(name, group)| Some((order(name, group)?, name))).collect();
+        let mut names: Vec<(GroupWritePriority, &Arc<str>)> =
+            self.groups.iter().filter_map(|(name, group)| Some((priority(name, group)?, name))).collect();
         names.sort();
         names.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
     /// A group's record as this process would write it.
-    fn updated_group(
+    fn updated_group_record(
         &self,
         group: &Group,
         give_up: &BTreeSet<Arc<str>>,
@@ -316,8 +319,8 @@
         if self.role.leadership.is_some() {
             record.machines.retain(|id, _| !released.contains(id.as_str()));
         }
-        if !self.is_mixed() {
-            limit_given_up(&mut record, &group.record, self.limits().value);
+        if !self.uses_legacy_layout() {
+            limit_newly_given_up(&mut record, &group.record, self.limits().value);
         }
         record
     }
@@ -354,12 +357,12 @@
     }
 
     /// How many records of groups are about to be committed.
-    pub fn groups_on_way(&self) -> usize {
+    pub fn group_writes_in_flight(&self) -> usize {
         self.groups.values().filter(|g| g.writing).count()
     }
 
     /// Notes the end of a write; what was not made is worked out again.
-    pub fn group_written(&mut self, name: &str) {
+    pub fn finish_group_write(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.writing = false;
             group.addresses_unrecorded = true;
@@ -368,7 +371,7 @@
     }
 
     /// Takes in machines that no record names, as leader.
-    pub(super) fn adopt(&mut self, found: Vec<Machine>) {
+    pub(super) fn adopt_machines(&mut self, found: Vec<Machine>) {
         let Some(term) = self.role.leadership else { return };
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         let mut groups: BTreeMap<(u32, String, String, bool), Vec<Machine>> = BTreeMap::new();
@@ -400,14 +403,14 @@
         let name: Arc<str> = name.into();
         let old = self.groups.remove(&name);
         if let Some(old) = &old {
-            let still = |id: &str| record.as_ref().is_some_and(|r| r.machines.contains_key(id));
-            let left = old.record.machines.keys().filter(|id| !still(id));
-            let departed = |id: &String| Departed {
+            let still_member = |id: &str| record.as_ref().is_some_and(|r| r.machines.contains_key(id));
+            let gone = old.record.machines.keys().filter(|id| !still_member(id));
+            let departed = |id: &String| DepartedMachine {
                 revision: version,
                 machine: id.as_str().into(),
                 group: name.clone(),
             };
-            self.departed.extend(left.map(departed));
+            self.departed.extend(gone.map(departed));
         }
         if let Some(record) = record {
             let mut addresses_unrecorded = false;
@@ -415,15 +418,16 @@
                 let id: Arc<str> = id.as_str().into();
                 let machine =
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(&id, record.shard, now));
-                let fresh = machine.group.is_none();
+                let is_new = machine.group.is_none();
                 // A newer group that it has moved to keeps it.
-                let other = machine.group.as_ref().filter(|g| **g != name).and_then(|g| self.groups.get(g));
-                if other.is_some_and(|g| g.version > version && g.record.machines.contains_key(&*id)) {
+                let other_group =
+                    machine.group.as_ref().filter(|g| **g != name).and_then(|g| self.groups.get(g));
+                if other_group.is_some_and(|g| g.version > version && g.record.machines.contains_key(&*id)) {
                     continue;
                 }
                 machine.group = Some(name.clone());
                 machine.shard = record.shard;
-                if fresh {
+                if is_new {
                     machine.machine_type.clone_from(&record.machine_type);
                     machine.zone.clone_from(&record.zone);
                     machine.spot = record.spot;
@@ -437,9 +441,9 @@
             }
             let writing = old.is_some_and(|g| g.writing);
             self.groups.insert(name.clone(), Group { record, version, writing, addresses_unrecorded });
-            self.size_machines();
+            self.set_machine_capacities();
         }
-        self.settle_departed(now);
+        self.remove_departed_machines(now);
         self.wakeups.place = true;
         self.wakeups.fleet = true;
     }
@@ -458,7 +462,7 @@
     }
 
     /// Gives machines what their types have, once both are known.
-    pub(super) fn size_machines(&mut self) {
+    pub(super) fn set_machine_capacities(&mut self) {
         let Some(catalog) = &self.catalog else { return };
         let sizes: BTreeMap<&str, _> = catalog
             .machine_types
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -21,7 +21,7 @@
 
 impl Core {
     /// Whether some member may still be of the first version.
-    pub fn is_mixed(&self) -> bool {
+    pub fn uses_legacy_layout(&self) -> bool {
         self.format < LAYOUT
     }
 
@@ -29,12 +29,12 @@
     /// within what it will take some day, since it does not say when.
     pub fn limits(&self) -> SizeLimits {
         let state = &self.settings.params.state;
-        if self.is_mixed() { state.present() } else { state.lasting() }
+        if self.uses_legacy_layout() { state.present() } else { state.lasting() }
     }
 
     /// A job's record as it is written now.
     pub fn job_value(&self, record: &JobRecord) -> Value {
-        if self.is_mixed() { legacy::write_job(record) } else { to_value(record) }
+        if self.uses_legacy_layout() { legacy::write_job(record) } else { to_value(record) }
     }
 
     /// A record of what runs as it is written now.
@@ -44,11 +44,11 @@
 
     /// A group of machines as it is written now.
     pub(super) fn group_value(&self, record: &GroupRecord) -> Value {
-        if self.is_mixed() { legacy::write_group(record) } else { to_value(record) }
+        if self.uses_legacy_layout() { legacy::write_group(record) } else { to_value(record) }
     }
 
     /// Takes over the record of the layout in force.
-    pub(super) fn apply_format(&mut self, layout: u32, now: Instant) {
+    pub(super) fn apply_layout(&mut self, layout: u32, now: Instant) {
         if layout > LAYOUT {
             // Nothing that this process would do now could be right.
             self.ended = Some(format!("the records have layout {layout}, this program knows {LAYOUT}"));
@@ -68,7 +68,7 @@
     }
 
     /// The transaction by which this process leaves its mark, if it is missing.
-    pub fn mark_transaction(&self) -> Option<Transaction> {
+    pub fn supported_layout_transaction(&self) -> Option<Transaction> {
         let host = &self.settings.host_name;
         if self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT) {
             return None;
@@ -80,12 +80,12 @@
     }
 
     /// The transaction of the switch, once this leader may make it.
-    pub fn switch_transaction(&self) -> Option<Transaction> {
+    pub fn layout_switch_transaction(&self) -> Option<Transaction> {
         let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
         let all = members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT));
-        if !self.is_mixed() || !all || self.version(records::FORMAT) > 0 {
+        if !self.uses_legacy_layout() || !all || self.version(records::FORMAT) > 0 {
             return None;
         }
         let conditions = vec![
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 /// Bytes of completed tasks that one segment is given to take over.
-const CHUNK: usize = 400;
+const HISTORY_CHUNK_BYTES: usize = 400;
 
 /// What a segment takes over besides its machines.
 #[derive(Debug, Clone, Default)]
@@ -28,12 +28,12 @@
     /// asks for their commits behind all that is urgent.
     pub(super) fn plan_migration(&mut self, shard: u32, _now: Instant) {
         let whole = SegmentId::whole(shard);
-        if self.is_mixed() || !self.segments.contains_key(&whole) {
+        if self.uses_legacy_layout() || !self.segments.contains_key(&whole) {
             return;
         }
         self.inherited.retain(|id, _| id.shard != shard);
         let Some(old) = self.segments.get(&whole).map(|l| l.record.clone()) else { return };
-        let (done, tries) = self.unmoved(shard, &old);
+        let (done, tries) = self.unmigrated_history(shard, &old);
         let mut segments: Vec<SegmentId> = Vec::new();
         for machine in old.machines.keys() {
             segments.extend(self.assign_segment(machine).filter(|p| p.segment.is_some()));
@@ -41,14 +41,14 @@
         // In pieces, each for whichever segment has room.
         let mut pieces: Vec<Inherited> = Vec::new();
         for (id, done) in done {
-            for chunk in done.chunks(CHUNK) {
+            for chunk in done.chunks(HISTORY_CHUNK_BYTES) {
                 pieces
                     .push(Inherited { done: BTreeMap::from([(id.clone(), chunk)]), ..Inherited::default() });
             }
         }
         for (id, tries) in tries {
             let tries: Vec<(u32, u64)> = tries.into_iter().collect();
-            for chunk in tries.chunks(CHUNK / 16) {
+            for chunk in tries.chunks(HISTORY_CHUNK_BYTES / 16) {
                 let own = BTreeMap::from([(id.clone(), chunk.iter().copied().collect())]);
                 pieces.push(Inherited { tries: own, ..Inherited::default() });
             }
@@ -57,7 +57,7 @@
         for piece in pieces {
             let own =
                 SegmentRecord { done: piece.done.clone(), tries: piece.tries.clone(), ..Default::default() };
-            let weight = super::segments::weight(&own);
+            let weight = super::segments::record_weight(&own);
             let known = self.segment_numbers(shard);
             let fits = |n: &u32| {
                 let id = SegmentId::new(shard, *n);
@@ -90,9 +90,13 @@
     }
 
     /// What of an old record's completed tasks and last attempts no segment has yet.
-    fn unmoved(&self, shard: u32, old: &SegmentRecord) -> (BTreeMap<String, Ranges>, Tries) {
+    fn unmigrated_history(
+        &self,
+        shard: u32,
+        old: &SegmentRecord,
+    ) -> (BTreeMap<String, Ranges>, LastAttempts) {
         let mut done = BTreeMap::new();
-        let mut tries: Tries = BTreeMap::new();
+        let mut tries: LastAttempts = BTreeMap::new();
         for (id, ranges) in &old.done {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
             let mut left = ranges.without(&job.recorded_done());
@@ -122,7 +126,7 @@
     }
 
     /// Whether segments have taken over all of a shard's old record.
-    pub(super) fn is_moved(&self, shard: u32) -> bool {
+    pub(super) fn is_migration_complete(&self, shard: u32) -> bool {
         let Some(old) = self.segments.get(&SegmentId::whole(shard)) else { return false };
         let open = |span: &crate::records::Span| {
             old.record.jobs.get(span.job as usize).is_some_and(|id| self.open_job(id).is_some())
@@ -132,17 +136,17 @@
             .machines
             .iter()
             .all(|(m, spans)| !spans.iter().any(open) || self.recorded_segment(shard, m).is_some());
-        let (done, tries) = self.unmoved(shard, &old.record);
+        let (done, tries) = self.unmigrated_history(shard, &old.record);
         all && done.is_empty() && tries.is_empty()
     }
 
     /// Asks for what is left of a move.
-    pub(super) fn continue_move(&mut self, shard: u32, now: Instant) {
+    pub(super) fn continue_migration(&mut self, shard: u32, now: Instant) {
         let whole = SegmentId::whole(shard);
-        if self.is_mixed() || !self.segments.contains_key(&whole) || !self.is_holder(shard) {
+        if self.uses_legacy_layout() || !self.segments.contains_key(&whole) || !self.is_holder(shard) {
             return;
         }
-        if self.is_moved(shard) {
+        if self.is_migration_complete(shard) {
             self.mark_segment(whole, false);
         } else if !self.commits.is_shard_in_flight(shard) {
             let planned = self.inherited.keys().any(|id| id.shard == shard);
@@ -154,7 +158,7 @@
 
     /// Names of machines that a segment has to speak for with nothing on them,
     /// since an old record would speak for them otherwise.
-    pub(super) fn to_cover(&self, id: SegmentId) -> Vec<Arc<str>> {
+    pub(super) fn machines_to_cover(&self, id: SegmentId) -> Vec<Arc<str>> {
         let Some(old) = self.segments.get(&SegmentId::whole(id.shard)).filter(|_| id.segment.is_some())
         else {
             return Vec::new();
@@ -165,4 +169,4 @@
     }
 }
 
-type Tries = BTreeMap<String, BTreeMap<u32, u64>>;
+type LastAttempts = BTreeMap<String, BTreeMap<u32, u64>>;
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -216,7 +216,7 @@
     /// Keys that say nothing any more.
     obsolete_keys: BTreeSet<String>,
     /// Machines that left a group's record, until the copy has caught up with that.
-    departed: Vec<groups::Departed>,
+    departed: Vec<groups::DepartedMachine>,
     /// Segments of the machine types: of how many, and which.
     catalog_segments: BTreeMap<u32, record_replica::CatalogSegment>,
     /// Groups of machines.
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -36,7 +36,7 @@
         };
         let unrecorded = !recorded;
         self.catalog = Some(catalog);
-        self.size_machines();
+        self.set_machine_capacities();
         self.wakeups.place = true;
         changed || unrecorded
     }
@@ -48,7 +48,7 @@
             let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
             AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }
         };
-        if self.is_mixed() {
+        if self.uses_legacy_layout() {
             return vec![set(records::CATALOG.into(), to_value(catalog))];
         }
         let segments = catalog_segments(&catalog.machine_types, self.limits().value);
@@ -122,7 +122,7 @@
     /// How many ordinary machines are kept up for services: they must start
     /// within seconds, and no machine boots as quickly.
     pub(super) fn standby(&self) -> usize {
-        let expected = self.settings.expects_services() && !self.is_mixed();
+        let expected = self.settings.expects_services() && !self.uses_legacy_layout();
         if expected { self.options.standby_machines } else { 0 }
     }
 
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -187,7 +187,7 @@
     ) -> Vec<(Arc<str>, Candidate)> {
         let requirements = &job.requirements;
         let Some(machines_by_free_cpus) =
-            self.machines_by_free_cpus.get(&shard).filter(|_| !self.is_record_full(shard))
+            self.machines_by_free_cpus.get(&shard).filter(|_| !self.is_legacy_record_full(shard))
         else {
             return Vec::new();
         };
@@ -208,7 +208,7 @@
                 kept.is_some_and(|d| *d.machine == **name) || (avoid && job.failed_on.contains(&**name));
             if !open
                 || barred
-                || self.is_recordless(machine)
+                || self.is_in_full_segment(machine)
                 || !requirements.allows(&machine.machine_type, &machine.zone, machine.spot)
             {
                 return None;
@@ -360,7 +360,7 @@
             return false;
         };
         let Some(segment_id) = self.assign_segment(machine) else { return false };
-        if !self.weigh(task, segment_id) {
+        if !self.try_reserve_weight(task, segment_id) {
             return false;
         }
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -76,7 +76,7 @@
             self.rederive(&id);
             self.finish_if_over(&id);
         }
-        self.settle_departed(Instant::now());
+        self.remove_departed_machines(Instant::now());
         // What was leased to this process may be known well enough by now.
         let waits = |version: u64| version <= applied_revision;
         let leased = self.shards.iter().any(|(n, (b, version))| {
@@ -126,7 +126,7 @@
         match Key::parse(key) {
             Some(Key::Format) => {
                 if let Some(record) = self.read::<LayoutRecord>(key, value) {
-                    self.apply_format(record.layout, now);
+                    self.apply_layout(record.layout, now);
                 }
             }
             Some(Key::Mark(host)) => {
@@ -269,7 +269,7 @@
     fn know_types(&mut self, catalog: Catalog) {
         if self.role.leadership.is_none() || self.catalog.is_none() {
             self.catalog = Some(catalog);
-            self.size_machines();
+            self.set_machine_capacities();
         }
     }
 
@@ -386,7 +386,7 @@
                 self.open.insert(id.clone());
                 self.jobs.insert(id.clone(), Job::Open(Box::new(job)));
                 self.note_arrival(&id, now);
-                self.reapply_segments(&id, now);
+                self.reapply_segments_with_job(&id, now);
             }
         }
         self.wakeups.place = true;
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A task that a segment's record has on a machine.
-struct Arrival {
+struct RecordedTask {
     task: TaskId,
     machine: Arc<str>,
     attempt: u64,
@@ -20,9 +20,9 @@
 #[derive(Default)]
 struct SegmentDifference {
     /// Tasks that the record no longer has.
-    departed: Vec<(TaskId, Placed)>,
+    removed: Vec<(TaskId, Placed)>,
     /// Tasks on machines whose spans have changed.
-    arrived: Vec<Arrival>,
+    recorded: Vec<RecordedTask>,
 }
 
 impl Core {
@@ -39,18 +39,18 @@
         let old = self.segments.remove(&id).unwrap_or_default();
         let difference = self.segment_difference(id, &old.record, &record);
         // First what has left, then what has come: a task may have moved.
-        let mut jobs = self.remove_departed(difference.departed);
-        jobs.extend(self.add_arrived(id, version, difference.arrived, now));
-        jobs.extend(self.jobs_with_history(&old.record, &record));
+        let mut jobs = self.remove_tasks(difference.removed);
+        jobs.extend(self.add_recorded_tasks(id, version, difference.recorded, now));
+        jobs.extend(self.jobs_with_changed_history(&old.record, &record));
         for job in &jobs {
-            self.take_history(job, id, &record);
+            self.apply_history(job, id, &record);
         }
         if size > 0 {
-            let weight = super::segments::weight(&record);
+            let weight = super::segments::record_weight(&record);
             self.segments.insert(id, Segment { record, version, size, weight });
         }
-        if self.is_holder(id.shard) && id.segment.is_some() && !self.absorbs(id) {
-            self.follow_segment(id);
+        if self.is_holder(id.shard) && id.segment.is_some() && !self.is_being_merged(id) {
+            self.assign_recorded_machines(id);
         }
         for job in &jobs {
             self.rederive(job);
@@ -65,7 +65,7 @@
         old: &SegmentRecord,
         new: &SegmentRecord,
     ) -> SegmentDifference {
-        let (before, mut after) = (tasks_of(old), tasks_of(new));
+        let (before, mut after) = (spans_by_machine(old), spans_by_machine(new));
         // Segments speak for their machines, whatever a whole shard's record says.
         let elsewhere =
             |machine: &str| id.segment.is_none() && self.recorded_segment(id.shard, machine).is_some();
@@ -92,27 +92,27 @@
         difference: &mut SegmentDifference,
     ) {
         let machine: Arc<str> = name.into();
-        let mut there: BTreeMap<TaskId, (u64, u64)> = BTreeMap::new();
+        let mut recorded: BTreeMap<TaskId, (u64, u64)> = BTreeMap::new();
         for (job_id, span) in spans {
             let Some((job_id, Job::Open(job))) = self.jobs.get_key_value(*job_id) else { continue };
             for index in span.first..=span.last.min(job.record.tasks.saturating_sub(1)) {
-                there.insert(TaskId { job: job_id.clone(), index }, (span.attempt, span.session));
+                recorded.insert(TaskId { job: job_id.clone(), index }, (span.attempt, span.session));
             }
         }
         for task in self.machines.get(&machine).iter().flat_map(|known| &known.tasks) {
             let Some(placed) = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index)) else {
                 continue;
             };
-            let stays = there.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
+            let stays = recorded.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
             // What another segment has is for that one to say, unless this one takes
             // over from a record of the first layout.
             let whole = SegmentId::whole(id.shard);
-            let own = placed.segment == id || (placed.segment == whole && id.segment.is_some());
-            if placed.committed && own && !stays {
-                difference.departed.push((task.clone(), placed.clone()));
+            let in_this_record = placed.segment == id || (placed.segment == whole && id.segment.is_some());
+            if placed.committed && in_this_record && !stays {
+                difference.removed.push((task.clone(), placed.clone()));
             }
         }
-        difference.arrived.extend(there.into_iter().map(|(task, (attempt, session))| Arrival {
+        difference.recorded.extend(recorded.into_iter().map(|(task, (attempt, session))| RecordedTask {
             task,
             machine: machine.clone(),
             attempt,
@@ -121,9 +121,9 @@
     }
 
     /// Takes tasks off their machines; returns their jobs.
-    fn remove_departed(&mut self, departed: Vec<(TaskId, Placed)>) -> BTreeSet<Arc<str>> {
+    fn remove_tasks(&mut self, removed: Vec<(TaskId, Placed)>) -> BTreeSet<Arc<str>> {
         let mut jobs = BTreeSet::new();
-        for (task, placed) in departed {
+        for (task, placed) in removed {
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             job.placed.remove(&task.index);
             job.exits.remove(&task.index);
@@ -136,21 +136,21 @@
 
     /// Puts tasks on the machines on which a segment's record has them; returns
     /// their jobs.
-    fn add_arrived(
+    fn add_recorded_tasks(
         &mut self,
         id: SegmentId,
         version: u64,
-        arrived: Vec<Arrival>,
+        recorded: Vec<RecordedTask>,
         now: Instant,
     ) -> BTreeSet<Arc<str>> {
         let mut jobs = BTreeSet::new();
-        for arrival in arrived {
-            jobs.insert(arrival.task.job.clone());
-            if self.is_newer_elsewhere(id, version, &arrival.task) {
+        for recorded_task in recorded {
+            jobs.insert(recorded_task.task.job.clone());
+            if self.has_newer_record_elsewhere(id, version, &recorded_task.task) {
                 continue;
             }
-            let machine = arrival.machine.clone();
-            if self.add_task(id, arrival, now) && self.is_holder(id.shard) {
+            let machine = recorded_task.machine.clone();
+            if self.apply_recorded_task(id, recorded_task, now) && self.is_holder(id.shard) {
                 self.wakeups.command.insert(machine);
             }
         }
@@ -162,15 +162,15 @@
     /// At no time do two records have a task, so the newer one is right. Taken
     /// over, the older one would hide the other's task until its own next version
     /// drops it, and the task would seem to wait.
-    fn is_newer_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
+    fn has_newer_record_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
         let known = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
         let other = known.filter(|p| p.committed && p.segment != id);
         other.and_then(|p| self.segments.get(&p.segment)).is_some_and(|segment| segment.version > version)
     }
 
     /// Puts one task on its machine; `false`: its job is over.
-    fn add_task(&mut self, id: SegmentId, arrival: Arrival, now: Instant) -> bool {
-        let Arrival { task, machine, attempt, session } = arrival;
+    fn apply_recorded_task(&mut self, id: SegmentId, recorded_task: RecordedTask, now: Instant) -> bool {
+        let RecordedTask { task, machine, attempt, session } = recorded_task;
         let Some(job) = self.open_job_mut(&task.job) else { return false };
         let stop = (!job.is_open()).then_some(Stop::Withdrawn);
         if let Some(placed) = job.placed.get_mut(&task.index)
@@ -213,7 +213,7 @@
 
     /// Open jobs whose completed tasks or last attempts may differ between two
     /// records.
-    fn jobs_with_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
+    fn jobs_with_changed_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
         let tries = old.tries.keys().chain(new.tries.keys());
@@ -226,7 +226,7 @@
 
     /// Takes over what a segment's record says of a job's completed tasks and last
     /// attempts.
-    fn take_history(&mut self, job_id: &str, id: SegmentId, record: &SegmentRecord) {
+    fn apply_history(&mut self, job_id: &str, id: SegmentId, record: &SegmentRecord) {
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
         if done.is_empty() {
@@ -246,7 +246,7 @@
     /// read by itself or keys were read page by page: what it says of the job is
     /// taken over once the job is known. Else its tasks would seem to wait, and
     /// be started a second time.
-    pub(super) fn reapply_segments(&mut self, id: &Arc<str>, now: Instant) {
+    pub(super) fn reapply_segments_with_job(&mut self, id: &Arc<str>, now: Instant) {
         let known: Vec<SegmentId> = self
             .segments
             .iter()
@@ -268,11 +268,11 @@
     /// Tasks that two records have, and those that a record has on a machine and
     /// this copy does not: none, unless another's newer record has them. For tests, and for
     /// when a copy is in doubt; it goes over all that runs.
-    pub fn copy_faults(&self) -> Vec<String> {
+    pub fn replica_inconsistencies(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
         for (segment, load) in &self.segments {
-            for (machine, spans) in tasks_of(&load.record) {
+            for (machine, spans) in spans_by_machine(&load.record) {
                 if segment.segment.is_none() && self.recorded_segment(segment.shard, machine).is_some() {
                     continue;
                 }
@@ -302,7 +302,7 @@
 }
 
 /// All tasks of a record's spans.
-fn tasks_of(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
+fn spans_by_machine(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
     record
         .machines
         .iter()
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -16,22 +16,22 @@
 use std::time::Instant;
 
 /// The part of a value's limit that a record's weight may reach.
-const FULL: f64 = 0.92;
+const SEGMENT_WEIGHT_FRACTION: f64 = 0.92;
 /// The same for the size of a record of the first layout.
-const FULL_WHOLE: f64 = 0.85;
+const LEGACY_RECORD_SIZE_FRACTION: f64 = 0.85;
 /// Machines join a segment up to this weight, each counted with what one usually
 /// has: the fewer segments, the fewer changes, but one that has no room left keeps
 /// its machines from taking work.
-const JOIN: f64 = 0.8;
+const MACHINE_ASSIGNMENT_FRACTION: f64 = 0.8;
 /// Two segments become one if they weigh no more than this together.
-const MERGE: f64 = 0.55;
+const SEGMENT_MERGE_FRACTION: f64 = 0.55;
 /// What a machine is taken to weigh while none has anything.
-const USUAL: usize = 60;
+const DEFAULT_MACHINE_WEIGHT_BYTES: usize = 60;
 /// What a group of neighbours takes, and what its ends may add.
-const GROUP: usize = 10;
-const ENDS: usize = 4;
+const SPAN_BYTES: usize = 10;
+const SPAN_COMPLETIONS_BYTES: usize = 4;
 /// The same for a job's name among others.
-const NAMED: usize = 5;
+const JOB_REFERENCE_BYTES: usize = 5;
 
 fn machine_weight(id: &str) -> usize {
     // Most have the beginning of their names in common.
@@ -39,67 +39,67 @@
 }
 
 /// A task that joins its neighbour, or begins a group.
-fn task_weight(joins: bool) -> usize {
-    if joins { 1 } else { GROUP + ENDS }
+fn task_weight(extends_span: bool) -> usize {
+    if extends_span { 1 } else { SPAN_BYTES + SPAN_COMPLETIONS_BYTES }
 }
 
 /// The weight of a record.
-pub(super) fn weight(record: &SegmentRecord) -> usize {
-    let groups = record.group_sizes().into_iter();
-    let ends = groups.map(|n| if n > 1 { ENDS + n as usize / 4 } else { 0 });
+pub(super) fn record_weight(record: &SegmentRecord) -> usize {
+    let spans = record.group_sizes().into_iter();
+    let completions = spans.map(|n| if n > 1 { SPAN_COMPLETIONS_BYTES + n as usize / 4 } else { 0 });
     stored_size(&serde_json::to_value(record).unwrap_or_default())
-        + ends.sum::<usize>()
-        + record.jobs.len() * NAMED
+        + completions.sum::<usize>()
+        + record.jobs.len() * JOB_REFERENCE_BYTES
 }
 
 /// How a record's weight grows with what is placed.
-pub(super) struct Scale {
-    total: usize,
-    most: usize,
+pub(super) struct WeightBudget {
+    weight: usize,
+    max_weight: usize,
     /// Whether it is one of the first layout.
-    whole: bool,
-    last: Option<(TaskId, Arc<str>, u64)>,
-    names: BTreeSet<String>,
+    is_legacy: bool,
+    last_added: Option<(TaskId, Arc<str>, u64)>,
+    jobs: BTreeSet<String>,
     machines: BTreeSet<String>,
 }
 
-impl Scale {
+impl WeightBudget {
     /// What a record weighs so far.
-    pub fn new(record: &SegmentRecord, limit: usize, whole: bool) -> Scale {
-        let names = record.jobs.iter().chain(record.done.keys()).chain(record.tries.keys());
-        let (total, part) = if whole {
-            (stored_size(&crate::legacy::write_segment(record)), FULL_WHOLE)
+    pub fn new(record: &SegmentRecord, limit: usize, is_legacy: bool) -> WeightBudget {
+        let jobs = record.jobs.iter().chain(record.done.keys()).chain(record.tries.keys());
+        let (weight, part) = if is_legacy {
+            (stored_size(&crate::legacy::write_segment(record)), LEGACY_RECORD_SIZE_FRACTION)
         } else {
-            (weight(record), FULL)
+            (record_weight(record), SEGMENT_WEIGHT_FRACTION)
         };
-        Scale {
-            total,
-            most: (limit as f64 * part) as usize,
-            whole,
-            last: None,
-            names: names.cloned().collect(),
+        WeightBudget {
+            weight,
+            max_weight: (limit as f64 * part) as usize,
+            is_legacy,
+            last_added: None,
+            jobs: jobs.cloned().collect(),
             machines: record.machines.keys().cloned().collect(),
         }
     }
 
     /// Takes a placement in, if its weight lets it.
-    pub fn take(&mut self, task: &TaskId, p: &Placed) -> bool {
-        let joins = self.last.as_ref().is_some_and(|(t, m, n)| {
+    pub fn try_add(&mut self, task: &TaskId, p: &Placed) -> bool {
+        let extends_span = self.last_added.as_ref().is_some_and(|(t, m, n)| {
             t.job == task.job && t.index + 1 == task.index && *m == p.machine && *n == p.attempt
         });
-        let mut own = if self.whole && !joins { GROUP } else { task_weight(joins) };
-        let (named, there) = (self.names.contains(&*task.job), self.machines.contains(&*p.machine));
-        own += if named { 0 } else { task.job.len() + NAMED };
-        own += if there { 0 } else { machine_weight(&p.machine) };
-        if self.total + own > self.most {
+        let mut added = if self.is_legacy && !extends_span { SPAN_BYTES } else { task_weight(extends_span) };
+        let (has_job, has_machine) = (self.jobs.contains(&*task.job), self.machines.contains(&*p.machine));
+        added += if has_job { 0 } else { task.job.len() + JOB_REFERENCE_BYTES };
+        added += if has_machine { 0 } else { machine_weight(&p.machine) };
+        if self.weight + added > self.max_weight {
             return false;
         }
-        self.total += own;
-        self.last = Some((task.clone(), p.machine.clone(), p.attempt));
-        if !named {
-            self.names.insert(task.job.to_string());
+        self.weight += added;
+        self.last_added = Some((task.clone(), p.machine.clone(), p.attempt));
+        if !has_job {
+            self.jobs.insert(task.job.to_string());
         }
-        if !there {
+        if !has_machine {
             self.machines.insert(p.machine.to_string());
         }
         true
@@ -128,11 +128,11 @@
 
     /// Whether a segment has no room for another task of a job.
     pub(super) fn is_segment_full(&self, id: &SegmentId) -> bool {
-        self.segment_weight(id) + 64 > (self.limits().value as f64 * FULL) as usize
+        self.segment_weight(id) + 64 > (self.limits().value as f64 * SEGMENT_WEIGHT_FRACTION) as usize
     }
 
     /// Whether a machine's segment has no room for more, and it can't change it.
-    pub(super) fn is_recordless(&self, machine: &Machine) -> bool {
+    pub(super) fn is_in_full_segment(&self, machine: &Machine) -> bool {
         let Some(segment) = machine.segment.filter(|_| !machine.tasks.is_empty()) else { return false };
         self.is_segment_full(&SegmentId::new(machine.shard, segment))
     }
@@ -142,70 +142,81 @@
     pub(super) fn assign_segment(&mut self, id: &str) -> Option<SegmentId> {
         let machine = self.machines.get(id)?;
         let shard = machine.shard;
-        if self.is_mixed() {
+        if self.uses_legacy_layout() {
             return Some(SegmentId::whole(shard));
         }
         if let Some(segment) = machine.segment.map(|segment| SegmentId::new(shard, segment)) {
-            let fixed = !machine.tasks.is_empty() || self.recorded_segment(shard, id).is_some();
-            if fixed || !self.is_segment_full(&segment) {
+            let is_fixed = !machine.tasks.is_empty() || self.recorded_segment(shard, id).is_some();
+            if is_fixed || !self.is_segment_full(&segment) {
                 return Some(segment);
             }
         }
-        let most = (self.limits().value as f64 * JOIN) as usize;
-        let own = machine_weight(id) + self.weight_of(machine, |_| true).max(self.usual_weight(shard));
-        let known = self.segment_numbers(shard);
-        let open =
-            known.iter().copied().find(|n| self.segment_weight(&SegmentId::new(shard, *n)) + own <= most);
-        let number = open.or_else(|| (0..).find(|n| !known.contains(n)))?;
+        let max_weight = (self.limits().value as f64 * MACHINE_ASSIGNMENT_FRACTION) as usize;
+        let added = machine_weight(id)
+            + self.machine_tasks_weight(machine, |_| true).max(self.average_machine_weight(shard));
+        let numbers = self.segment_numbers(shard);
+        let with_room = numbers
+            .iter()
+            .copied()
+            .find(|n| self.segment_weight(&SegmentId::new(shard, *n)) + added <= max_weight);
+        let number = with_room.or_else(|| (0..).find(|n| !numbers.contains(n)))?;
         let segment = SegmentId::new(shard, number);
-        *self.pending.entry(segment).or_default() += own;
+        *self.pending.entry(segment).or_default() += added;
         self.machines.get_mut(id)?.segment = Some(number);
         Some(segment)
     }
 
     /// What machines of a shard usually weigh.
-    fn usual_weight(&self, shard: u32) -> usize {
+    fn average_machine_weight(&self, shard: u32) -> usize {
         let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
         let used =
             segments.map(|(_, l)| (l.weight, l.record.machines.values().filter(|s| !s.is_empty()).count()));
         let (weight, machines) = used.fold((0, 0), |(w, m), (own, n)| (w + own, m + n));
-        weight.checked_div(machines).unwrap_or(USUAL).max(USUAL / 3)
+        weight
+            .checked_div(machines)
+            .unwrap_or(DEFAULT_MACHINE_WEIGHT_BYTES)
+            .max(DEFAULT_MACHINE_WEIGHT_BYTES / 3)
     }
 
     /// What tasks of a machine weigh with the names of their jobs.
-    fn weight_of(&self, machine: &Machine, counts: impl Fn(&Placed) -> bool) -> usize {
-        let mut last: Option<(&TaskId, u64)> = None;
-        let mut sum = 0;
+    fn machine_tasks_weight(&self, machine: &Machine, counts: impl Fn(&Placed) -> bool) -> usize {
+        let mut previous: Option<(&TaskId, u64)> = None;
+        let mut weight = 0;
         for task in &machine.tasks {
             let Some(p) = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index)) else { continue };
             if counts(p) {
-                let same = last.filter(|(t, _)| t.job == task.job);
-                let joins = same.is_some_and(|(t, n)| t.index + 1 == task.index && n == p.attempt);
+                let same_job = previous.filter(|(t, _)| t.job == task.job);
+                let extends_span = same_job.is_some_and(|(t, n)| t.index + 1 == task.index && n == p.attempt);
                 // Other machines of the segment may have tasks of the job, too.
                 // Those that move here from a whole shard's record bring names.
-                let named = if p.segment.segment.is_some() { NAMED } else { task.job.len() + NAMED };
-                sum += task_weight(joins) + if same.is_some() { 0 } else { named };
-                last = Some((task, p.attempt));
+                let job_weight = if p.segment.segment.is_some() {
+                    JOB_REFERENCE_BYTES
+                } else {
+                    task.job.len() + JOB_REFERENCE_BYTES
+                };
+                weight += task_weight(extends_span) + if same_job.is_some() { 0 } else { job_weight };
+                previous = Some((task, p.attempt));
             }
         }
-        sum
+        weight
     }
 
     /// Takes another segment of the shard into this one if both together leave
     /// enough room: the fewer segments, the fewer changes. The other one is emptied
     /// in the transaction that writes this one.
-    pub(super) fn absorb(&mut self, id: SegmentId) -> Option<SegmentId> {
+    pub(super) fn merge_lightest_segment(&mut self, id: SegmentId) -> Option<SegmentId> {
         let segment = id.segment?;
-        let (own, most) = (self.segment_weight(&id), (self.limits().value as f64 * MERGE) as usize);
-        let of = SegmentId::new(id.shard, 0)..=SegmentId::new(id.shard, u32::MAX);
+        let (weight, max_weight) =
+            (self.segment_weight(&id), (self.limits().value as f64 * SEGMENT_MERGE_FRACTION) as usize);
+        let range = SegmentId::new(id.shard, 0)..=SegmentId::new(id.shard, u32::MAX);
         let lightest = self
             .segments
-            .range(of)
+            .range(range)
             .filter(|(_, load)| !load.is_empty())
             .map(|(other, _)| *other)
             .filter(|other| *other != id && !self.commits.is_in_flight(&CommitTarget::Segment(*other)))
             .min_by_key(|other| self.segment_weight(other))?;
-        if self.limits().changes < 2 || own + self.segment_weight(&lightest) > most {
+        if self.limits().changes < 2 || weight + self.segment_weight(&lightest) > max_weight {
             return None;
         }
         let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
@@ -214,19 +225,19 @@
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
         }
-        self.rehome(id.shard);
+        self.retarget_proposals(id.shard);
         self.pending.remove(&lightest);
         self.absorbing.insert(lightest);
         Some(lightest)
     }
 
     /// Whether a segment is being taken in by another just now.
-    pub(super) fn absorbs(&self, id: SegmentId) -> bool {
+    pub(super) fn is_being_merged(&self, id: SegmentId) -> bool {
         self.absorbing.contains(&id)
     }
 
     /// Ends of a segment that another has taken in are recorded there.
-    pub(super) fn absorbed(&mut self, other: SegmentId, by: SegmentId, now: Instant) {
+    pub(super) fn finish_segment_merge(&mut self, other: SegmentId, by: SegmentId, now: Instant) {
         self.absorbing.remove(&other);
         self.commits.move_deferred_ends(other, by, now);
         self.wakeups.flush = true;
@@ -234,7 +245,7 @@
 
     /// The same if it was not made after all: what a record says of its machines
     /// counts.
-    pub(super) fn restore(&mut self, other: SegmentId, by: SegmentId) {
+    pub(super) fn undo_segment_merge(&mut self, other: SegmentId, by: SegmentId) {
         self.inherited.remove(&by);
         self.absorbing.remove(&other);
         let Some(record) = self.segments.get(&other).map(|l| l.record.machines.clone()) else { return };
@@ -243,13 +254,13 @@
                 machine.segment = other.segment;
             }
         }
-        self.rehome(other.shard);
+        self.retarget_proposals(other.shard);
         self.mark_segment(other, false);
     }
 
     /// As holder, puts machines into the segment whose record has just been found to
     /// have them. No two may speak for one machine.
-    pub(super) fn follow_segment(&mut self, id: SegmentId) {
+    pub(super) fn assign_recorded_machines(&mut self, id: SegmentId) {
         let Some(record) = self.segments.get(&id).map(|l| &l.record.machines) else { return };
         let mut moved = false;
         for name in record.keys() {
@@ -262,12 +273,12 @@
             }
         }
         if moved {
-            self.rehome(id.shard);
+            self.retarget_proposals(id.shard);
         }
     }
 
     /// What is proposed on a machine is recorded in the segment that it is in.
-    fn rehome(&mut self, shard: u32) {
+    fn retarget_proposals(&mut self, shard: u32) {
         let proposed: Vec<(TaskId, Option<u32>)> = self
             .machines
             .values()
@@ -288,24 +299,24 @@
     /// Sends machines that no record of a segment has yet to other segments until what
     /// runs on the rest fits a value: what is committed must always fit, and only
     /// what moves here from a record of the first layout may turn out not to.
-    pub(super) fn relieve(&mut self, id: SegmentId) {
+    pub(super) fn move_excess_machines(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
         let limit = self.limits().value;
         loop {
-            let (record, _, _) = self.segment_record_with(id, 0, 0);
+            let (record, _, _) = self.bounded_segment_record(id, 0, 0);
             if stored_size(&self.segment_value(id, &record)) <= limit {
                 return;
             }
-            let known = self.segments.get(&id).map(|l| &l.record.machines);
-            let new = |m: &&Machine| {
+            let recorded = self.segments.get(&id).map(|l| &l.record.machines);
+            let unrecorded = |m: &&Machine| {
                 let here = m.shard == id.shard && m.segment == Some(segment) && !m.tasks.is_empty();
-                here && !known.is_some_and(|k| k.contains_key(&*m.id))
+                here && !recorded.is_some_and(|machines| machines.contains_key(&*m.id))
             };
-            let Some(machine) = self.machines.values().rfind(new).map(|m| m.id.clone()) else {
+            let Some(machine) = self.machines.values().rfind(unrecorded).map(|m| m.id.clone()) else {
                 return;
             };
-            let full = self.segment_weight(&id);
-            self.pending.insert(id, full.max(limit));
+            let weight = self.segment_weight(&id);
+            self.pending.insert(id, weight.max(limit));
             if let Some(machine) = self.machines.get_mut(&machine) {
                 machine.segment = None;
             }
@@ -325,27 +336,27 @@
     }
 
     /// Works out anew what is to come in a segment besides what its record has.
-    pub(super) fn reweigh(&mut self, id: SegmentId) {
+    pub(super) fn recompute_pending_weight(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
         let record = self.segments.get(&id).map(|l| &l.record);
-        let mut sum = 0;
+        let mut weight = 0;
         for machine in self.machines.values().filter(|m| m.shard == id.shard && m.segment == Some(segment)) {
             if record.is_some_and(|r| r.machines.contains_key(&*machine.id)) {
-                sum += self.weight_of(machine, |p| !p.committed);
+                weight += self.machine_tasks_weight(machine, |p| !p.committed);
             } else {
-                sum += machine_weight(&machine.id) + self.weight_of(machine, |_| true);
+                weight += machine_weight(&machine.id) + self.machine_tasks_weight(machine, |_| true);
             }
         }
-        if let Some(more) = self.inherited.get(&id) {
-            let own = SegmentRecord {
-                done: more.done.clone(),
-                tries: more.tries.clone(),
+        if let Some(inherited) = self.inherited.get(&id) {
+            let history = SegmentRecord {
+                done: inherited.done.clone(),
+                tries: inherited.tries.clone(),
                 ..SegmentRecord::default()
             };
-            sum += weight(&own);
+            weight += record_weight(&history);
         }
-        if sum > 0 {
-            self.pending.insert(id, sum);
+        if weight > 0 {
+            self.pending.insert(id, weight);
         } else {
             self.pending.remove(&id);
         }
@@ -353,29 +364,32 @@
 
     /// Numbers of segments that are in use, recorded or not.
     pub(super) fn segment_numbers(&self, shard: u32) -> BTreeSet<u32> {
-        let of = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
-        let used = self.segments.range(of.clone()).filter(|(_, load)| !load.is_empty());
+        let range = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
+        let used = self.segments.range(range.clone()).filter(|(_, load)| !load.is_empty());
         let recorded = used.filter_map(|(id, _)| id.segment);
-        recorded.chain(self.pending.range(of).filter_map(|(id, _)| id.segment)).collect()
+        recorded.chain(self.pending.range(range).filter_map(|(id, _)| id.segment)).collect()
     }
 
     /// Counts a proposal in; returns whether its segment has room for it.
-    pub(super) fn weigh(&mut self, task: &TaskId, segment: SegmentId) -> bool {
+    pub(super) fn try_reserve_weight(&mut self, task: &TaskId, segment: SegmentId) -> bool {
         if segment.segment.is_none() {
             return true;
         }
-        let joins = |t: &TaskId| t.job == task.job && t.index + 1 == task.index;
-        let own = task_weight(self.weighed.as_ref().is_some_and(|(p, t)| *p == segment && joins(t)));
-        if self.segment_weight(&segment) + own > (self.limits().value as f64 * FULL) as usize {
+        let is_next_index = |t: &TaskId| t.job == task.job && t.index + 1 == task.index;
+        let added =
+            task_weight(self.weighed.as_ref().is_some_and(|(p, t)| *p == segment && is_next_index(t)));
+        if self.segment_weight(&segment) + added
+            > (self.limits().value as f64 * SEGMENT_WEIGHT_FRACTION) as usize
+        {
             return false;
         }
-        *self.pending.entry(segment).or_default() += own;
+        *self.pending.entry(segment).or_default() += added;
         self.weighed = Some((segment, task.clone()));
         true
     }
 
     /// As holder, learns from the records which machine is in which segment.
-    pub(super) fn learn_parts(&mut self, shard: u32) {
+    pub(super) fn load_machine_segments(&mut self, shard: u32) {
         let mut segments: BTreeMap<Arc<str>, u32> = BTreeMap::new();
         for (id, load) in self.segments_of(shard) {
             let Some(segment) = id.segment else { continue };
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -42,14 +42,14 @@
         let Some(machine) = self.machines.get(id).filter(|m| m.group.is_some()) else {
             // A record names every machine before it is used, so one without is
             // for the leader to take in.
-            let unexpected = self.leads(now) && !self.is_expected(id);
+            let unexpected = self.leads(now) && !self.is_in_uncommitted_group(id);
             return (!unexpected).then(|| self.not_here());
         };
         let shard = machine.shard;
         let Some(shard_lease) = self.active_lease(shard, now) else {
             // A holder that has lost the state service stops answering, so that
             // its workers' leases end before a cancellation's limit.
-            return Some(match self.holder_host(shard) {
+            return Some(match self.remote_holder_host(shard) {
                 _ if self.is_holder(shard) => HeartbeatOutcome::Unavailable,
                 Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
                 None => HeartbeatOutcome::Unavailable,
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -53,22 +53,22 @@
     /// go to the least loaded controllers, and one shard at a time moves from
     /// the most to the least loaded if that evens them out. The leader's own
     /// work grows with the number of shards, so it holds fewer of many.
-    pub fn wanted_leases(&self, now: Instant) -> Vec<LeaseGrant> {
+    pub fn plan_leases(&self, now: Instant) -> Vec<LeaseGrant> {
         let Some(leadership) = self.role.leadership.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
         };
-        let numbers = self.shard_numbers();
+        let shards = self.shard_numbers();
         let sizes = self.shard_sizes();
         let size = |shard: &u32| sizes.get(shard).copied().unwrap_or(0);
-        let own_work = (numbers.len() - 1) * self.shard_machines() / 8;
+        let leader_load = (shards.len() - 1) * self.max_shard_machines() / 8;
         let mut load: BTreeMap<&str, usize> = self
             .live_controllers
             .iter()
-            .map(|(host, l)| (host.as_str(), if l.identity == self.identity { own_work } else { 0 }))
+            .map(|(host, l)| (host.as_str(), if l.identity == self.identity { leader_load } else { 0 }))
             .collect();
         let mut vacant = Vec::new();
         let mut held: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
-        for shard in &numbers {
+        for shard in &shards {
             let holder = self.shards.get(shard).map(|(b, _)| b).filter(|b| {
                 self.live_controllers.get(&b.host).is_some_and(|live| live.identity == b.identity)
             });
@@ -85,31 +85,31 @@
         // One that has just come up gets no more than its part: after a restart
         // of all, the first would else take everything, drown in its workers'
         // reports and lose its lease again; the others come up just after it.
-        let part = numbers.len().div_ceil(self.settings.params.nodes.max(1) as usize);
-        let settled = |host: &str| {
+        let fair_share = shards.len().div_ceil(self.settings.params.nodes.max(1) as usize);
+        let is_settled = |host: &str| {
             let since = self.controller_live_since.get(host);
             since.is_some_and(|at| now.saturating_duration_since(*at) >= self.options.node_lease * 2)
         };
         let mut counts: BTreeMap<&str, usize> = held.iter().map(|(host, b)| (*host, b.len())).collect();
-        let least = |load: &BTreeMap<&str, usize>, counts: &BTreeMap<&str, usize>| {
+        let least_loaded = |load: &BTreeMap<&str, usize>, counts: &BTreeMap<&str, usize>| {
             load.iter()
-                .filter(|(host, _)| settled(host) || counts.get(*host).is_none_or(|n| *n < part))
+                .filter(|(host, _)| is_settled(host) || counts.get(*host).is_none_or(|n| *n < fair_share))
                 .min_by_key(|(host, n)| (**n, Some(**host) != leader))
                 .map(|(host, n)| (host.to_string(), *n))
         };
         let mut leases = Vec::new();
         vacant.sort_by_key(|b| std::cmp::Reverse(size(b)));
         for shard in vacant {
-            let Some((host, _)) = least(&load, &counts) else { break };
+            let Some((host, _)) = least_loaded(&load, &counts) else { break };
             if let Some((name, n)) = load.iter_mut().find(|(name, _)| **name == host) {
                 *counts.entry(name).or_default() += 1;
                 // An empty shard will not stay empty.
-                *n += size(&shard).max(self.shard_machines() / 2);
+                *n += size(&shard).max(self.max_shard_machines() / 2);
             }
-            leases.extend(self.lease(shard, &host, leadership));
+            leases.extend(self.lease_grant(shard, &host, leadership));
         }
         if leases.is_empty()
-            && let Some((to, low)) = least(&load, &counts)
+            && let Some((to, low)) = least_loaded(&load, &counts)
             && let Some((from, high)) = load.iter().max_by_key(|(_, n)| **n)
         {
             // It helps only if the lesser load stays the lesser one.
@@ -119,12 +119,12 @@
                 .flatten()
                 .filter(|b| size(b) > 0 && low + size(b) * 2 <= *high)
                 .max_by_key(|b| size(b));
-            leases.extend(moved.and_then(|shard| self.lease(*shard, &to, leadership)));
+            leases.extend(moved.and_then(|shard| self.lease_grant(*shard, &to, leadership)));
         }
         leases
     }
 
-    fn lease(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
+    fn lease_grant(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
         let live = self.live_controllers.get(host)?;
         let (old, version) = self.shards.get(&shard).map_or((0, 0), |(b, v)| (b.epoch, *v));
         // The epoch comes from a revision of the state service, and only grows.
@@ -171,15 +171,15 @@
         }
         tracing::info!(blocks = ?taken.iter().map(|(n, h)| (*n, h.epoch)).collect::<Vec<_>>(), "blocks taken up");
         for (shard, shard_lease) in taken {
-            self.hold(shard, shard_lease, now);
+            self.start_holding(shard, shard_lease, now);
         }
     }
 
     /// Takes note of holding a shard, and forgets what was believed of its
     /// machines: only what they tell this holder counts.
-    fn hold(&mut self, shard: u32, shard_lease: ShardLease, now: Instant) {
+    fn start_holding(&mut self, shard: u32, shard_lease: ShardLease, now: Instant) {
         self.role.leased_shards.insert(shard, shard_lease);
-        self.learn_parts(shard);
+        self.load_machine_segments(shard);
         let mut jobs: Vec<Arc<str>> = Vec::new();
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.reset(now);
@@ -253,7 +253,7 @@
     }
 
     /// The node, other than this one, that workers of a shard should report to.
-    pub fn holder_host(&self, shard: u32) -> Option<&str> {
+    pub fn remote_holder_host(&self, shard: u32) -> Option<&str> {
         let (shard, _) = self.shards.get(&shard)?;
         let live = self.live_controllers.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
         (live && shard.identity != self.identity).then_some(shard.host.as_str())
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::layout::to_value;
-use super::segments::Scale;
+use super::segments::WeightBudget;
 use crate::jobs::{OpenJob, Placed, TaskId};
 use crate::machines::Machine;
 use crate::ranges::Ranges;
@@ -17,14 +17,14 @@
 
 /// Nothing more is placed in a shard whose record of the first layout has so
 /// much of a value's limit: what is left is for the ends of what is placed.
-const SPARE: f64 = 0.7;
+const LEGACY_PLACEMENT_SIZE_FRACTION: f64 = 0.7;
 /// Bytes of a record of completed tasks.
 const COMPLETED_RECORD_BYTES: usize = 900;
 
 impl Core {
     /// What of a segment's completed tasks and last attempts is still of use, with
     /// what it takes over from a record of the first layout.
-    fn carried(&self, id: SegmentId) -> SegmentRecord {
+    fn carried_history(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
         let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
         let inherited = self.inherited.get(&id).map(|i| (&i.done, &i.tries));
@@ -48,7 +48,7 @@
                 }
             }
         }
-        for machine in self.to_cover(id) {
+        for machine in self.machines_to_cover(id) {
             record.machines.insert(machine.to_string(), Vec::new());
         }
         record
@@ -61,36 +61,36 @@
     /// one machine than could be cut into pieces within them. Then as many ends
     /// are taken in at a time as fit; neighbours that have ended join again.
     fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placed)>) {
-        let (mut ends, mut most) = (usize::MAX, usize::MAX);
+        let (mut max_exits, mut max_proposals) = (usize::MAX, usize::MAX);
         loop {
-            let (record, proposals, taken) = self.segment_record_with(id, ends, most);
+            let (record, proposals, exits) = self.bounded_segment_record(id, max_exits, max_proposals);
             let fits = stored_size(&self.segment_value(id, &record)) <= self.limits().value;
-            if fits || (taken == 0 && proposals.is_empty()) {
+            if fits || (exits == 0 && proposals.is_empty()) {
                 return (record, proposals);
             }
             if proposals.is_empty() {
-                ends = taken / 2;
+                max_exits = exits / 2;
             } else {
-                most = proposals.len() / 2;
+                max_proposals = proposals.len() / 2;
             }
         }
     }
 
     /// The same with the first so many ends and proposals; and how many ends
     /// there were.
-    pub(super) fn segment_record_with(
+    pub(super) fn bounded_segment_record(
         &self,
         id: SegmentId,
-        ends: usize,
-        most: usize,
+        max_exits: usize,
+        max_proposals: usize,
     ) -> (SegmentRecord, Vec<(TaskId, Placed)>, usize) {
         let limits = self.limits();
-        let mut taken = 0;
-        let most_jobs = limits.changes * 3;
-        let mut record = self.carried(id);
+        let mut exits = 0;
+        let max_jobs = limits.changes * 3;
+        let mut record = self.carried_history(id);
         let mut proposals = Vec::new();
-        let mut names: HashMap<Arc<str>, u32> = HashMap::new();
-        let mut waiting: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
+        let mut job_indices: HashMap<Arc<str>, u32> = HashMap::new();
+        let mut proposed: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
         let whole = id.segment.is_none();
         let here =
             |m: &&Machine| m.shard == id.shard && (whole || m.segment == id.segment) && !m.tasks.is_empty();
@@ -101,13 +101,13 @@
                     continue;
                 };
                 if !p.committed {
-                    waiting.push((job.rank(), p.since, task.clone(), p.clone()));
+                    proposed.push((job.rank(), p.since, task.clone(), p.clone()));
                     continue;
                 }
-                let exit = job.exits.get(&task.index).filter(|e| e.attempt == p.attempt && taken < ends);
-                taken += usize::from(exit.is_some());
+                let exit = job.exits.get(&task.index).filter(|e| e.attempt == p.attempt && exits < max_exits);
+                exits += usize::from(exit.is_some());
                 match exit {
-                    None => add_task(&mut record, &mut names, task, p),
+                    None => add_task_span(&mut record, &mut job_indices, task, p),
                     Some(_) if !job.is_open() => {}
                     Some(exit) if exit.done => {
                         record.done.entry(task.job.to_string()).or_default().insert(task.index);
@@ -120,10 +120,10 @@
             }
         }
         // What is most urgent goes into the record first, then what has waited.
-        waiting.sort_by(|a, b| (a.0, a.1, &a.2).cmp(&(b.0, b.1, &b.2)));
-        let mut asked: BTreeSet<Arc<str>> = BTreeSet::new();
-        let mut scale = Scale::new(&record, limits.value, whole);
-        for (_, _, task, p) in waiting {
+        proposed.sort_by(|a, b| (a.0, a.1, &a.2).cmp(&(b.0, b.1, &b.2)));
+        let mut proposed_jobs: BTreeSet<Arc<str>> = BTreeSet::new();
+        let mut budget = WeightBudget::new(&record, limits.value, whole);
+        for (_, _, task, p) in proposed {
             // A task is placed only while its job is open and the record of the
             // job, to whose version the unit is bound, allocates it to the shard.
             let Some(job) = self.open_job(&task.job) else { continue };
@@ -132,19 +132,19 @@
                 continue;
             }
             // A value and a transaction have limits: the rest waits.
-            let bound = !asked.contains(&task.job) && asked.len() >= most_jobs;
-            if bound || proposals.len() >= most || !scale.take(&task, &p) {
+            let job_limit_reached = !proposed_jobs.contains(&task.job) && proposed_jobs.len() >= max_jobs;
+            if job_limit_reached || proposals.len() >= max_proposals || !budget.try_add(&task, &p) {
                 continue;
             }
-            asked.insert(task.job.clone());
+            proposed_jobs.insert(task.job.clone());
             if let Some(tries) = record.tries.get_mut(&*task.job) {
                 tries.remove(&task.index);
             }
-            add_task(&mut record, &mut names, &task, &p);
+            add_task_span(&mut record, &mut job_indices, &task, &p);
             proposals.push((task, p));
         }
         record.tries.retain(|_, t| !t.is_empty());
-        (record, proposals, taken)
+        (record, proposals, exits)
     }
 
     /// What is to be committed of a segment, with what is proposed in it.
@@ -156,9 +156,9 @@
         let key = id.key();
         let old = self.segments.get(&id);
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
-        if !self.is_mixed() && id.segment.is_none() {
+        if !self.uses_legacy_layout() && id.segment.is_none() {
             // Never written again: dropped once segments have all of it.
-            let moved = old.is_some() && self.is_moved(id.shard);
+            let moved = old.is_some() && self.is_migration_complete(id.shard);
             let changes = vec![Change::Drop { key }];
             return moved.then_some((AtomicUpdate { conditions, changes }, Vec::new()));
         }
@@ -184,7 +184,7 @@
     /// this is its final form already. That none was placed is certain only once
     /// the copy has caught up with the record, which may have been read by itself:
     /// what the leader took back from a shard may have been placed there before.
-    pub fn withdrawal(&self, id: &str) -> Option<(JobRecord, u64)> {
+    pub fn withdrawn_record(&self, id: &str) -> Option<(JobRecord, u64)> {
         let job = self.open_job(id)?;
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
@@ -222,7 +222,7 @@
             let done = job.record.done.unwrap_or(0).max(job.done.len());
             job.record.compact(job.record.stage, done)
         } else {
-            self.allocations(job)
+            self.record_with_allocations(job)
         };
         if record.spec.is_some() {
             conditions.push(Condition { key: records::LEADER.into(), version: leadership? });
@@ -231,17 +231,19 @@
             return None;
         }
         let mut changes = Vec::new();
-        if !self.is_mixed() && record.spec.is_some() && !record.legacy_done.is_empty() {
+        if !self.uses_legacy_layout() && record.spec.is_some() && !record.legacy_done.is_empty() {
             // A record of the second layout has no completed tasks: they get
             // records of their own first, or with it if one transaction will do.
             let completed_records = self.missing_completed_records(id, job);
-            let most = self.limits().changes;
-            let all = completed_records.len() < most;
-            for (key, fold) in completed_records.into_iter().take(if all { most } else { most.min(8) }) {
+            let max_changes = self.limits().changes;
+            let fits = completed_records.len() < max_changes;
+            for (key, completed) in
+                completed_records.into_iter().take(if fits { max_changes } else { max_changes.min(8) })
+            {
                 conditions.push(Condition { key: key.clone(), version: self.version(&key) });
-                changes.push(Change::Set { key, value: to_value(&fold), lease: None });
+                changes.push(Change::Set { key, value: to_value(&completed), lease: None });
             }
-            if !all {
+            if !fits {
                 return Some((AtomicUpdate { conditions, changes }, Vec::new()));
             }
             record.legacy_done = Default::default();
@@ -265,7 +267,7 @@
 
     /// A job's record with this leader's decisions. While the first layout is in
     /// force, what is done is noted in it as well, so that shards need not.
-    pub(super) fn allocations(&self, job: &OpenJob) -> JobRecord {
+    pub(super) fn record_with_allocations(&self, job: &OpenJob) -> JobRecord {
         let mut record = job.record.clone();
         if job.allocating.is_empty() && job.revoking.is_empty() {
             return record;
@@ -279,12 +281,12 @@
                 *allocated = allocated.without(ranges);
             }
         }
-        if self.is_mixed() {
+        if self.uses_legacy_layout() {
             record.legacy_done = record.legacy_done.union(&job.done);
         }
         for allocated in record.allocated.values_mut() {
             *allocated = allocated.without(&job.done);
-            if !self.is_mixed() {
+            if !self.uses_legacy_layout() {
                 *allocated = allocated.bridge(&job.done);
             }
         }
@@ -303,24 +305,30 @@
     }
 
     /// Whether a shard's one record of the first layout has no room for more.
-    pub(super) fn is_record_full(&self, shard: u32) -> bool {
-        let limit = self.limits().value as f64 * SPARE;
-        self.is_mixed() && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
+    pub(super) fn is_legacy_record_full(&self, shard: u32) -> bool {
+        let limit = self.limits().value as f64 * LEGACY_PLACEMENT_SIZE_FRACTION;
+        self.uses_legacy_layout()
+            && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
     }
 }
 
 /// Adds a task to a record of what runs.
-fn add_task(record: &mut SegmentRecord, names: &mut HashMap<Arc<str>, u32>, task: &TaskId, p: &Placed) {
+fn add_task_span(
+    record: &mut SegmentRecord,
+    job_indices: &mut HashMap<Arc<str>, u32>,
+    task: &TaskId,
+    p: &Placed,
+) {
     let jobs = &mut record.jobs;
-    let job = *names.entry(task.job.clone()).or_insert_with(|| {
+    let job = *job_indices.entry(task.job.clone()).or_insert_with(|| {
         jobs.push(task.job.to_string());
         jobs.len() as u32 - 1
     });
     let spans = record.machines.entry(p.machine.to_string()).or_default();
-    let joins = |s: &&mut Span| {
+    let extends_span = |s: &&mut Span| {
         s.job == job && s.last + 1 == task.index && s.attempt == p.attempt && s.session == p.session
     };
-    match spans.last_mut().filter(joins) {
+    match spans.last_mut().filter(extends_span) {
         Some(span) => span.last = task.index,
         None => spans.push(Span {
             job,
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -131,7 +131,7 @@
     /// Leaves this process's mark that it knows the new layout and, as leader,
     /// makes the switch to it once all members have left theirs.
     async fn settle_layout(&self) {
-        for step in [Core::mark_transaction, Core::switch_transaction] {
+        for step in [Core::supported_layout_transaction, Core::layout_switch_transaction] {
             let ready = |core: &mut Core| core.role.lease.and_then(|_| step(core));
             let Some(transaction) = self.with(ready) else { continue };
             match self.state.transact(&transaction, true).await {
@@ -221,7 +221,7 @@
     /// As leader, leases shards that nobody holds, and evens out the others.
     async fn lease_shards(&self) {
         let (leases, transaction) = self.with(|core| {
-            let leases = core.wanted_leases(now());
+            let leases = core.plan_leases(now());
             let transaction = core.lease_transaction(&leases);
             (leases, transaction)
         });
@@ -277,7 +277,8 @@
     /// Placements go with the shards; all nodes write what users ask of them.
     pub(crate) fn set_rates(&self) {
         let params = &self.settings.params;
-        let (share, mixed, limits) = self.with(|core| (core.write_share(), core.is_mixed(), core.limits()));
+        let (share, mixed, limits) =
+            self.with(|core| (core.write_share(), core.uses_legacy_layout(), core.limits()));
         self.committer.set_max_changes(limits.changes);
         // The next limits come without notice: the first refusal tells of them.
         self.state.expect_less(!mixed && params.state.next.is_some());
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -103,7 +103,7 @@
             }
             UpdateResult::Refused(_) | UpdateResult::Unknown(_) => sleep(PAUSE).await,
         }
-        self.with(|core| core.group_written(&group.name));
+        self.with(|core| core.finish_group_write(&group.name));
     }
 
     async fn probe(&self, id: Arc<str>, address: String) {
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -74,7 +74,7 @@
             // Units are put together when they can go, so that each has all that
             // its job has to commit by then.
             // Records of machines wait there as well; they must not keep these out.
-            let others = self.with(|core| core.groups_on_way());
+            let others = self.with(|core| core.group_writes_in_flight());
             let enough = self.committer.enough();
             loop {
                 // What can wait leaves room for what can't, in the queue as well.
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -161,7 +161,7 @@
                 return self.unless_known(&id, 422, &error).await;
             }
         }
-        if spec.is_service() && self.with(|core| core.is_mixed()) {
+        if spec.is_service() && self.with(|core| core.uses_legacy_layout()) {
             // A controller of the first version would take it for something else.
             return Reply::busy("services are not taken before all controllers know them", 5);
         }
@@ -323,7 +323,7 @@
                 return self.withdraw_away(id).await;
             }
             let key = records::job_key(id);
-            let Some((record, version)) = self.with(|core| core.withdrawal(id)) else {
+            let Some((record, version)) = self.with(|core| core.withdrawn_record(id)) else {
                 continue;
             };
             let value = self.with(|core| core.job_value(&record));
--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -503,7 +503,7 @@
 
     pub fn assert_rules_kept(&self) {
         for (host, node) in self.running.lock().unwrap().iter() {
-            assert_eq!(node.with(|core| core.copy_faults()), Vec::<String>::new(), "{host}");
+            assert_eq!(node.with(|core| core.replica_inconsistencies()), Vec::<String>::new(), "{host}");
         }
         assert_eq!(self.referee.broken(), Vec::<String>::new());
     }
--- a/crates/dapplecroft-controller/tests/stories/fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/fleet.rs
@@ -73,7 +73,7 @@
             // known yet.
             assert!(begun.elapsed() < Duration::from_secs(30), "{id} took {:?}", begun.elapsed());
         }
-        let on_way = |n: usize| c.node(n).with(|core| core.groups_on_way());
+        let on_way = |n: usize| c.node(n).with(|core| core.group_writes_in_flight());
         most = (0..3).map(on_way).max().unwrap_or(0).max(most);
         pause(0.2).await;
     }
