--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -172,7 +172,7 @@
 
     fn withdraw_visit_update(&self, request: &VisitRequest) -> Option<AtomicUpdate> {
         let conditions = self.visit_conditions(request.from, request.job)?;
-        let (record, _) = self.withdrawn_record(request.job)?;
+        let (record, _) = self.cancelled_job_record(request.job)?;
         let key = records::job_key(request.job);
         let value = self.job_value(&record);
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -1,6 +1,6 @@
-//! The records of machines, a group at a time: who belongs to which shard,
-//! where workers listen, what its holder has given up, what the leader has
-//! released.
+//! Records of machine groups. A group's record says which shard its machines belong to,
+//! the addresses of their workers, and which machines the shard's holder has given up.
+//! Machines that the leader has released are removed from it.
 
 use super::layout::to_value;
 use super::{Core, Group, reindex};
@@ -12,59 +12,62 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Addresses are written for one group at a time, this far apart: hundreds of
-/// machines that come up together must not use up the writes.
+/// Minimum time between two writes of a group's record only for addresses of its
+/// workers. Hundreds of machines that start together must not use up the write rate of
+/// the state service.
 const ADDRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Machines whose tasks take about a kilobyte of their shard's record, with a
-/// wide margin for many small tasks.
+/// Number of machines in a shard per kilobyte of the value size limit. Their tasks take
+/// less than that in the shard's record, with a wide margin for many small tasks.
 const SHARD_MACHINES_PER_RECORD_KB: f64 = 6.0;
 
-/// A change of a group's record.
+/// A write of a group's record that is to be committed.
 #[derive(Debug, Clone)]
 pub struct GroupUpdate {
-    /// The group.
+    /// Name of the group.
     pub name: Arc<str>,
-    /// The unit.
+    /// Conditions and changes of the commit.
     pub update: AtomicUpdate,
 }
 
-/// In which order groups' records are written.
+/// Reasons to write a group's record, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum GroupWritePriority {
-    /// Machines of it were released.
+    /// Machines of the group were released.
     Released,
-    /// It is not recorded yet.
+    /// The group has no record yet.
     New,
-    /// Its holder has given machines up.
+    /// The shard's holder has given up machines of the group.
     GivenUp,
-    /// It has to move into smaller ones.
+    /// The group has to be split into smaller ones.
     NeedsSplit,
-    /// Addresses of its machines are known and not recorded.
+    /// Addresses of the group's workers are known but not recorded.
     Addresses,
 }
 
-/// A machine that left a group's record.
+/// A machine that was removed from a group's record.
 #[derive(Debug, Clone)]
 pub(super) struct DepartedMachine {
-    /// The revision with which it left.
+    /// Revision at which the machine was removed.
     revision: u64,
+    /// Id of the machine.
     machine: Arc<str>,
+    /// Name of the group that it was in.
     group: Arc<str>,
 }
 
-/// What becomes of a group's record.
+/// How this process has to write a group's record.
 enum GroupWrite {
-    /// It is written or dropped.
+    /// Commit this update, which writes or deletes the record.
     Update(AtomicUpdate),
-    /// Nothing was ever recorded of it, and nothing needs to be.
+    /// Drop the group from memory: it was never recorded and needs no record.
     Forget,
-    /// Another process has to write it.
+    /// Do nothing: only another process may write the record.
     NotAllowed,
 }
 
-/// Takes as many newly given up machines out of a record as it takes to fit a
-/// value of `limit` bytes; they are given up later.
+/// Resets the given-up mark of newly given up machines, the last ones first, until the
+/// record fits into `limit` bytes. These machines are marked by a later write.
 fn limit_newly_given_up(record: &mut GroupRecord, old: &GroupRecord, limit: usize) {
     let fresh: Vec<String> = record
         .machines
@@ -83,8 +86,8 @@
 }
 
 impl Core {
-    /// Begins a group of machines that this leader rented or takes in, or as
-    /// many as their records need to fit a value each.
+    /// Creates a group of machines that this leader has rented or adopted. If its record
+    /// would not fit a value, the machines are split among several groups.
     pub(super) fn new_group(&mut self, name: &str, record: GroupRecord) {
         let records =
             if self.uses_legacy_layout() { vec![record] } else { record.split(self.limits().value) };
@@ -96,8 +99,8 @@
         self.wakeups.fleet = true;
     }
 
-    /// Whether a group's record is too large to be written again, or some of
-    /// its machines are in others already that take its place.
+    /// Whether a group has to be split: its record is too large to be written again, or
+    /// a split has begun and some of its machines are in other groups already.
     fn needs_split(&self, name: &str, group: &Group) -> bool {
         let is_elsewhere = |id: &String| {
             let own = self.machines.get(id.as_str()).and_then(|m| m.group.as_deref());
@@ -109,9 +112,10 @@
             && (group.record.bytes() > max_bytes || group.record.machines.keys().any(is_elsewhere))
     }
 
-    /// The next step of a group's move into smaller ones: some of its machines
-    /// get a record that is newer and so has them from then on; when none is
-    /// left, the outgrown one is dropped without ever being written again.
+    /// The next step of splitting a group. It writes some of the remaining machines into
+    /// a new group's record; since that record is newer, the machines belong to the new
+    /// group from then on. When no machine remains, the step deletes the old record,
+    /// which is never written again.
     fn split_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
@@ -137,9 +141,9 @@
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
 
-    /// Takes note of machines that have left their group's record, once all that
-    /// came before that is known: those that are in no other were released, and
-    /// the release was answered.
+    /// Removes machines that are no longer in their group's record, once the replica has
+    /// caught up with the revision of that change. A machine that no other group has by
+    /// then was released, and the cloud has confirmed the release.
     pub(super) fn remove_departed_machines(&mut self, now: Instant) {
         let applied_revision = self.applied_revision;
         let departed = std::mem::take(&mut self.departed);
@@ -156,28 +160,30 @@
         }
     }
 
-    /// Whether a machine is in a group that is not committed yet.
+    /// Whether a machine is in a group whose record is not committed yet.
     pub(super) fn is_in_uncommitted_group(&self, machine: &str) -> bool {
         self.groups.values().any(|g| g.version == 0 && g.record.machines.contains_key(machine))
     }
 
-    /// Whether a machine belongs to a group, committed or about to be. No
-    /// machine may join two: its shard would change under the tasks on it. A
-    /// machine can report, or be listed, before the answer to its rental is
-    /// known, and is then taken in; the answer must not bring it a second time.
+    /// Whether a machine belongs to a group, committed or not. No machine may be in two
+    /// groups, since its shard would change while it has tasks. A machine can send a
+    /// heartbeat, or appear in the cloud's list, before the response to its rental has
+    /// arrived. It is then adopted, and the late response must not add it a second time.
     pub(super) fn is_grouped(&self, machine: &str) -> bool {
         self.machines.get(machine).is_some_and(|m| m.group.is_some()) || self.is_in_uncommitted_group(machine)
     }
 
-    /// How many machines a shard has at most: what runs on them is one record,
-    /// and the fewer records, the fewer changes.
+    /// Maximum number of machines in a shard. Without an option it follows from the value
+    /// size limit, between 10 and 200: large shards need fewer records, and so fewer
+    /// changes per transaction, but their tasks were one record in layout 1.
     pub(super) fn max_shard_machines(&self) -> usize {
         let by_value = (self.settings.params.state.value_kb * SHARD_MACHINES_PER_RECORD_KB) as usize;
         self.options.shard_machines.unwrap_or(by_value.clamp(10, 200))
     }
 
-    /// The shard that further machines join, and how many: the fullest with
-    /// room left, else a new one.
+    /// The shard that new machines join, and how many more it may get: the fullest shard
+    /// with room left, or else a new one. `taken` counts machines that were assigned to
+    /// shards but are not in any group yet.
     pub(super) fn shard_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
         let max_machines = self.max_shard_machines();
         let sizes = self.shard_sizes();
@@ -188,14 +194,14 @@
         numbers.dedup();
         let with_room = numbers.iter().copied().filter(|b| size(*b) < max_machines);
         let shard = with_room.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
-        // The lowest number that is not in use.
+        // The lowest number that no shard has.
         let unused = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
         let shard = shard.unwrap_or(unused);
         (shard, max_machines - size(shard))
     }
 
-    /// Group records that differ from what is known, as far as this process may
-    /// write them.
+    /// Writes of group records that are due and that this process may make. The caller
+    /// passes the machines to be given up and the machines that were released.
     pub(super) fn group_updates(
         &mut self,
         give_up: &BTreeSet<Arc<str>>,
@@ -211,9 +217,9 @@
         let released_groups = self.groups_containing(released);
         let given_up_groups = self.groups_containing(give_up);
         let must_write = |name: &str| released_groups.contains(name) || given_up_groups.contains(name);
-        // A wave of lost machines touches nearly all groups, again and again.
-        // Few are written at a time, or allocations and placements would wait
-        // behind them until the wave is over.
+        // When many machines are lost within a short time, nearly all groups have to be
+        // written repeatedly. Only a few writes may be in flight, as allocations and
+        // placements would otherwise wait behind them until the losses are over.
         let max_in_flight = (self.limits().changes / 2).max(2);
         let max_updates = max_in_flight.saturating_sub(self.group_writes_in_flight());
         for name in self.groups_to_write(&released_groups, &given_up_groups, write_addresses) {
@@ -252,8 +258,8 @@
         updates
     }
 
-    /// Splits groups that are not committed and too large for a record: they were
-    /// decided on before the layout was switched.
+    /// Splits groups that are not committed and whose records would be too large. They
+    /// were created before the switch to layout 2.
     fn split_large_uncommitted_groups(&mut self) {
         let limit = self.limits().value;
         let large: Vec<Arc<str>> = self
@@ -270,12 +276,12 @@
         }
     }
 
-    /// The groups that have these machines.
+    /// Names of the groups that these machines belong to.
     fn groups_containing(&self, machines: &BTreeSet<Arc<str>>) -> BTreeSet<Arc<str>> {
         machines.iter().filter_map(|id| self.machines.get(id)?.group.clone()).collect()
     }
 
-    /// Groups whose records may have to be written, the most important first.
+    /// Names of groups whose records may have to be written, the most important first.
     fn groups_to_write(
         &self,
         released: &BTreeSet<Arc<str>>,
@@ -285,7 +291,7 @@
         let leads = self.role.leadership.is_some();
         let priority = |name: &Arc<str>, group: &Group| match () {
             () if group.writing => None,
-            // What ran on released machines waits for it elsewhere.
+            // Tasks of released machines are placed elsewhere only after this write.
             () if released.contains(name) => Some(GroupWritePriority::Released),
             () if group.version == 0 => Some(GroupWritePriority::New),
             () if given_up.contains(name) => Some(GroupWritePriority::GivenUp),
@@ -299,7 +305,8 @@
         names.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// A group's record as this process would write it.
+    /// A group's record with the changes that this process may make: given up machines
+    /// and addresses as the shard's holder, released machines as the leader.
     fn updated_group_record(
         &self,
         group: &Group,
@@ -325,7 +332,8 @@
         record
     }
 
-    /// How a group's record is written, if this process may.
+    /// Decides how a group's record is written, and on which conditions. Only the leader
+    /// may create a record or remove machines from it.
     fn group_write(&self, name: &str, record: &GroupRecord) -> GroupWrite {
         let Some(group) = self.groups.get(name) else { return GroupWrite::NotAllowed };
         let key = records::group_key(name);
@@ -349,6 +357,7 @@
         GroupWrite::Update(AtomicUpdate { conditions, changes: vec![change] })
     }
 
+    /// Marks a group's record as being written.
     fn begin_group_write(&mut self, name: &Arc<str>, update: AtomicUpdate) -> GroupUpdate {
         if let Some(group) = self.groups.get_mut(name) {
             group.writing = true;
@@ -356,12 +365,13 @@
         GroupUpdate { name: name.clone(), update }
     }
 
-    /// How many records of groups are about to be committed.
+    /// Number of group records with a commit in flight.
     pub fn group_writes_in_flight(&self) -> usize {
         self.groups.values().filter(|g| g.writing).count()
     }
 
-    /// Notes the end of a write; what was not made is worked out again.
+    /// Marks the write of a group's record as finished, whatever its outcome. Changes that
+    /// were not committed are found again by the next [`Core::group_updates`].
     pub fn finish_group_write(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.writing = false;
@@ -370,7 +380,8 @@
         self.wakeups.fleet = true;
     }
 
-    /// Takes in machines that no record names, as leader.
+    /// Creates groups, as leader, for machines that a heartbeat or the cloud's list has
+    /// shown and that are in no group's record.
     pub(super) fn adopt_machines(&mut self, found: Vec<Machine>) {
         let Some(term) = self.role.leadership else { return };
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
@@ -391,8 +402,9 @@
         }
     }
 
-    /// Brings the machines of a group up to its record. A machine that is no
-    /// longer in it was released, and the release was answered.
+    /// Updates the machines of a group from a new version of its record; `None` means
+    /// that the record was deleted. Machines that the record no longer has are removed
+    /// by [`Core::remove_departed_machines`].
     pub(super) fn apply_group(
         &mut self,
         name: &str,
@@ -419,7 +431,7 @@
                 let machine =
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(&id, record.shard, now));
                 let is_new = machine.group.is_none();
-                // A newer group that it has moved to keeps it.
+                // After a split the machine belongs to the group with the newer record.
                 let other_group =
                     machine.group.as_ref().filter(|g| **g != name).and_then(|g| self.groups.get(g));
                 if other_group.is_some_and(|g| g.version > version && g.record.machines.contains_key(&*id)) {
@@ -448,7 +460,8 @@
         self.wakeups.fleet = true;
     }
 
-    /// Forgets a released machine once no placement names it.
+    /// Takes a released machine out of its group, and removes it from memory if no
+    /// placement refers to it any more.
     pub(super) fn forget_machine(&mut self, id: &str) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.group = None;
@@ -461,7 +474,8 @@
         }
     }
 
-    /// Gives machines what their types have, once both are known.
+    /// Sets the capacity of machines from the catalog of machine types, as far as the
+    /// catalog and the machines' types are known.
     pub(super) fn set_machine_capacities(&mut self) {
         let Some(catalog) = &self.catalog else { return };
         let sizes: BTreeMap<&str, _> = catalog
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -1,10 +1,10 @@
-//! Which layout of the records is in force, how values are written in it, and
-//! the one switch from the first layout to the second.
+//! The layout of the stored records: which one is in force, how values are written in
+//! it, and the one-time switch from layout 1 to layout 2.
 //!
-//! The switch is a record. The leader writes it once every configured member
-//! has a mark that says that it was once seen to know the new layout; nothing
-//! else tells that it was made. Until a process has read that record it writes
-//! what the first version can read.
+//! Every controller writes a record that says which layout it supports. When those of
+//! all configured members support layout 2, the leader writes the record of the layout
+//! in force, and only that record means that the switch has been made. Until a process
+//! has read it, it writes values that programs of the first version can read.
 
 use super::Core;
 use crate::legacy;
@@ -20,38 +20,43 @@
 }
 
 impl Core {
-    /// Whether some member may still be of the first version.
+    /// Whether records are still written in layout 1, because a member may still run
+    /// the first version of the program.
     pub fn uses_legacy_layout(&self) -> bool {
         self.format < LAYOUT
     }
 
-    /// What the state service takes. Once the layout allows it, all is kept
-    /// within what it will take some day, since it does not say when.
+    /// Size limits of the state service that records and transactions must respect. In
+    /// layout 2 they include the announced future limits, since the state service does
+    /// not announce when those will apply.
     pub fn limits(&self) -> SizeLimits {
         let state = &self.settings.params.state;
         if self.uses_legacy_layout() { state.present() } else { state.lasting() }
     }
 
-    /// A job's record as it is written now.
+    /// Encodes a job's record in the layout in force.
     pub fn job_value(&self, record: &JobRecord) -> Value {
         if self.uses_legacy_layout() { legacy::write_job(record) } else { to_value(record) }
     }
 
-    /// A record of what runs as it is written now.
+    /// Encodes a segment's record; that of a whole shard always in layout 1.
     pub(super) fn segment_value(&self, id: SegmentId, record: &SegmentRecord) -> Value {
         if id.segment.is_none() { legacy::write_segment(record) } else { to_value(record) }
     }
 
-    /// A group of machines as it is written now.
+    /// Encodes a machine group's record in the layout in force.
     pub(super) fn group_value(&self, record: &GroupRecord) -> Value {
         if self.uses_legacy_layout() { legacy::write_group(record) } else { to_value(record) }
     }
 
-    /// Takes over the record of the layout in force.
+    /// Applies the record of the layout in force. If this program does not support that
+    /// layout, the process ends.
     pub(super) fn apply_layout(&mut self, layout: u32, now: Instant) {
         if layout > LAYOUT {
-            // Nothing that this process would do now could be right.
-            self.ended = Some(format!("the records have layout {layout}, this program knows {LAYOUT}"));
+            // This process could neither read the records nor write valid ones.
+            self.ended = Some(format!(
+                "records use layout {layout}, but this program supports layouts up to {LAYOUT}"
+            ));
             self.wakeups.end = true;
             return;
         }
@@ -59,7 +64,7 @@
             return;
         }
         self.format = layout;
-        tracing::info!(layout, "all members know the new layout of the records: it is in force");
+        tracing::info!(layout, "all members support the new record layout; it is now in force");
         let held: Vec<u32> = self.role.leased_shards.keys().copied().collect();
         held.into_iter().for_each(|shard| self.plan_migration(shard, now));
         self.wakeups.role = true;
@@ -67,7 +72,8 @@
         self.wakeups.fleet = true;
     }
 
-    /// The transaction by which this process leaves its mark, if it is missing.
+    /// The transaction that records which layout this process supports, if that is not
+    /// recorded yet.
     pub fn supported_layout_transaction(&self) -> Option<Transaction> {
         let host = &self.settings.host_name;
         if self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT) {
@@ -79,7 +85,8 @@
         Some(Transaction { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// The transaction of the switch, once this leader may make it.
+    /// The transaction that switches the layout, if this process leads, its replica has
+    /// caught up with the start of its term, and all members support the new layout.
     pub fn layout_switch_transaction(&self) -> Option<Transaction> {
         let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -1,10 +1,12 @@
-//! Moving over from the first layout, in which all that runs in a shard is one
-//! value, however large, to bounded segments. That value may be too large to be
-//! written again, so it never is: segments take its place machine by machine, and
-//! it is dropped when they have taken all of it. Every step leaves a true
-//! state, from which whoever holds the shard then goes on.
+//! Migration of a shard's placements from layout 1, where they are one value of any
+//! size, to segments of bounded size.
 //!
-//! To be deleted with [`crate::legacy`].
+//! The old value may exceed the present size limit, so it is never written again.
+//! Segments take over its machines one by one, and the value is deleted when they have
+//! taken over all of it. The records are consistent after every step, so that the next
+//! holder of the shard can continue the migration.
+//!
+//! To be deleted together with [`crate::legacy`].
 
 use super::Core;
 use crate::ranges::Ranges;
@@ -13,19 +15,21 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes of completed tasks that one segment is given to take over.
+/// Maximum size of a piece of a job's completed tasks that is assigned to one segment.
 const HISTORY_CHUNK_BYTES: usize = 400;
 
-/// What a segment takes over besides its machines.
+/// History of tasks that a segment takes over from another record besides machines.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Inherited {
+    /// Completed tasks by job.
     pub done: BTreeMap<String, Ranges>,
+    /// Last attempts of unfinished tasks, by job and task index.
     pub tries: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
 impl Core {
-    /// As holder, decides which segment takes what of a shard's old record, and
-    /// asks for their commits behind all that is urgent.
+    /// Decides, as the shard's holder, which segment takes over which part of the layout 1
+    /// record, and queues the segments for commits with no urgency.
     pub(super) fn plan_migration(&mut self, shard: u32, _now: Instant) {
         let whole = SegmentId::whole(shard);
         if self.uses_legacy_layout() || !self.segments.contains_key(&whole) {
@@ -38,7 +42,7 @@
         for machine in old.machines.keys() {
             segments.extend(self.assign_segment(machine).filter(|p| p.segment.is_some()));
         }
-        // In pieces, each for whichever segment has room.
+        // Split the history into pieces, each for the first segment with room for it.
         let mut pieces: Vec<Inherited> = Vec::new();
         for (id, done) in done {
             for chunk in done.chunks(HISTORY_CHUNK_BYTES) {
@@ -83,13 +87,14 @@
         tracing::info!(
             block = shard,
             segments = segments.len(),
-            "what runs in a block moves over to segments"
+            "migrating the shard's placements to segments"
         );
         segments.into_iter().for_each(|segment| self.mark_segment(segment, false));
         self.mark_segment(whole, false);
     }
 
-    /// What of an old record's completed tasks and last attempts no segment has yet.
+    /// Completed tasks and last attempts of a layout 1 record that are still needed and
+    /// that no segment's record has yet.
     fn unmigrated_history(
         &self,
         shard: u32,
@@ -125,7 +130,7 @@
         (done, tries)
     }
 
-    /// Whether segments have taken over all of a shard's old record.
+    /// Whether segments have taken over everything in a shard's layout 1 record.
     pub(super) fn is_migration_complete(&self, shard: u32) -> bool {
         let Some(old) = self.segments.get(&SegmentId::whole(shard)) else { return false };
         let open = |span: &crate::records::Span| {
@@ -140,7 +145,8 @@
         all && done.is_empty() && tries.is_empty()
     }
 
-    /// Asks for what is left of a move.
+    /// Queues the remaining steps of a shard's migration: deletes the layout 1 record if
+    /// nothing is left in it, or else plans again if no step is planned or in flight.
     pub(super) fn continue_migration(&mut self, shard: u32, now: Instant) {
         let whole = SegmentId::whole(shard);
         if self.uses_legacy_layout() || !self.segments.contains_key(&whole) || !self.is_holder(shard) {
@@ -156,8 +162,8 @@
         }
     }
 
-    /// Names of machines that a segment has to speak for with nothing on them,
-    /// since an old record would speak for them otherwise.
+    /// Machines that a segment's record must list even if they have no tasks, because
+    /// otherwise the entries of the layout 1 record would still count for them.
     pub(super) fn machines_to_cover(&self, id: SegmentId) -> Vec<Arc<str>> {
         let Some(old) = self.segments.get(&SegmentId::whole(id.shard)).filter(|_| id.segment.is_some())
         else {
@@ -169,4 +175,5 @@
     }
 }
 
+/// Last attempts of unfinished tasks, by job and task index.
 type LastAttempts = BTreeMap<String, BTreeMap<u32, u64>>;
--- a/crates/dapplecroft-controller/src/core/record_replica/tests.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica/tests.rs
@@ -107,7 +107,7 @@
     let mut taken_back = job();
     taken_back["to"] = json!({});
     core.apply("dc/j/run-1", Some(taken_back.clone()), 12, now);
-    let is_final = |core: &Core| core.withdrawn_record("run-1").unwrap().0.spec.is_none();
+    let is_final = |core: &Core| core.cancelled_job_record("run-1").unwrap().0.spec.is_none();
     assert!(!is_final(&core), "a placement at 9 may not be known yet");
     let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
     core.follow(Followed { revision: 12, log }, now);
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,4 +1,4 @@
-//! What runs in each shard, as its record says, taken over into the copy.
+//! Applies segment records to this controller's replica of the placements.
 
 use super::{Core, Segment};
 use crate::jobs::{Job, Placed, Stop, TaskId};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A task that a segment's record has on a machine.
+/// A task that a segment's record places on a machine.
 struct RecordedTask {
     task: TaskId,
     machine: Arc<str>,
@@ -16,18 +16,18 @@
     session: u64,
 }
 
-/// How a segment's new record differs from what is known of its machines.
+/// Differences between a segment's new record and the placements in the replica.
 #[derive(Default)]
 struct SegmentDifference {
-    /// Tasks that the record no longer has.
+    /// Placements that the record no longer contains.
     removed: Vec<(TaskId, Placed)>,
-    /// Tasks on machines whose spans have changed.
+    /// All tasks that the record has on the machines whose spans have changed.
     recorded: Vec<RecordedTask>,
 }
 
 impl Core {
-    /// Brings what runs in a shard up to a segment's record. Only machines whose
-    /// spans changed are looked at.
+    /// Updates the replica from a new version of a segment's record. Only machines whose
+    /// spans changed are compared. A `size` of 0 means that the record was deleted.
     pub(super) fn apply_segment(
         &mut self,
         id: SegmentId,
@@ -38,7 +38,7 @@
     ) {
         let old = self.segments.remove(&id).unwrap_or_default();
         let difference = self.segment_difference(id, &old.record, &record);
-        // First what has left, then what has come: a task may have moved.
+        // Remove tasks before adding others: a task may have moved between machines.
         let mut jobs = self.remove_tasks(difference.removed);
         jobs.extend(self.add_recorded_tasks(id, version, difference.recorded, now));
         jobs.extend(self.jobs_with_changed_history(&old.record, &record));
@@ -66,7 +66,8 @@
         new: &SegmentRecord,
     ) -> SegmentDifference {
         let (before, mut after) = (spans_by_machine(old), spans_by_machine(new));
-        // Segments speak for their machines, whatever a whole shard's record says.
+        // For a machine that a segment's record lists, the layout 1 record of the whole
+        // shard is out of date.
         let elsewhere =
             |machine: &str| id.segment.is_none() && self.recorded_segment(id.shard, machine).is_some();
         after.retain(|machine, _| !elsewhere(machine));
@@ -83,7 +84,7 @@
         difference
     }
 
-    /// Adds to a difference what a record says of one machine.
+    /// Adds the differences of one machine.
     fn compare_machine(
         &self,
         id: SegmentId,
@@ -104,8 +105,8 @@
                 continue;
             };
             let stays = recorded.get(task).is_some_and(|(attempt, _)| *attempt == placed.attempt);
-            // What another segment has is for that one to say, unless this one takes
-            // over from a record of the first layout.
+            // A task that is recorded in another segment is removed only by that
+            // segment's record. This one also replaces the layout 1 record of the shard.
             let whole = SegmentId::whole(id.shard);
             let in_this_record = placed.segment == id || (placed.segment == whole && id.segment.is_some());
             if placed.committed && in_this_record && !stays {
@@ -120,7 +121,7 @@
         }));
     }
 
-    /// Takes tasks off their machines; returns their jobs.
+    /// Removes tasks from their machines; returns their jobs.
     fn remove_tasks(&mut self, removed: Vec<(TaskId, Placed)>) -> BTreeSet<Arc<str>> {
         let mut jobs = BTreeSet::new();
         for (task, placed) in removed {
@@ -134,8 +135,8 @@
         jobs
     }
 
-    /// Puts tasks on the machines on which a segment's record has them; returns
-    /// their jobs.
+    /// Places tasks on their machines as a segment's record has them; returns their
+    /// jobs.
     fn add_recorded_tasks(
         &mut self,
         id: SegmentId,
@@ -157,18 +158,19 @@
         jobs
     }
 
-    /// Whether another segment's newer record has a task. Single keys are read ahead
-    /// of the watch, and own commits are known at once, so it may be known by now.
-    /// At no time do two records have a task, so the newer one is right. Taken
-    /// over, the older one would hide the other's task until its own next version
-    /// drops it, and the task would seem to wait.
+    /// Whether a newer record of another segment has a task. Such a record can be known
+    /// before an older one, since single keys are read ahead of the watch and this
+    /// process's own commits are applied at once. At any revision at most one record
+    /// has the task, so the newer one is right. If the older record were applied, its
+    /// entry would replace the right one until its next version removes the task, and
+    /// the task would then appear to be waiting.
     fn has_newer_record_elsewhere(&self, id: SegmentId, version: u64, task: &TaskId) -> bool {
         let known = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
         let other = known.filter(|p| p.committed && p.segment != id);
         other.and_then(|p| self.segments.get(&p.segment)).is_some_and(|segment| segment.version > version)
     }
 
-    /// Puts one task on its machine; `false`: its job is over.
+    /// Places one task on its machine; returns `false` if its job is over.
     fn apply_recorded_task(&mut self, id: SegmentId, recorded_task: RecordedTask, now: Instant) -> bool {
         let RecordedTask { task, machine, attempt, session } = recorded_task;
         let Some(job) = self.open_job_mut(&task.job) else { return false };
@@ -181,9 +183,9 @@
                 placed.committed = true;
                 placed.since = now;
             }
-            // The same may have been proposed here, in an earlier session of the
-            // worker, and committed by another holder since: a session older than
-            // the record's would later pass for proof that the task is gone.
+            // This process may have proposed the same placement in an earlier session of
+            // the worker, and another holder may have committed it since. If the older
+            // session were kept, it would later count as proof that the task is gone.
             placed.session = session;
             placed.segment = id;
             placed.stop = stop.or(placed.stop);
@@ -203,7 +205,7 @@
             freed: false,
         };
         let resources = job.requirements.resources;
-        // A proposal of this process may have lost against the record.
+        // The record overrides a different placement that this process proposed.
         if let Some(lost) = job.placed.insert(task.index, placed) {
             self.unbook(&task, &lost, resources);
         }
@@ -211,8 +213,8 @@
         true
     }
 
-    /// Open jobs whose completed tasks or last attempts may differ between two
-    /// records.
+    /// Open jobs whose completed tasks or last attempts may differ between two versions
+    /// of a segment's record.
     fn jobs_with_changed_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
@@ -224,8 +226,7 @@
         done.chain(tries).filter_map(known).collect()
     }
 
-    /// Takes over what a segment's record says of a job's completed tasks and last
-    /// attempts.
+    /// Copies a job's completed tasks and last attempts from a segment's record.
     fn apply_history(&mut self, job_id: &str, id: SegmentId, record: &SegmentRecord) {
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
@@ -242,10 +243,10 @@
         job.exits.retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
     }
 
-    /// A shard's record can be known before a job that runs there, when it was
-    /// read by itself or keys were read page by page: what it says of the job is
-    /// taken over once the job is known. Else its tasks would seem to wait, and
-    /// be started a second time.
+    /// Applies again, for a job that has just become known, all segment records that
+    /// mention it. A segment's record can be read before the job's record, when it was
+    /// read singly or keys were listed page by page. Without this, tasks that already
+    /// run would appear to be waiting and be started a second time.
     pub(super) fn reapply_segments_with_job(&mut self, id: &Arc<str>, now: Instant) {
         let known: Vec<SegmentId> = self
             .segments
@@ -265,9 +266,10 @@
         }
     }
 
-    /// Tasks that two records have, and those that a record has on a machine and
-    /// this copy does not: none, unless another's newer record has them. For tests, and for
-    /// when a copy is in doubt; it goes over all that runs.
+    /// Describes each inconsistency between the segment records and this replica: tasks
+    /// that two records have, and recorded placements that the replica lacks, unless a
+    /// newer record of another segment has the task. Empty if all is well. Meant for
+    /// tests and for debugging: it visits every placement.
     pub fn replica_inconsistencies(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
@@ -280,7 +282,9 @@
                     let Some(job) = self.open_job(id) else { continue };
                     for index in span.first..=span.last {
                         if let Some(other) = seen.insert((id, index), *segment).filter(|o| o != segment) {
-                            faults.push(format!("{id}/{index} is in {other:?} and in {segment:?}"));
+                            faults.push(format!(
+                                "task {id}/{index} is recorded in both {other:?} and {segment:?}"
+                            ));
                         }
                         let placed = job.placed.get(&index);
                         let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
@@ -290,7 +294,7 @@
                         };
                         if !placed.is_some_and(|p| here(p) || moved(p)) {
                             faults.push(format!(
-                                "{id}/{index} is on {machine} ({segment:?}), known: {placed:?}"
+                                "{segment:?} has task {id}/{index} on {machine}, but the replica has {placed:?}"
                             ));
                         }
                     }
@@ -301,7 +305,7 @@
     }
 }
 
-/// All tasks of a record's spans.
+/// Spans of a record by machine, each with the id of its job.
 fn spans_by_machine(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
     record
         .machines
@@ -314,8 +318,8 @@
         .collect()
 }
 
-/// Whether spans name the same tasks; a job's position among the record's names
-/// may differ.
+/// Whether two lists of spans stand for the same tasks, attempts and sessions. The
+/// positions of the jobs in the records' lists of names may differ.
 fn same_tasks(old: &[(&str, Span)], new: &[(&str, Span)]) -> bool {
     let same = |((old_job, a), (new_job, b)): (&(&str, Span), &(&str, Span))| {
         let range = |span: &Span| (span.first, span.last, span.attempt, span.session);
@@ -324,7 +328,7 @@
     old.len() == new.len() && old.iter().zip(new).all(same)
 }
 
-/// Ranges of a record, or none.
+/// A job's ranges, empty if the map has none.
 fn ranges_of(map: &BTreeMap<String, Ranges>, id: &str) -> Ranges {
     map.get(id).cloned().unwrap_or_default()
 }
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -1,11 +1,13 @@
-//! The segments of what runs in a shard: each machine is in one, and each is a
-//! record of its own that no value's limit is too small for.
+//! Splits the placements of a shard into segments. Every machine belongs to one
+//! segment, and every segment is a separate record that stays within the state
+//! service's value size limit.
 //!
-//! A segment's *weight* is what its record takes and what ends of what it has may
-//! add, as far as they come in any usual order; nothing is placed beyond the
-//! limit less a reserve. Should ends come so scattered that they would not fit,
-//! those that do are recorded first, and the others as neighbours join
-//! ([`Core::next_segment_record`]). So no order of ends can make a record outgrow a value.
+//! A segment's *weight* is an estimate in bytes: the size of its record plus the
+//! growth to expect when its tasks exit in a usual order. Placement stops at a
+//! fraction of the size limit, which leaves a reserve. If tasks exit in so scattered
+//! an order that the record would not fit, only as many exits are recorded as fit,
+//! and the rest follow when neighbouring tasks have exited and their ranges join
+//! ([`Core::next_segment_record`]). So no order of exits can exceed the limit.
 
 use super::{CommitTarget, Core};
 use crate::jobs::{Placed, TaskId};
@@ -15,48 +17,52 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The part of a value's limit that a record's weight may reach.
+/// Fraction of the value size limit up to which tasks are placed in a segment.
 const SEGMENT_WEIGHT_FRACTION: f64 = 0.92;
-/// The same for the size of a record of the first layout.
+/// Fraction of the value size limit up to which tasks are added to the layout 1 record
+/// of a whole shard.
 const LEGACY_RECORD_SIZE_FRACTION: f64 = 0.85;
-/// Machines join a segment up to this weight, each counted with what one usually
-/// has: the fewer segments, the fewer changes, but one that has no room left keeps
-/// its machines from taking work.
+/// Fraction of the value size limit up to which machines are assigned to a segment,
+/// each counted with a machine's average weight. Fewer segments need fewer changes
+/// per transaction, but machines of a full segment cannot take more tasks.
 const MACHINE_ASSIGNMENT_FRACTION: f64 = 0.8;
-/// Two segments become one if they weigh no more than this together.
+/// Two segments are merged if their total weight is at most this fraction of the
+/// value size limit.
 const SEGMENT_MERGE_FRACTION: f64 = 0.55;
-/// What a machine is taken to weigh while none has anything.
+/// Weight assumed for a machine while no machine of the shard has tasks.
 const DEFAULT_MACHINE_WEIGHT_BYTES: usize = 60;
-/// What a group of neighbours takes, and what its ends may add.
+/// Size of a written span, that is, of neighbouring tasks of one job on a machine.
 const SPAN_BYTES: usize = 10;
+/// Expected growth of a span when some of its tasks have completed.
 const SPAN_COMPLETIONS_BYTES: usize = 4;
-/// The same for a job's name among others.
-const JOB_REFERENCE_BYTES: usize = 5;
+/// Size that a job takes in a record besides its name, with the entry that its
+/// completed tasks may add.
+const JOB_OVERHEAD_BYTES: usize = 5;
 
 fn machine_weight(id: &str) -> usize {
-    // Most have the beginning of their names in common.
+    // Most machine ids share a prefix, which is written only once.
     id.len() / 2 + 4
 }
 
-/// A task that joins its neighbour, or begins a group.
+/// Weight of a task that extends the preceding span, or else begins a new one.
 fn task_weight(extends_span: bool) -> usize {
     if extends_span { 1 } else { SPAN_BYTES + SPAN_COMPLETIONS_BYTES }
 }
 
-/// The weight of a record.
+/// Size of a record plus its expected growth by task exits.
 pub(super) fn record_weight(record: &SegmentRecord) -> usize {
     let spans = record.group_sizes().into_iter();
     let completions = spans.map(|n| if n > 1 { SPAN_COMPLETIONS_BYTES + n as usize / 4 } else { 0 });
     stored_size(&serde_json::to_value(record).unwrap_or_default())
         + completions.sum::<usize>()
-        + record.jobs.len() * JOB_REFERENCE_BYTES
+        + record.jobs.len() * JOB_OVERHEAD_BYTES
 }
 
-/// How a record's weight grows with what is placed.
+/// Tracks the weight of a record while proposed placements are added to it.
 pub(super) struct WeightBudget {
     weight: usize,
     max_weight: usize,
-    /// Whether it is one of the first layout.
+    /// Whether the record is a whole shard's record of layout 1.
     is_legacy: bool,
     last_added: Option<(TaskId, Arc<str>, u64)>,
     jobs: BTreeSet<String>,
@@ -64,7 +70,7 @@
 }
 
 impl WeightBudget {
-    /// What a record weighs so far.
+    /// Starts from the current content of a record.
     pub fn new(record: &SegmentRecord, limit: usize, is_legacy: bool) -> WeightBudget {
         let jobs = record.jobs.iter().chain(record.done.keys()).chain(record.tries.keys());
         let (weight, part) = if is_legacy {
@@ -82,14 +88,14 @@
         }
     }
 
-    /// Takes a placement in, if its weight lets it.
+    /// Adds a placement if the weight stays within the limit; returns whether it did.
     pub fn try_add(&mut self, task: &TaskId, p: &Placed) -> bool {
         let extends_span = self.last_added.as_ref().is_some_and(|(t, m, n)| {
             t.job == task.job && t.index + 1 == task.index && *m == p.machine && *n == p.attempt
         });
         let mut added = if self.is_legacy && !extends_span { SPAN_BYTES } else { task_weight(extends_span) };
         let (has_job, has_machine) = (self.jobs.contains(&*task.job), self.machines.contains(&*p.machine));
-        added += if has_job { 0 } else { task.job.len() + JOB_REFERENCE_BYTES };
+        added += if has_job { 0 } else { task.job.len() + JOB_OVERHEAD_BYTES };
         added += if has_machine { 0 } else { machine_weight(&p.machine) };
         if self.weight + added > self.max_weight {
             return false;
@@ -107,12 +113,13 @@
 }
 
 impl Core {
-    /// The records of a shard: the whole one of the first layout, then segments.
+    /// The records of a shard's placements: the layout 1 record of the whole shard,
+    /// if it exists, then the segments.
     pub(super) fn segments_of(&self, shard: u32) -> impl Iterator<Item = (&SegmentId, &super::Segment)> {
         self.segments.range(SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX))
     }
 
-    /// The segment whose record speaks for a machine, if any does.
+    /// The segment whose committed record lists a machine, if there is one.
     pub(super) fn recorded_segment(&self, shard: u32, machine: &str) -> Option<u32> {
         let in_it = |id: &SegmentId, l: &super::Segment| {
             id.segment.filter(|_| l.record.machines.contains_key(machine))
@@ -120,25 +127,27 @@
         self.segments_of(shard).find_map(|(id, l)| in_it(id, l))
     }
 
-    /// What a segment weighs with all that is proposed in it.
+    /// Weight of a segment including proposed placements and newly assigned machines.
     fn segment_weight(&self, id: &SegmentId) -> usize {
         let pending = self.pending.get(id).copied().unwrap_or(0);
         self.segments.get(id).map_or(0, |l| l.weight) + pending
     }
 
-    /// Whether a segment has no room for another task of a job.
+    /// Whether a segment has no room left for another task.
     pub(super) fn is_segment_full(&self, id: &SegmentId) -> bool {
         self.segment_weight(id) + 64 > (self.limits().value as f64 * SEGMENT_WEIGHT_FRACTION) as usize
     }
 
-    /// Whether a machine's segment has no room for more, and it can't change it.
+    /// Whether a machine can take no tasks because its segment is full, and it cannot
+    /// be assigned to another segment because it has tasks.
     pub(super) fn is_in_full_segment(&self, machine: &Machine) -> bool {
         let Some(segment) = machine.segment.filter(|_| !machine.tasks.is_empty()) else { return false };
         self.is_segment_full(&SegmentId::new(machine.shard, segment))
     }
 
-    /// The segment that a machine is in from now on. One on which nothing is and
-    /// which no record names may change it; no other.
+    /// Returns the segment of a machine, after assigning it to one if it has none. Only
+    /// a machine without tasks that no segment's record lists may move from a full
+    /// segment to another.
     pub(super) fn assign_segment(&mut self, id: &str) -> Option<SegmentId> {
         let machine = self.machines.get(id)?;
         let shard = machine.shard;
@@ -166,7 +175,8 @@
         Some(segment)
     }
 
-    /// What machines of a shard usually weigh.
+    /// Average weight of the shard's machines that have tasks, but at least a third of
+    /// the default.
     fn average_machine_weight(&self, shard: u32) -> usize {
         let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
         let used =
@@ -178,7 +188,8 @@
             .max(DEFAULT_MACHINE_WEIGHT_BYTES / 3)
     }
 
-    /// What tasks of a machine weigh with the names of their jobs.
+    /// Weight of those tasks of a machine that `counts` selects, with the references to
+    /// their jobs.
     fn machine_tasks_weight(&self, machine: &Machine, counts: impl Fn(&Placed) -> bool) -> usize {
         let mut previous: Option<(&TaskId, u64)> = None;
         let mut weight = 0;
@@ -187,12 +198,12 @@
             if counts(p) {
                 let same_job = previous.filter(|(t, _)| t.job == task.job);
                 let extends_span = same_job.is_some_and(|(t, n)| t.index + 1 == task.index && n == p.attempt);
-                // Other machines of the segment may have tasks of the job, too.
-                // Those that move here from a whole shard's record bring names.
+                // The segment's record probably lists the job already, for other
+                // machines. Tasks that migrate from a layout 1 record add its name.
                 let job_weight = if p.segment.segment.is_some() {
-                    JOB_REFERENCE_BYTES
+                    JOB_OVERHEAD_BYTES
                 } else {
-                    task.job.len() + JOB_REFERENCE_BYTES
+                    task.job.len() + JOB_OVERHEAD_BYTES
                 };
                 weight += task_weight(extends_span) + if same_job.is_some() { 0 } else { job_weight };
                 previous = Some((task, p.attempt));
@@ -201,9 +212,10 @@
         weight
     }
 
-    /// Takes another segment of the shard into this one if both together leave
-    /// enough room: the fewer segments, the fewer changes. The other one is emptied
-    /// in the transaction that writes this one.
+    /// Starts to merge the lightest other segment of the shard into this one if both
+    /// fit together with room to spare, since fewer segments need fewer changes per
+    /// transaction. The transaction that writes this segment empties the other one.
+    /// Returns the other segment.
     pub(super) fn merge_lightest_segment(&mut self, id: SegmentId) -> Option<SegmentId> {
         let segment = id.segment?;
         let (weight, max_weight) =
@@ -231,35 +243,37 @@
         Some(lightest)
     }
 
-    /// Whether a segment is being taken in by another just now.
+    /// Whether a merge of this segment into another one is in flight.
     pub(super) fn is_being_merged(&self, id: SegmentId) -> bool {
         self.absorbing.contains(&id)
     }
 
-    /// Ends of a segment that another has taken in are recorded there.
-    pub(super) fn finish_segment_merge(&mut self, other: SegmentId, by: SegmentId, now: Instant) {
-        self.absorbing.remove(&other);
-        self.commits.move_deferred_ends(other, by, now);
+    /// Completes a committed merge: exits of tasks of the segment `merged` are recorded in
+    /// the segment `into` from now on.
+    pub(super) fn finish_segment_merge(&mut self, merged: SegmentId, into: SegmentId, now: Instant) {
+        self.absorbing.remove(&merged);
+        self.commits.move_deferred_ends(merged, into, now);
         self.wakeups.flush = true;
     }
 
-    /// The same if it was not made after all: what a record says of its machines
-    /// counts.
-    pub(super) fn undo_segment_merge(&mut self, other: SegmentId, by: SegmentId) {
-        self.inherited.remove(&by);
-        self.absorbing.remove(&other);
-        let Some(record) = self.segments.get(&other).map(|l| l.record.machines.clone()) else { return };
+    /// Reverts a merge that was not committed: the machines that the record of the
+    /// segment `merged` lists are assigned to that segment again.
+    pub(super) fn undo_segment_merge(&mut self, merged: SegmentId, into: SegmentId) {
+        self.inherited.remove(&into);
+        self.absorbing.remove(&merged);
+        let Some(record) = self.segments.get(&merged).map(|l| l.record.machines.clone()) else { return };
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                machine.segment = other.segment;
+                machine.segment = merged.segment;
             }
         }
-        self.retarget_proposals(other.shard);
-        self.mark_segment(other, false);
+        self.retarget_proposals(merged.shard);
+        self.mark_segment(merged, false);
     }
 
-    /// As holder, puts machines into the segment whose record has just been found to
-    /// have them. No two may speak for one machine.
+    /// Called on the shard's holder after a segment's record was applied: assigns all
+    /// machines that the record lists to the segment, since no two segments may have the
+    /// same machine.
     pub(super) fn assign_recorded_machines(&mut self, id: SegmentId) {
         let Some(record) = self.segments.get(&id).map(|l| &l.record.machines) else { return };
         let mut moved = false;
@@ -277,7 +291,7 @@
         }
     }
 
-    /// What is proposed on a machine is recorded in the segment that it is in.
+    /// Moves proposed placements to the segments that their machines belong to now.
     fn retarget_proposals(&mut self, shard: u32) {
         let proposed: Vec<(TaskId, Option<u32>)> = self
             .machines
@@ -296,9 +310,9 @@
         }
     }
 
-    /// Sends machines that no record of a segment has yet to other segments until what
-    /// runs on the rest fits a value: what is committed must always fit, and only
-    /// what moves here from a record of the first layout may turn out not to.
+    /// Assigns machines that the segment's record does not list yet to other segments
+    /// until the tasks on the remaining ones fit a value. Committed tasks must always
+    /// fit. They can fail to only when they migrate here from a layout 1 record.
     pub(super) fn move_excess_machines(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
         let limit = self.limits().value;
@@ -335,7 +349,8 @@
         }
     }
 
-    /// Works out anew what is to come in a segment besides what its record has.
+    /// Recomputes the weight that proposed placements, newly assigned machines and
+    /// inherited history will add to a segment's record.
     pub(super) fn recompute_pending_weight(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
         let record = self.segments.get(&id).map(|l| &l.record);
@@ -362,7 +377,7 @@
         }
     }
 
-    /// Numbers of segments that are in use, recorded or not.
+    /// Numbers of the shard's segments that are in use, whether committed yet or not.
     pub(super) fn segment_numbers(&self, shard: u32) -> BTreeSet<u32> {
         let range = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
         let used = self.segments.range(range.clone()).filter(|(_, load)| !load.is_empty());
@@ -370,7 +385,8 @@
         recorded.chain(self.pending.range(range).filter_map(|(id, _)| id.segment)).collect()
     }
 
-    /// Counts a proposal in; returns whether its segment has room for it.
+    /// Adds the weight of a proposed placement to its segment; returns `false` and adds
+    /// nothing if the segment has no room for it.
     pub(super) fn try_reserve_weight(&mut self, task: &TaskId, segment: SegmentId) -> bool {
         if segment.segment.is_none() {
             return true;
@@ -388,7 +404,8 @@
         true
     }
 
-    /// As holder, learns from the records which machine is in which segment.
+    /// Assigns the machines of a newly leased shard to the segments whose records list
+    /// them.
     pub(super) fn load_machine_segments(&mut self, shard: u32) {
         let mut segments: BTreeMap<Arc<str>, u32> = BTreeMap::new();
         for (id, load) in self.segments_of(shard) {
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -1,5 +1,5 @@
-//! Leases of machine shards: which the leader gives to whom, and what a holder
-//! does when it gains or loses one.
+//! Leases of machine shards: how the leader assigns shards to controllers, and what a
+//! controller does when it gains or loses a lease.
 
 use super::{Core, reindex};
 use crate::jobs::Job;
@@ -9,28 +9,29 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A lease of a shard of machines.
+/// A lease of a shard that this process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardLease {
-    /// Its epoch.
+    /// Epoch of the lease, which grows with every new lease of the shard.
     pub epoch: u64,
-    /// Version of the shard's record.
+    /// Version of the shard's record in the state service.
     pub version: u64,
 }
 
-/// A shard that the leader leases to a controller.
+/// A lease that the leader is about to grant to a controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// The record.
+    /// The shard's new record, which names the new holder.
     pub record: ShardRecord,
-    /// The version that it replaces.
+    /// Version of the shard's record that the new one replaces; 0 if there is none.
     pub version: u64,
 }
 
 impl Core {
-    /// All shards that exist: those with a record, and those that machines name.
+    /// Numbers of all shards: shard 0, those with a record, and those that groups of
+    /// machines belong to.
     pub(super) fn shard_numbers(&self) -> Vec<u32> {
         let mut numbers: Vec<u32> = self.shards.keys().copied().collect();
         numbers.extend(self.groups.values().map(|g| g.record.shard));
@@ -40,7 +41,7 @@
         numbers
     }
 
-    /// How many machines each shard has.
+    /// Number of machines by shard.
     pub(super) fn shard_sizes(&self) -> BTreeMap<u32, usize> {
         let mut sizes = BTreeMap::new();
         for group in self.groups.values() {
@@ -49,10 +50,11 @@
         sizes
     }
 
-    /// The leases that the leader should give now: shards whose holder is gone
-    /// go to the least loaded controllers, and one shard at a time moves from
-    /// the most to the least loaded if that evens them out. The leader's own
-    /// work grows with the number of shards, so it holds fewer of many.
+    /// The leases that the leader should grant now. Shards whose holder is gone go to
+    /// the least loaded controllers. If there are none, one shard moves from the most to
+    /// the least loaded controller if that evens out their loads. The leader's other
+    /// work grows with the number of shards and counts as load, so that the leader holds
+    /// fewer shards when there are many.
     pub fn plan_leases(&self, now: Instant) -> Vec<LeaseGrant> {
         let Some(leadership) = self.role.leadership.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
@@ -82,9 +84,10 @@
         }
         let leader =
             self.live_controllers.iter().find(|(_, l)| l.identity == self.identity).map(|(h, _)| h.as_str());
-        // One that has just come up gets no more than its part: after a restart
-        // of all, the first would else take everything, drown in its workers'
-        // reports and lose its lease again; the others come up just after it.
+        // A controller that has just started gets no more than its fair share of the
+        // shards. When all controllers restart, the first one up would otherwise get all
+        // shards, be overloaded by the workers' heartbeats and lose its own lease, while
+        // the other controllers come up only moments later.
         let fair_share = shards.len().div_ceil(self.settings.params.nodes.max(1) as usize);
         let is_settled = |host: &str| {
             let since = self.controller_live_since.get(host);
@@ -103,7 +106,7 @@
             let Some((host, _)) = least_loaded(&load, &counts) else { break };
             if let Some((name, n)) = load.iter_mut().find(|(name, _)| **name == host) {
                 *counts.entry(name).or_default() += 1;
-                // An empty shard will not stay empty.
+                // Count an empty shard as half full, since machines will join it.
                 *n += size(&shard).max(self.max_shard_machines() / 2);
             }
             leases.extend(self.lease_grant(shard, &host, leadership));
@@ -112,7 +115,8 @@
             && let Some((to, low)) = least_loaded(&load, &counts)
             && let Some((from, high)) = load.iter().max_by_key(|(_, n)| **n)
         {
-            // It helps only if the lesser load stays the lesser one.
+            // Move a shard only if its new holder's load does not exceed the remaining
+            // load of the old one; otherwise shards would move back and forth.
             let moved = held
                 .get(from)
                 .into_iter()
@@ -127,13 +131,14 @@
     fn lease_grant(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
         let live = self.live_controllers.get(host)?;
         let (old, version) = self.shards.get(&shard).map_or((0, 0), |(b, v)| (b.epoch, *v));
-        // The epoch comes from a revision of the state service, and only grows.
+        // The leader's term is a revision of the state service, so epochs only grow, even
+        // if a shard's record is missing.
         let epoch = (old + 1).max(leadership);
         let record = ShardRecord { host: host.to_string(), identity: live.identity.clone(), epoch };
         Some(LeaseGrant { shard, record, version })
     }
 
-    /// The transaction that gives leases, as many as one holds.
+    /// The transaction that grants the first of these leases, as many as fit into it.
     pub fn lease_transaction(&self, leases: &[LeaseGrant]) -> Option<Transaction> {
         let leadership = self.role.leadership?;
         let mut conditions = vec![Condition { key: records::LEADER.into(), version: leadership }];
@@ -147,13 +152,14 @@
         (!changes.is_empty()).then_some(Transaction { conditions, changes })
     }
 
-    /// Takes up the shards that were leased to this process, once its copy of
-    /// the records has caught up with the lease: what earlier holders committed
-    /// is known then, and nothing of theirs can be committed any more, since
-    /// every such commit names the shard's version.
+    /// Becomes holder of the shards that were leased to this process, as soon as its
+    /// replica of the records has caught up with the lease. Everything that earlier
+    /// holders committed is known by then, and they can commit nothing more, since each
+    /// of their commits is conditional on the shard's former version.
     pub fn take_leased_shards(&mut self, now: Instant) {
         if self.role.lease.is_none() {
-            // It has just stepped down: the leader sees nobody behind these shards.
+            // This process has just stepped down, so the leader counts these shards as
+            // having no live holder.
             return;
         }
         let taken: Vec<(u32, ShardLease)> = self
@@ -169,14 +175,14 @@
         if taken.is_empty() {
             return;
         }
-        tracing::info!(blocks = ?taken.iter().map(|(n, h)| (*n, h.epoch)).collect::<Vec<_>>(), "blocks taken up");
+        tracing::info!(blocks = ?taken.iter().map(|(n, h)| (*n, h.epoch)).collect::<Vec<_>>(), "shard leases taken over");
         for (shard, shard_lease) in taken {
             self.start_holding(shard, shard_lease, now);
         }
     }
 
-    /// Takes note of holding a shard, and forgets what was believed of its
-    /// machines: only what they tell this holder counts.
+    /// Starts to hold a shard. What this process knew of the state of its machines is
+    /// reset, since only heartbeats to the new holder count.
     fn start_holding(&mut self, shard: u32, shard_lease: ShardLease, now: Instant) {
         self.role.leased_shards.insert(shard, shard_lease);
         self.load_machine_segments(shard);
@@ -201,14 +207,15 @@
         self.wakeups.fleet = true;
     }
 
-    /// Takes note of having lost a shard. Proposals that are on their way are
-    /// settled by their commits, which name the shard's version; the others are
-    /// void, and what its workers proved is proven again to the next holder.
+    /// Stops holding a shard. Proposed placements with a commit in flight are resolved by
+    /// its outcome, since the commit is conditional on the shard's version. Other
+    /// proposals are dropped, and so are exits that are not committed: the workers report
+    /// them again to the next holder.
     pub(super) fn lose_shard(&mut self, shard: u32, why: &str, now: Instant) {
         if self.role.leased_shards.remove(&shard).is_none() {
             return;
         }
-        tracing::info!(block = shard, why, "block lost");
+        tracing::info!(block = shard, why, "shard lease lost");
         let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
@@ -242,17 +249,19 @@
         empty.into_iter().for_each(|id| self.forget_machine(&id));
     }
 
-    /// A holding under which this process may act now.
+    /// The lease of a shard, if this process holds it and may act on it now: its role must
+    /// have been confirmed recently by the state service.
     pub fn active_lease(&self, shard: u32, now: Instant) -> Option<ShardLease> {
         self.role.leased_shards.get(&shard).copied().filter(|_| self.in_contact(now))
     }
 
-    /// Whether this process holds a shard, in contact or not.
+    /// Whether this process holds a shard, even if it may not act on the lease now.
     pub fn is_holder(&self, shard: u32) -> bool {
         self.role.leased_shards.contains_key(&shard)
     }
 
-    /// The node, other than this one, that workers of a shard should report to.
+    /// Host of the live controller, other than this one, that holds a shard and should
+    /// get the heartbeats of its workers.
     pub fn remote_holder_host(&self, shard: u32) -> Option<&str> {
         let (shard, _) = self.shards.get(&shard)?;
         let live = self.live_controllers.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -1,4 +1,5 @@
-//! What records become: a segment of what runs, a job, and what is to be dropped.
+//! Builds the updates to commit: the next version of a segment's or a job's record, and
+//! the deletion of obsolete keys.
 
 use super::Core;
 use super::layout::to_value;
@@ -15,15 +16,16 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Nothing more is placed in a shard whose record of the first layout has so
-/// much of a value's limit: what is left is for the ends of what is placed.
+/// No more tasks are placed in a shard whose layout 1 record has reached this fraction
+/// of the value size limit. The rest is a reserve for recording the exits of its tasks.
 const LEGACY_PLACEMENT_SIZE_FRACTION: f64 = 0.7;
-/// Bytes of a record of completed tasks.
+/// Maximum size of the ranges in one [`CompletedTasksRecord`].
 const COMPLETED_RECORD_BYTES: usize = 900;
 
 impl Core {
-    /// What of a segment's completed tasks and last attempts is still of use, with
-    /// what it takes over from a record of the first layout.
+    /// Starts the next version of a segment's record: the completed tasks and last attempts
+    /// that are still needed, including those that the segment takes over from another
+    /// record, and the machines that it must list even without tasks.
     fn carried_history(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
         let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
@@ -54,12 +56,12 @@
         record
     }
 
-    /// The record of what runs in a segment, with the ends and proposals of its
-    /// holder; and the proposals in it.
+    /// The next version of a segment's record, with the task exits and proposed placements
+    /// that its holder knows, and the list of the proposals that it contains.
     ///
-    /// A record that was written before limits were as they are can have more on
-    /// one machine than could be cut into pieces within them. Then as many ends
-    /// are taken in at a time as fit; neighbours that have ended join again.
+    /// A record written under larger size limits can have more tasks on one machine than
+    /// fit the present limit when exits split their ranges. Then only as many exits are
+    /// recorded at a time as fit; the ranges join again when neighbouring tasks exit.
     fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placed)>) {
         let (mut max_exits, mut max_proposals) = (usize::MAX, usize::MAX);
         loop {
@@ -76,8 +78,9 @@
         }
     }
 
-    /// The same with the first so many ends and proposals; and how many ends
-    /// there were.
+    /// The next version of a segment's record with at most `max_exits` exits and
+    /// `max_proposals` proposals. Returns the record, the proposals in it, and the number
+    /// of exits that were taken into account.
     pub(super) fn bounded_segment_record(
         &self,
         id: SegmentId,
@@ -119,19 +122,20 @@
                 }
             }
         }
-        // What is most urgent goes into the record first, then what has waited.
+        // Add proposals by priority, and within a priority the oldest first.
         proposed.sort_by(|a, b| (a.0, a.1, &a.2).cmp(&(b.0, b.1, &b.2)));
         let mut proposed_jobs: BTreeSet<Arc<str>> = BTreeSet::new();
         let mut budget = WeightBudget::new(&record, limits.value, whole);
         for (_, _, task, p) in proposed {
-            // A task is placed only while its job is open and the record of the
-            // job, to whose version the unit is bound, allocates it to the shard.
+            // Place a task only while its job is open and the job's record allocates the
+            // task to this shard. The commit is conditional on the version of that record.
             let Some(job) = self.open_job(&task.job) else { continue };
             let allocated = job.record.allocated.get(&id.shard).is_some_and(|r| r.contains(task.index));
             if !job.is_open() || !allocated {
                 continue;
             }
-            // A value and a transaction have limits: the rest waits.
+            // Proposals that exceed the size limits of the value or the transaction wait
+            // for a later commit.
             let job_limit_reached = !proposed_jobs.contains(&task.job) && proposed_jobs.len() >= max_jobs;
             if job_limit_reached || proposals.len() >= max_proposals || !budget.try_add(&task, &p) {
                 continue;
@@ -147,9 +151,11 @@
         (record, proposals, exits)
     }
 
-    /// What is to be committed of a segment, with what is proposed in it.
+    /// The update that commits the next version of a segment's record, with the proposals
+    /// in it. `None` if nothing has changed or this process does not hold the shard.
     pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
-        // A stale holder can commit nothing, hence start nothing.
+        // Conditional on the version of the shard's record, so that a former holder can
+        // commit no placement, and therefore start no task.
         let shard_lease = self.role.leased_shards.get(&id.shard)?;
         let mut conditions =
             vec![Condition { key: records::shard_key(id.shard), version: shard_lease.version }];
@@ -157,7 +163,8 @@
         let old = self.segments.get(&id);
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
         if !self.uses_legacy_layout() && id.segment.is_none() {
-            // Never written again: dropped once segments have all of it.
+            // After the layout switch the record of the whole shard is never written
+            // again, only deleted when segments have taken over all of it.
             let moved = old.is_some() && self.is_migration_complete(id.shard);
             let changes = vec![Change::Drop { key }];
             return moved.then_some((AtomicUpdate { conditions, changes }, Vec::new()));
@@ -167,7 +174,8 @@
             return None;
         }
         if let Some(whole) = self.segments.get(&SegmentId::whole(id.shard)).filter(|_| id.segment.is_some()) {
-            // No late write of it may come between this segment and its being dropped.
+            // A delayed write of the layout 1 record must not take effect between this
+            // commit and the deletion of that record.
             conditions.push(Condition { key: SegmentId::whole(id.shard).key(), version: whole.version });
         }
         let jobs: BTreeSet<&Arc<str>> = proposals.iter().map(|(t, _)| &t.job).collect();
@@ -178,20 +186,21 @@
         Some((AtomicUpdate { conditions, changes }, proposals))
     }
 
-    /// The record of a job once its user has withdrawn it, and the version that it
-    /// replaces. If none of its tasks was allocated to a shard, none was placed,
-    /// and none ever will be, since every placement is bound to the record: then
-    /// this is its final form already. That none was placed is certain only once
-    /// the copy has caught up with the record, which may have been read by itself:
-    /// what the leader took back from a shard may have been placed there before.
-    pub fn withdrawn_record(&self, id: &str) -> Option<(JobRecord, u64)> {
+    /// The record of a job that its user cancels, and the version that it replaces.
+    ///
+    /// If no task is allocated to a shard or placed, the result is the final, compact
+    /// record, since placements are conditional on the job's record and none can follow.
+    /// This is certain only when the replica has caught up with that record, which may
+    /// have been read ahead of the watch: a task may have been placed in a shard before
+    /// the leader revoked its allocation to that shard.
+    pub fn cancelled_job_record(&self, id: &str) -> Option<(JobRecord, u64)> {
         let job = self.open_job(id)?;
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
         let record = if untouched && job.version <= self.applied_revision {
             job.record.compact(JobStage::Withdrawn, done)
         } else {
-            // What was allocated where is of no use any more, and may be long.
+            // The allocations are no longer needed and may be long.
             let (allocated, legacy_done) = Default::default();
             JobRecord {
                 stage: JobStage::Withdrawn,
@@ -204,17 +213,19 @@
         Some((record, job.version))
     }
 
-    /// What is to be committed of a job: allocations, what is taken back, its end.
+    /// The update that commits the next version of a job's record: new and revoked
+    /// allocations, or the final record of a job that is over. `None` if nothing is to be
+    /// written or this process may not write it.
     pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let leadership = self.role.leadership.filter(|_| self.fleet.ready());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
         let mut record = if job.is_open() && job.done.len() == job.record.tasks {
-            // All that it rests on is committed, so anyone may end it.
+            // All tasks are recorded as completed, so every controller may write this.
             job.record.compact(JobStage::Done, job.done.len())
         } else if !job.is_open() {
-            // A placement made before the withdrawal may not be known yet; once
-            // it would be, and none is, there will never be one.
+            // A placement committed before the cancellation may not be known yet. When
+            // the replica has caught up with the cancellation, none can follow.
             let left = job.placed.values().any(|p| p.committed);
             if left || job.version > self.applied_revision {
                 return None;
@@ -232,8 +243,9 @@
         }
         let mut changes = Vec::new();
         if !self.uses_legacy_layout() && record.spec.is_some() && !record.legacy_done.is_empty() {
-            // A record of the second layout has no completed tasks: they get
-            // records of their own first, or with it if one transaction will do.
+            // A job's layout 2 record does not list completed tasks. They are written to
+            // separate records, in the same transaction if that has room for all of
+            // them, or else in earlier ones.
             let completed_records = self.missing_completed_records(id, job);
             let max_changes = self.limits().changes;
             let fits = completed_records.len() < max_changes;
@@ -252,8 +264,8 @@
         Some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
-    /// Records of completed tasks that a job's record of the first layout names
-    /// and no record of its own has yet.
+    /// Keys and values of the completed tasks records that are still missing: for tasks
+    /// that the job's layout 1 record lists as completed and no separate record has yet.
     fn missing_completed_records(&self, id: &str, job: &OpenJob) -> Vec<(String, CompletedTasksRecord)> {
         let have = job.completed_records.values().fold(Default::default(), |all: Ranges, f| all.union(f));
         let left = job.record.legacy_done.without(&have);
@@ -265,8 +277,9 @@
             .collect()
     }
 
-    /// A job's record with this leader's decisions. While the first layout is in
-    /// force, what is done is noted in it as well, so that shards need not.
+    /// A job's record with the allocations and revocations that this leader has decided.
+    /// In layout 1 it also lists the completed tasks, so that the shards' records need
+    /// not keep them.
     pub(super) fn record_with_allocations(&self, job: &OpenJob) -> JobRecord {
         let mut record = job.record.clone();
         if job.allocating.is_empty() && job.revoking.is_empty() {
@@ -294,6 +307,7 @@
         record
     }
 
+    /// The update by which the leader deletes a key that is no longer needed.
     pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let version = self.version(key);
         let conditions = vec![
@@ -304,7 +318,7 @@
         (version > 0).then_some((AtomicUpdate { conditions, changes }, Vec::new()))
     }
 
-    /// Whether a shard's one record of the first layout has no room for more.
+    /// Whether layout 1 is in force and a shard's record has no room for more tasks.
     pub(super) fn is_legacy_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * LEGACY_PLACEMENT_SIZE_FRACTION;
         self.uses_legacy_layout()
@@ -312,7 +326,8 @@
     }
 }
 
-/// Adds a task to a record of what runs.
+/// Adds a placed task to a segment's record, as part of the machine's last span if it
+/// directly follows that.
 fn add_task_span(
     record: &mut SegmentRecord,
     job_indices: &mut HashMap<Arc<str>, u32>,
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -323,7 +323,7 @@
                 return self.withdraw_away(id).await;
             }
             let key = records::job_key(id);
-            let Some((record, version)) = self.with(|core| core.withdrawn_record(id)) else {
+            let Some((record, version)) = self.with(|core| core.cancelled_job_record(id)) else {
                 continue;
             };
             let value = self.with(|core| core.job_value(&record));
