--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -1,7 +1,7 @@
 //! The leader's allocation of waiting tasks to shards, within team limits.
 
 use super::Core;
-use super::placing::Round;
+use super::placing::PlacementRound;
 use crate::jobs::OpenJob;
 use crate::ranges::Ranges;
 use crate::records::{SegmentId, stored_size};
@@ -164,12 +164,13 @@
 
     /// Sets room aside for what other holders have been given and have not
     /// placed yet.
-    pub(super) fn reserve_backlog(&self, round: &mut Round, now: Instant) {
+    pub(super) fn reserve_backlog(&self, round: &mut PlacementRound, now: Instant) {
         for id in &self.waiting {
             let Some(job) = self.open_job(id) else { continue };
             for (shard, waiting) in &job.waiting {
                 let count = i64::from(waiting.len());
-                *round.backlog.entry(*shard).or_default() += job.requirements.resources.cpus * count;
+                *round.backlog_cpus_by_shard.entry(*shard).or_default() +=
+                    job.requirements.resources.cpus * count;
                 if self.is_holder(*shard) {
                     continue;
                 }
@@ -178,16 +179,31 @@
         }
     }
 
-    fn reserve(&self, id: &Arc<str>, job: &OpenJob, shard: u32, count: i64, round: &mut Round, now: Instant) {
-        let machines = self.candidates(id, job, shard, &round.reserved, now);
+    fn reserve(
+        &self,
+        id: &Arc<str>,
+        job: &OpenJob,
+        shard: u32,
+        count: i64,
+        round: &mut PlacementRound,
+        now: Instant,
+    ) {
+        let machines = self.candidate_machines(id, job, shard, &round.reserved_by_machine, now);
         let candidates: Vec<Candidate> = machines.iter().map(|(_, c)| *c).collect();
         for (index, n) in best_fit(&candidates, &job.requirements.resources, count) {
-            *round.reserved.entry(machines[index].0.clone()).or_default() +=
+            *round.reserved_by_machine.entry(machines[index].0.clone()).or_default() +=
                 job.requirements.resources.times(n);
         }
     }
 
-    fn fit(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round, now: Instant) -> ShardFit {
+    fn fit(
+        &self,
+        id: &Arc<str>,
+        job: &OpenJob,
+        shard: u32,
+        round: &PlacementRound,
+        now: Instant,
+    ) -> ShardFit {
         let mut fit = ShardFit {
             shard,
             total: 0,
@@ -195,8 +211,8 @@
             with_image: 0,
             used: job.record.allocated.contains_key(&shard),
         };
-        for (_, c) in self.candidates(id, job, shard, &round.reserved, now) {
-            let n = job.requirements.resources.times_in(&(c.capacity - c.booked)).max(1);
+        for (_, c) in self.candidate_machines(id, job, shard, &round.reserved_by_machine, now) {
+            let n = job.requirements.resources.copies_that_fit(&(c.capacity - c.booked)).max(1);
             fit.total += n;
             if c.booked != Resources::default() {
                 fit.tight += n;
@@ -210,7 +226,7 @@
 
     /// Allocates what of a job can start somewhere, to as few shards as will do,
     /// since each costs records of its own; and a little of what can't yet.
-    pub(super) fn allocate(&mut self, id: &Arc<str>, round: &mut Round, now: Instant) {
+    pub(super) fn allocate(&mut self, id: &Arc<str>, round: &mut PlacementRound, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open() && !j.unallocated.is_empty()) else {
             return;
         };
@@ -221,14 +237,14 @@
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
         let headroom = book.headroom(&job.requirements.resources);
-        let most = i64::try_from(round.most).unwrap_or(i64::MAX);
+        let most = i64::try_from(round.max_tasks_of_job).unwrap_or(i64::MAX);
         let mut left = i64::from(job.unallocated.len()).min(headroom).min(most);
         if left <= 0 {
             return;
         }
         let requirements = job.requirements.clone();
         let spare = job.failed_on.is_empty();
-        if round.is_full(None, &requirements) {
+        if round.lacks_room_for(None, &requirements) {
             return self.allocate_ahead(id, left, round, now);
         }
         let constrained = job.is_constrained();
@@ -245,7 +261,7 @@
                 break;
             }
             let own = self.is_holder(fit.shard);
-            let most = if own { fit.total.min(round.left as i64) } else { fit.total };
+            let most = if own { fit.total.min(round.placements_left as i64) } else { fit.total };
             // The replicas of a service are not all in one shard.
             let most = if service && several { most.min((all + 1) / 2) } else { most };
             let n = left.min(most);
@@ -255,13 +271,13 @@
                 }
                 left -= n;
                 if own {
-                    self.place_in(id, fit.shard, round, now);
+                    self.place_in_shard(id, fit.shard, round, now);
                 }
             }
         }
-        if left > 0 && !constrained && round.left > 0 {
+        if left > 0 && !constrained && round.placements_left > 0 {
             if spare {
-                round.full.push((None, requirements));
+                round.without_room.push((None, requirements));
             }
             self.allocate_ahead(id, left, round, now);
         }
@@ -275,7 +291,7 @@
         id: &Arc<str>,
         job: &OpenJob,
         wanted: i64,
-        round: &Round,
+        round: &PlacementRound,
         now: Instant,
     ) -> Vec<ShardFit> {
         let may_fit = |shard: u32, machines: &BTreeSet<(i64, Arc<str>)>| {
@@ -305,7 +321,7 @@
         id: &Arc<str>,
         shard: u32,
         count: u32,
-        round: &mut Round,
+        round: &mut PlacementRound,
         now: Instant,
     ) -> bool {
         let Some(job) = self.open_job(id) else { return false };
@@ -328,8 +344,9 @@
         if !self.is_holder(shard) {
             self.reserve(id, job, shard, i64::from(count), round, now);
         }
-        if !self.is_holder(shard) || round.scarce {
-            *round.backlog.entry(shard).or_default() += job.requirements.resources.cpus * i64::from(count);
+        if !self.is_holder(shard) || round.writes_scarce {
+            *round.backlog_cpus_by_shard.entry(shard).or_default() +=
+                job.requirements.resources.cpus * i64::from(count);
         }
         true
     }
@@ -350,22 +367,22 @@
         // As many as a shard full of the largest machines takes: this does not change
         // while the fleet grows.
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
-        let allowed =
-            types.filter(|t| job.requirements.types.as_ref().is_none_or(|names| names.contains(&t.name)));
+        let allowed = types
+            .filter(|t| job.requirements.machine_types.as_ref().is_none_or(|names| names.contains(&t.name)));
         let on_one = allowed.map(|t| {
             let capacity = Resources::new(t.cpus, t.gpus, t.memory_gb);
-            job.requirements.resources.times_in(&capacity)
+            job.requirements.resources.copies_that_fit(&capacity)
         });
         let part = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
         (u64::from(shard) * part % u64::from(job.record.tasks)) as u32
     }
 
     /// How many processors each shard has that are up.
-    pub(super) fn measure_shards(&self, round: &mut Round) {
+    pub(super) fn measure_shards(&self, round: &mut PlacementRound) {
         for machine in self.machines.values().filter(|m| m.seems_open()) {
-            *round.sizes.entry(machine.shard).or_default() += machine.capacity.cpus;
+            *round.cpus_by_shard.entry(machine.shard).or_default() += machine.capacity.cpus;
             if !machine.spot {
-                *round.ordinary.entry(machine.shard).or_default() += machine.capacity.cpus;
+                *round.on_demand_cpus_by_shard.entry(machine.shard).or_default() += machine.capacity.cpus;
             }
         }
     }
@@ -374,19 +391,20 @@
     /// soon as something there becomes free. The leader needs no such stock in
     /// its own shards, unless changes are scarce: then a job that is allocated
     /// in larger ranges takes fewer of them.
-    fn allocate_ahead(&mut self, id: &Arc<str>, left: i64, round: &mut Round, now: Instant) {
+    fn allocate_ahead(&mut self, id: &Arc<str>, left: i64, round: &mut PlacementRound, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
         let requirements = job.requirements.clone();
         let cpus = requirements.resources.cpus;
         let urgent = job.spec.priority < Priority::Normal;
-        let limited = job.is_constrained() || requirements.types.is_some() || requirements.zone.is_some();
+        let limited =
+            job.is_constrained() || requirements.machine_types.is_some() || requirements.zone.is_some();
         let service = job.is_service();
         // What can't run on spot machines is taken ahead only if it is urgent,
         // since it may have to be made room for.
         if cpus <= 0
             || limited
-            || (!requirements.spot && !urgent)
-            || round.ahead_full.is_some_and(|c| cpus >= c)
+            || (!requirements.spot_allowed && !urgent)
+            || round.min_cpus_exceeding_backlog.is_some_and(|c| cpus >= c)
         {
             return;
         }
@@ -395,12 +413,13 @@
         let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
         let left = if unlimited { left } else { left.min(book.headroom(&requirements.resources) / 2) };
         let part = if urgent { URGENT_BACKLOG } else { BACKLOG };
-        let sizes = if requirements.spot { &round.sizes } else { &round.ordinary };
+        let sizes =
+            if requirements.spot_allowed { &round.cpus_by_shard } else { &round.on_demand_cpus_by_shard };
         let best = sizes
             .iter()
-            .filter(|(b, _)| self.is_served(**b) && (round.scarce || service || !self.is_holder(**b)))
+            .filter(|(b, _)| self.is_served(**b) && (round.writes_scarce || service || !self.is_holder(**b)))
             .map(|(b, size)| {
-                let free = size / part - round.backlog.get(b).copied().unwrap_or(0);
+                let free = size / part - round.backlog_cpus_by_shard.get(b).copied().unwrap_or(0);
                 (job.record.allocated.contains_key(b), free / cpus, Reverse(*b))
             })
             .filter(|(_, n, _)| *n > 0)
@@ -409,13 +428,13 @@
             Some((_, most, Reverse(shard))) if left > 0 => {
                 self.allocate_to(id, shard, left.min(most) as u32, round, now);
             }
-            None if !urgent => round.ahead_full = Some(cpus),
+            None if !urgent => round.min_cpus_exceeding_backlog = Some(cpus),
             _ => {}
         }
     }
 
     /// Takes back what a shard could not start soon, if others could.
-    pub(super) fn take_back_stalled(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
+    pub(super) fn take_back_stalled(&mut self, id: &Arc<str>, round: &PlacementRound, now: Instant) {
         let Some(job) = self.open_job_mut(id) else { return };
         let (waiting, old) = (&job.waiting, &job.stalled);
         job.stalled = waiting
--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -30,13 +30,13 @@
     fn add_task(&mut self, core: &Core, task: &TaskId) {
         let Some(job) = core.open_job(&task.job) else { return };
         let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { return };
-        let use_of = match placed {
+        let counter = match placed {
             p if !p.committed => &mut self.committing,
             p if p.running.is_none() => &mut self.fetching,
             p if p.stop.is_some() => &mut self.stopping,
             _ => &mut self.running,
         };
-        *use_of += job.requirements.resources.cpus;
+        *counter += job.requirements.resources.cpus;
     }
 
     fn add_machine(&mut self, core: &Core, machine: &Machine, open: bool) {
@@ -68,11 +68,11 @@
 impl Core {
     /// What the processors of own shards' machines are used for now.
     pub(super) fn capacity_usage(&self, now: Instant) -> CapacityUsage {
-        let silence = self.silence();
+        let max_heartbeat_age = self.max_heartbeat_age();
         let mut usage = CapacityUsage::default();
         for machine in self.machines.values() {
             let Some(lease) = self.role.leased_shards.get(&machine.shard) else { continue };
-            usage.add_machine(self, machine, machine.open(lease.epoch, silence, now));
+            usage.add_machine(self, machine, machine.open(lease.epoch, max_heartbeat_age, now));
         }
         usage.in_whole_cpus()
     }
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
-use dapplecroft_sched::{RepackRules, Resident, Slot, TaskRequirements, plan_repack};
+use dapplecroft_sched::{MachineSnapshot, PlacedTask, RepackLimits, TaskRequirements, plan_repack};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::VecDeque;
@@ -82,12 +82,12 @@
     /// The cap on what a drain fills: the highest share within the window, and
     /// the whole machine until anything was seen.
     fn note_shares(&mut self, now: Instant) {
-        let silence = self.silence();
+        let silence = self.max_heartbeat_age();
         let highest = self
             .machines
             .values()
             .filter(|m| self.role.leased_shards.get(&m.shard).is_some_and(|h| m.open(h.epoch, silence, now)))
-            .map(|m| m.booked.share_of(&m.capacity))
+            .map(|m| m.booked.dominant_share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
         let shares = &mut self.draining.shares;
@@ -116,13 +116,13 @@
             let team = self.teams.get(&job.spec.team);
             let may_be_allocated = leads
                 && !job.unallocated.is_empty()
-                && team.is_some_and(|t| t.allocates(&job.requirements.resources));
+                && team.is_some_and(|t| t.limit_allows(&job.requirements.resources));
             ready && (job.waiting_in(shard) > 0 || may_be_allocated)
         };
         let waiting = self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?)));
         waiting
             .filter(|(_, job)| may_start(job))
-            .filter(|(id, job)| self.candidates(id, job, shard, &Default::default(), now).is_empty())
+            .filter(|(id, job)| self.candidate_machines(id, job, shard, &Default::default(), now).is_empty())
             .map(|(id, job)| (&**id, (*job.requirements).clone()))
             .collect()
     }
@@ -133,9 +133,9 @@
             return None;
         }
         let task_requirements: Vec<TaskRequirements> = waiting.iter().map(|(_, n)| n.clone()).collect();
-        let mut slots: Vec<Slot> = Vec::new();
+        let mut slots: Vec<MachineSnapshot> = Vec::new();
         let mut tasks: Vec<TaskId> = Vec::new();
-        let mut residents: Vec<Resident> = Vec::new();
+        let mut residents: Vec<PlacedTask> = Vec::new();
         for machine in self.machines.values().filter(|m| m.shard == shard) {
             for (task, resident) in self.residents(machine, slots.len(), self.options.drain_every, now) {
                 tasks.push(task);
@@ -143,25 +143,25 @@
             }
             slots.push(self.slot(machine, now));
         }
-        let rules = RepackRules {
-            trigger: self.options.drain_trigger,
-            cap: self.cap(now),
-            oldest: self.options.drain_every,
+        let rules = RepackLimits {
+            max_source_share: self.options.drain_trigger,
+            max_target_share: self.cap(now),
+            max_task_age: self.options.drain_every,
         };
         let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
         let moves = plan
             .moves
             .iter()
             .filter_map(|m| {
-                let task = &tasks[m.resident];
+                let task = &tasks[m.task];
                 let attempt = self.open_job(&task.job)?.placed.get(&task.index)?.attempt;
-                let to = slots[m.to].machine.clone();
+                let to = slots[m.to].name.clone();
                 Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, to })
             })
             .collect();
         Some(DrainRecord {
-            machine: slots[plan.slot].machine.clone(),
-            for_job: waiting[plan.waiting].0.to_string(),
+            machine: slots[plan.machine].name.clone(),
+            for_job: waiting[plan.waiting_task].0.to_string(),
             moves,
         })
     }
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -66,7 +66,7 @@
     let mut left = i64::from(wish.tasks);
     let mut used: Vec<PendingCapacity> = Vec::new();
     for room in rooms.iter_mut().filter(|r| requirements.allows(&r.machine_type, &r.zone, r.spot)) {
-        let each = requirements.resources.times_in(&room.room);
+        let each = requirements.resources.copies_that_fit(&room.room);
         if each == 0 || left == 0 {
             continue;
         }
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -245,7 +245,7 @@
 
     fn rooms_rentable(&self, now: Instant) -> Vec<Room> {
         let offers = self.offers(now).into_iter();
-        let room = |offer: dapplecroft_sched::Offer| Room {
+        let room = |offer: dapplecroft_sched::MachineOffer| Room {
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -244,7 +244,7 @@
             (r.machine_type.clone(), r.zone.clone(), r.spot, r.machines.len() as i64)
         });
         for (machine_type, zone, spot, count) in asked.chain(uncommitted) {
-            let room = self.capacity(&machine_type).unwrap_or_default();
+            let room = self.machine_type_capacity(&machine_type).unwrap_or_default();
             rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
         rooms
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -133,7 +133,7 @@
             && requirements.resources.fits(&machine.capacity)
     });
     let Some((requirements, count)) = found else { return false };
-    *count -= requirements.resources.times_in(&machine.capacity);
+    *count -= requirements.resources.copies_that_fit(&machine.capacity);
     true
 }
 
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -47,7 +47,7 @@
     DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord, ShardRecord,
 };
 use commit_queue::CommitQueue;
-use dapplecroft_sched::{Demand, Resources, Teams};
+use dapplecroft_sched::{Demand, Resources, TeamQuotas};
 use dapplecroft_wire::cloud::Catalog;
 use dapplecroft_wire::settings::Settings;
 use foldhash::fast::RandomState;
@@ -222,7 +222,7 @@
     /// Groups of machines.
     pub groups: BTreeMap<Arc<str>, Group>,
     /// Teams.
-    pub teams: Teams,
+    pub teams: TeamQuotas,
     /// The leader's record and version.
     pub leader: Option<(LeaderRecord, u64)>,
     /// The shards' records and versions.
@@ -261,7 +261,7 @@
 impl Core {
     /// A core that knows nothing yet.
     pub fn new(settings: Arc<Settings>, options: Options, identity: String) -> Self {
-        let teams = Teams::new(settings.params.teams.iter().map(|t| {
+        let teams = TeamQuotas::new(settings.params.teams.iter().map(|t| {
             (t.name.clone(), Resources::new(t.cpus, t.gpus, 0.0), Resources::new(t.cpus_max, t.gpus_max, 0.0))
         }));
         let credit = credit::CreditState::for_settings(&settings, &options, &identity);
@@ -381,7 +381,7 @@
         let change = counts - job.counted;
         job.counted = counts;
         let (team, resources) = (job.spec.team.clone(), job.requirements.resources);
-        self.teams.book(&team, resources.times(change));
+        self.teams.add_usage(&team, resources.times(change));
         self.refresh_waiting(id);
     }
 
@@ -458,7 +458,7 @@
 
     /// How things stand, for the log.
     pub fn summary(&self, now: Instant) -> Summary {
-        let silence = self.silence();
+        let silence = self.max_heartbeat_age();
         let mut summary = Summary {
             leads: self.leads(now),
             shards: self.role.leased_shards.len(),
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -7,7 +7,7 @@
 use super::record_replica::CatalogSegment;
 use crate::machines::MachinePhase;
 use crate::records::{self, stored_size};
-use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
+use dapplecroft_sched::{MachineOffer, PendingCapacity, Resources, ScaleOutRequest};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
@@ -57,7 +57,7 @@
         changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
-    pub(super) fn offers(&self, now: Instant) -> Vec<Offer> {
+    pub(super) fn offers(&self, now: Instant) -> Vec<MachineOffer> {
         let Some(catalog) = &self.catalog else { return Vec::new() };
         let mut offers = Vec::new();
         for machine_type in &catalog.machine_types {
@@ -68,7 +68,7 @@
                     if self.fleet.refused.get(&kind).is_some_and(|refusal| refusal.until > now) {
                         continue;
                     }
-                    offers.push(Offer {
+                    offers.push(MachineOffer {
                         machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
@@ -140,7 +140,7 @@
 
     /// The kind of machine to rent for services to come, and how many: the one
     /// that is up soonest and has an image soonest.
-    pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
+    pub(super) fn standby_rental(&self, offers: &[MachineOffer]) -> Option<ScaleOutRequest> {
         let ordinary = |r: &PendingCapacity| if r.spot { 0 } else { r.count };
         let there: i64 = self.coming().iter().map(ordinary).sum();
         let missing = (self.standby() as i64 - there).max(0) as u32;
@@ -151,7 +151,7 @@
         };
         let ordinary = offers.iter().enumerate().filter(|(_, o)| !o.spot);
         let best = ordinary.min_by(|(_, a), (_, b)| {
-            let soon = |o: &Offer| o.boot_s + fetch(&o.machine_type);
+            let soon = |o: &MachineOffer| o.boot_s + fetch(&o.machine_type);
             soon(a).total_cmp(&soon(b))
         });
         best.filter(|_| missing > 0).map(|(offer, _)| ScaleOutRequest { offer, count: missing })
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -1,10 +1,12 @@
 //! Work that has to give way to waiting work of a higher rank.
 
 use super::Core;
-use super::placing::{Unplaced, has_image};
+use super::placing::{UnplacedTasks, image_presence};
 use crate::jobs::{OpenJob, Stop, TaskId};
 use crate::machines::Machine;
-use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
+use dapplecroft_sched::{
+    Claim, ImagePresence, MachineSnapshot, PlacedTask, Resources, TaskRequirements, pick_victims,
+};
 use dapplecroft_wire::users::Priority;
 use std::time::{Duration, Instant};
 
@@ -18,17 +20,17 @@
 /// A machine with work that may have to give way.
 struct Host {
     shard: u32,
-    slot: Slot,
+    slot: MachineSnapshot,
     tasks: Vec<TaskId>,
-    residents: Vec<Resident>,
+    residents: Vec<PlacedTask>,
 }
 
 impl Host {
     /// How many tasks fit once all that is leaving has left.
     fn fits(&self, requirements: &TaskRequirements) -> i64 {
         let leaving: Resources =
-            self.residents.iter().filter(|r| r.leaving).map(|r| r.requirements.resources).sum();
-        requirements.resources.times_in(&(self.slot.room() + leaving))
+            self.residents.iter().filter(|r| r.stopping).map(|r| r.requirements.resources).sum();
+        requirements.resources.copies_that_fit(&(self.slot.room() + leaving))
     }
 }
 
@@ -79,7 +81,7 @@
     let mut wanted = request.wanted;
     for host in hosts.iter_mut() {
         let allowed = requirements.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
-        if wanted > 0 && host.slot.open && allowed {
+        if wanted > 0 && host.slot.schedulable && allowed {
             let fitting = host.fits(requirements).min(wanted);
             host.slot.booked += requirements.resources.times(fitting);
             wanted -= fitting;
@@ -87,8 +89,8 @@
     }
     let choice = |(index, host): (usize, &&mut Host)| {
         let found = pick_victims(&host.slot, &host.residents, requirements, request.claim, request.limit)?;
-        let cost = found.lost + found.delay + fetch_time(host);
-        Some(Choice { cost, host: index, lost: found.lost, victims: found.residents })
+        let cost = found.lost_time + found.eviction_delay + fetch_time(host);
+        Some(Choice { cost, host: index, lost: found.lost_time, victims: found.tasks })
     };
     let mut choices: Vec<Choice> = hosts.iter().enumerate().filter_map(choice).collect();
     choices.sort();
@@ -99,7 +101,7 @@
         }
         let host = &mut hosts[choice.host];
         for victim in choice.victims {
-            host.residents[victim].leaving = true;
+            host.residents[victim].stopping = true;
             preemption.tasks.push(host.tasks[victim].clone());
         }
         preemption.lost += choice.lost;
@@ -112,16 +114,16 @@
 
 impl Core {
     /// A machine of an own shard as drains and displacement see it.
-    pub(super) fn slot(&self, machine: &Machine, now: Instant) -> Slot {
+    pub(super) fn slot(&self, machine: &Machine, now: Instant) -> MachineSnapshot {
         let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
-        Slot {
-            machine: machine.id.to_string(),
+        MachineSnapshot {
+            name: machine.id.to_string(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             capacity: machine.capacity,
             booked: machine.booked,
-            open: epoch.is_some_and(|e| machine.open(e, self.silence(), now)),
+            schedulable: epoch.is_some_and(|e| machine.open(e, self.max_heartbeat_age(), now)),
         }
     }
 
@@ -132,20 +134,20 @@
         slot: usize,
         oldest: Duration,
         now: Instant,
-    ) -> Vec<(TaskId, Resident)> {
+    ) -> Vec<(TaskId, PlacedTask)> {
         let mut residents = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { continue };
             let progress = job.progress(placed, now);
-            let resident = Resident {
-                slot,
+            let resident = PlacedTask {
+                machine: slot,
                 requirements: job.requirements.clone(),
                 age: progress.age,
-                loss: progress.loss(),
-                save_time: progress.time_to_save().unwrap_or_default(),
+                lost_if_stopped: progress.lost_if_stopped(),
+                save_time: progress.checkpoint_grace().unwrap_or_default(),
                 movable: placed.committed && progress.age <= oldest && !job.is_service(),
-                leaving: placed.stop.is_some(),
+                stopping: placed.stop.is_some(),
                 rank: self.effective_rank(job),
                 // A replica gives way to a higher rank alone.
                 over_quota: !job.is_service()
@@ -158,13 +160,14 @@
 
     /// Stops work that has to give way to waiting work, where the least
     /// machine time is lost. What is leaving anyway counts as room that will be there.
-    pub(super) fn preempt(&mut self, unplaced: &[Unplaced], now: Instant) {
-        let urgent = |u: &Unplaced| {
-            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
+    pub(super) fn preempt(&mut self, unplaced: &[UnplacedTasks], now: Instant) {
+        let urgent = |u: &UnplacedTasks| {
+            !u.waiting_by_shard.is_empty()
+                && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
         // Among ordinary work a guarantee is served first, but stops nothing:
         // work that is stopped for it waits in its turn, and so on.
-        let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| urgent(u)).collect();
+        let claimants: Vec<&UnplacedTasks> = unplaced.iter().filter(|u| urgent(u)).collect();
         let recent =
             self.last_preemption.is_some_and(|at| now.saturating_duration_since(at) < PREEMPTION_INTERVAL);
         if claimants.is_empty() || recent || self.role.leased_shards.is_empty() {
@@ -173,7 +176,7 @@
         self.last_preemption = Some(now);
         let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.rank());
         let best = ranks.min().unwrap_or(0);
-        let guaranteed = self.guaranteed();
+        let guaranteed = self.jobs_within_guarantee();
         let mut hosts: Vec<Host> = self
             .machines
             .values()
@@ -193,10 +196,10 @@
             let claim = Claim { rank: job.rank(), within_quota: within };
             // Replicas serve for long: what they need gives way however old.
             let limit = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
-            let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
+            let fetch_time = |host: &Host| self.fetch_time(&host.slot.name, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
-            for (&shard, &wanted) in &unplaced.here {
+            for (&shard, &wanted) in &unplaced.waiting_by_shard {
                 // What waits in a shard can use room in that shard alone: room
                 // made elsewhere would be filled by others and made again.
                 let mut own: Vec<&mut Host> =
@@ -220,10 +223,10 @@
     /// How long the image of a job's tasks takes on a machine.
     fn fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
-        if has_image(machine, &job.requirements) != ImagePresence::No {
+        if image_presence(machine, &job.requirements) != ImagePresence::No {
             return Duration::ZERO;
         }
-        let rate = f64::from(self.fetch_rate(&machine.machine_type)) / 1000.0;
+        let rate = f64::from(self.image_fetch_mb_per_s(&machine.machine_type)) / 1000.0;
         let seconds = if rate > 0.0 { job.spec.image_gb / rate } else { 0.0 };
         Duration::try_from_secs_f64(seconds).unwrap_or_default()
     }
@@ -241,7 +244,7 @@
     pub(super) fn ask_for_end(&mut self, task: &TaskId, why: Stop, left: Duration, now: Instant) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
         let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop.is_none()) else { return };
-        let time_to_save = job.progress(placed, now).time_to_save().filter(|time| *time <= left);
+        let time_to_save = job.progress(placed, now).checkpoint_grace().filter(|time| *time <= left);
         let machine = placed.machine.clone();
         if let Some(placed) = job.placed.get_mut(&task.index) {
             placed.stop = Some(why);
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -461,7 +461,7 @@
             for (index, placed) in placed {
                 self.unbook(&TaskId { job: id.clone(), index }, &placed, resources);
             }
-            self.teams.book(&team, resources.times(-counted));
+            self.teams.add_usage(&team, resources.times(-counted));
             self.jobs.remove(id);
         }
         let completed_records = self.completed_records.remove(id).unwrap_or_default();
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -12,32 +12,32 @@
 /// Users want even the largest jobs to begin within minutes: one of which
 /// nothing has run for so long goes before all others of its rank, and ranks
 /// one higher.
-const BEGIN_WITHIN: f64 = 150.0;
+const MAX_START_WAIT_S: f64 = 150.0;
 /// So many tasks make a beginning.
-pub(super) const STARTER_TASKS: usize = 2;
+pub(super) const MAX_BOOSTED_TASKS: usize = 2;
 /// The same, but for the rank, for what has begun and does not get on.
-const END_WITHIN: f64 = 400.0;
+const MAX_COMPLETION_WAIT_S: f64 = 400.0;
 
 /// Which work goes before which, whatever else is known of it. A guarantee is a
 /// promise to a team whatever the rank of its work: what another team runs beyond
 /// its own must not keep it waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum ServiceLevel {
+pub(super) enum ServingLevel {
     /// Critical and urgent work, by effective rank.
     Urgent(u8),
     /// Ordinary work that lies within its team's guarantee, or has waited very
     /// long.
-    Promised,
+    Guaranteed,
     /// Other ordinary work, by effective rank.
     Ordinary(u8),
 }
 
-impl ServiceLevel {
-    pub(super) fn of(rank: u8, promised: bool) -> ServiceLevel {
+impl ServingLevel {
+    pub(super) fn of(rank: u8, guaranteed: bool) -> ServingLevel {
         match rank {
-            0 | 1 => ServiceLevel::Urgent(rank),
-            _ if promised => ServiceLevel::Promised,
-            _ => ServiceLevel::Ordinary(rank),
+            0 | 1 => ServingLevel::Urgent(rank),
+            _ if guaranteed => ServingLevel::Guaranteed,
+            _ => ServingLevel::Ordinary(rank),
         }
     }
 }
@@ -47,10 +47,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ServingKey {
     /// Which of all work goes before which.
-    pub level: ServiceLevel,
+    pub level: ServingLevel,
     /// For a job that has waited very long, its submission time in milliseconds
     /// since 1970; for all others, the largest number.
-    pub starved_since: u64,
+    pub starved_submitted_ms: u64,
     /// Work within its team's guarantee goes before work beyond it.
     pub over_quota: bool,
     /// The effective rank; lower numbers go first.
@@ -60,7 +60,7 @@
     /// Best fit *decreasing*: the larger tasks first.
     pub task_cpus: Reverse<i64>,
     /// Estimated seconds of run time that are left of the job.
-    pub work_left_s: u64,
+    pub remaining_run_time_s: u64,
     /// When it is due, in milliseconds since 1970.
     pub due_ms: u64,
     /// When it was submitted, in milliseconds since 1970.
@@ -79,19 +79,19 @@
     Missed,
 }
 
-pub(super) fn deadline_state(left: f64, estimate: f64) -> DeadlineState {
+pub(super) fn deadline_state(time_left_s: f64, estimate_s: f64) -> DeadlineState {
     // A service has neither.
-    if estimate <= 0.0 {
+    if estimate_s <= 0.0 {
         return DeadlineState::InTime;
     }
     // Estimates are often wrong by a quarter.
-    if left < 0.75 * estimate { DeadlineState::Missed } else { DeadlineState::InTime }
+    if time_left_s < 0.75 * estimate_s { DeadlineState::Missed } else { DeadlineState::InTime }
 }
 
 impl Core {
     /// Jobs that lie within their team's guarantee together with the team's
     /// earlier unfinished ones.
-    pub(super) fn guaranteed(&self) -> HashMap<Arc<str>, bool> {
+    pub(super) fn jobs_within_guarantee(&self) -> HashMap<Arc<str>, bool> {
         let mut by_age: Vec<(&Arc<str>, &OpenJob)> = self
             .open
             .iter()
@@ -100,44 +100,44 @@
             .collect();
         by_age.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
         let mut totals: HashMap<&str, Resources> = HashMap::new();
-        let mut result = HashMap::new();
+        let mut within_guarantee = HashMap::new();
         for (id, job) in by_age {
             let total = totals.entry(job.spec.team.as_str()).or_default();
             *total += job.requirements.resources.times(i64::from(job.left()));
-            let within = self.teams.get(&job.spec.team).is_some_and(|b| b.guarantees(total));
-            result.insert(id.clone(), within);
+            let within = self.teams.get(&job.spec.team).is_some_and(|quota| quota.guarantee_covers(total));
+            within_guarantee.insert(id.clone(), within);
         }
-        result
+        within_guarantee
     }
 
     /// When a job should be complete, in seconds since 1970.
-    fn due(&self, job: &OpenJob) -> f64 {
-        let within = [job.spec.deadline_s, self.settings.finished_within(&job.spec.class)];
-        let within = within.into_iter().flatten().min_by(f64::total_cmp);
-        job.record.at + within.unwrap_or(job.spec.estimate_s * 4.0)
+    fn due_time_s(&self, job: &OpenJob) -> f64 {
+        let limits_s = [job.spec.deadline_s, self.settings.finished_within(&job.spec.class)];
+        let limit_s = limits_s.into_iter().flatten().min_by(f64::total_cmp);
+        job.record.at + limit_s.unwrap_or(job.spec.estimate_s * 4.0)
     }
 
     /// Whether a job has waited so long that it goes before others: least left
     /// first, and missed deadlines last, must starve nobody.
     fn is_starved(&self, job: &OpenJob) -> bool {
-        let begun = !job.placed.is_empty() || !job.done.is_empty();
-        self.wall_clock_s - job.record.at > if begun { END_WITHIN } else { BEGIN_WITHIN }
+        let started = !job.placed.is_empty() || !job.done.is_empty();
+        self.wall_clock_s - job.record.at > if started { MAX_COMPLETION_WAIT_S } else { MAX_START_WAIT_S }
     }
 
     /// A job's rank, one higher once it has waited very long. What is placed of
     /// it keeps that rank while it is young, or the job would be undone again
     /// and again by more urgent ones.
     pub(super) fn effective_rank(&self, job: &OpenJob) -> u8 {
-        let old = self.wall_clock_s - job.record.at > BEGIN_WITHIN;
+        let old = self.wall_clock_s - job.record.at > MAX_START_WAIT_S;
         // A few tasks are enough to begin: a large job must not take the place
         // of all urgent work.
-        let few = job.placed.len() <= STARTER_TASKS && job.done.is_empty();
+        let few = job.placed.len() <= MAX_BOOSTED_TASKS && job.done.is_empty();
         if old && few { job.rank().saturating_sub(1) } else { job.rank() }
     }
 
     /// Waiting jobs in the order in which they are served.
     pub(super) fn serving_order(&self, wall_clock_s: f64, now: Instant) -> Vec<(ServingKey, Arc<str>)> {
-        let guaranteed = self.guaranteed();
+        let guaranteed = self.jobs_within_guarantee();
         let mut order: Vec<(ServingKey, Arc<str>)> = self
             .waiting
             .iter()
@@ -146,19 +146,19 @@
                 if job.not_before.is_some_and(|at| at > now) {
                     return None;
                 }
-                let within = guaranteed.get(id).copied().unwrap_or(false);
-                let due = self.due(job);
+                let within_guarantee = guaranteed.get(id).copied().unwrap_or(false);
+                let due = self.due_time_s(job);
                 let submitted_ms = (job.record.at.max(0.0) * 1000.0) as u64;
                 let rank = self.effective_rank(job);
                 let starved = rank < job.rank() || self.is_starved(job);
                 let key = ServingKey {
-                    level: ServiceLevel::of(rank, within || starved),
-                    starved_since: if starved { submitted_ms } else { u64::MAX },
-                    over_quota: !within,
+                    level: ServingLevel::of(rank, within_guarantee || starved),
+                    starved_submitted_ms: if starved { submitted_ms } else { u64::MAX },
+                    over_quota: !within_guarantee,
                     rank,
                     deadline: deadline_state(due - wall_clock_s, job.spec.estimate_s),
                     task_cpus: Reverse(job.requirements.resources.cpus),
-                    work_left_s: (f64::from(job.left()) * job.spec.estimate_s) as u64,
+                    remaining_run_time_s: (f64::from(job.left()) * job.spec.estimate_s) as u64,
                     due_ms: (due.max(0.0) * 1000.0) as u64,
                     submitted_ms,
                 };
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::ranges::Ranges;
 use crate::records::{JobRecord, JobStage, SegmentId};
 use dapplecroft_federation::TransferState;
-use dapplecroft_sched::{Checkpoints, Progress, Resources, TaskRequirements};
+use dapplecroft_sched::{CheckpointPolicy, Resources, TaskProgress, TaskRequirements};
 use dapplecroft_wire::users::{JobSpec, JobStatus, Priority, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -179,9 +179,9 @@
         let spec = record.spec.clone()?;
         let requirements = TaskRequirements {
             resources: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
-            types: spec.types.clone(),
+            machine_types: spec.types.clone(),
             zone: spec.zone.clone(),
-            spot: spec.spot,
+            spot_allowed: spec.spot,
             image: spec.image.clone(),
         };
         let mut job = OpenJob {
@@ -271,19 +271,19 @@
     }
 
     /// How far one of its tasks has come on its machine.
-    pub fn progress(&self, placed: &Placed, now: Instant) -> Progress {
-        Progress {
+    pub fn progress(&self, placed: &Placed, now: Instant) -> TaskProgress {
+        TaskProgress {
             age: now.saturating_duration_since(placed.since),
-            running: placed.running.map(|at| now.saturating_duration_since(at)),
-            checkpoints: self.checkpoints(),
+            run_time: placed.running.map(|at| now.saturating_duration_since(at)),
+            checkpoint_policy: self.checkpoints(),
             first_attempt: placed.attempt == 1,
         }
     }
 
     /// How its tasks save their progress, if they do.
-    fn checkpoints(&self) -> Option<Checkpoints> {
+    fn checkpoints(&self) -> Option<CheckpointPolicy> {
         let saves = self.spec.checkpoint_s > 0.0 && !self.is_service();
-        saves.then(|| Checkpoints {
+        saves.then(|| CheckpointPolicy {
             interval: duration_or_zero(self.spec.checkpoint_s),
             save_time: duration_or_zero(self.spec.save_s),
         })
--- a/crates/dapplecroft-federation/src/summary.rs
+++ b/crates/dapplecroft-federation/src/summary.rs
@@ -57,7 +57,7 @@
 
     fn tasks_in(&self, rooms: &[Room]) -> i64 {
         let allowed = rooms.iter().filter(|room| self.allows(room));
-        allowed.map(|room| self.requirements.resources.times_in(&room.free) * room.count).sum()
+        allowed.map(|room| self.requirements.resources.copies_that_fit(&room.free) * room.count).sum()
     }
 
     fn all(&self) -> Resources {
@@ -118,7 +118,7 @@
         let mut left = i64::from(wish.tasks);
         let mut split = Vec::new();
         for room in summary.up.iter_mut().filter(|room| wish.allows(room)) {
-            let each = wish.requirements.resources.times_in(&room.free);
+            let each = wish.requirements.resources.copies_that_fit(&room.free);
             if each == 0 || left <= 0 {
                 continue;
             }
@@ -175,5 +175,5 @@
         capacity += room.capacity.times(room.count);
         booked += (room.capacity - room.free).times(room.count);
     }
-    Some(Fit { whole: true, fullness: booked.share_of(&capacity) })
+    Some(Fit { whole: true, fullness: booked.dominant_share_of(&capacity) })
 }
--- a/crates/dapplecroft-federation/tests/summaries.rs
+++ b/crates/dapplecroft-federation/tests/summaries.rs
@@ -33,7 +33,10 @@
 
 fn wish(tasks: u32, cpus: i64) -> Wish {
     let resources = Resources { cpus: cpus * 1000, gpus: 0, memory: cpus * 1000 };
-    Wish { requirements: TaskRequirements { resources, spot: true, ..TaskRequirements::default() }, tasks }
+    Wish {
+        requirements: TaskRequirements { resources, spot_allowed: true, ..TaskRequirements::default() },
+        tasks,
+    }
 }
 
 fn with(change: impl FnOnce(&mut TaskRequirements)) -> Wish {
@@ -74,10 +77,15 @@
 #[test]
 fn what_a_job_does_not_allow_is_no_room() {
     let book = Book::of(&[summary("b", 1, 16, 4)]);
-    assert_eq!(book.choose(&with(|requirements| requirements.spot = false), 0), None);
+    assert_eq!(book.choose(&with(|requirements| requirements.spot_allowed = false), 0), None);
     assert_eq!(book.choose(&with(|requirements| requirements.zone = Some("y".into())), 0), None);
-    assert_eq!(book.choose(&with(|requirements| requirements.types = Some(vec!["n".into()])), 0), None);
-    assert!(book.choose(&with(|requirements| requirements.types = Some(vec!["m".into()])), 0).is_some());
+    assert_eq!(
+        book.choose(&with(|requirements| requirements.machine_types = Some(vec!["n".into()])), 0),
+        None
+    );
+    assert!(
+        book.choose(&with(|requirements| requirements.machine_types = Some(vec!["m".into()])), 0).is_some()
+    );
 }
 
 #[test]
--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -7,18 +7,18 @@
 /// Tasks of one job that wait for a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
-    /// What each needs.
+    /// What tasks_per_machine needs.
     pub requirements: TaskRequirements,
     /// How many tasks.
     pub count: i64,
     /// Whether they can't wait for the cheapest machine: the one that is up
     /// soonest is taken.
-    pub fastest: bool,
+    pub prefer_fastest_boot: bool,
 }
 
 /// A kind of machine that the cloud can start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
@@ -46,8 +46,8 @@
 /// `prefer_cheapest`, else the one that is up soonest and serves most.
 /// Returns an index into `offers`; `None` if no offer is allowed for the need
 /// or has room for one of its tasks.
-pub fn cheapest_offer(
-    offers: &[Offer],
+pub fn select_offer(
+    offers: &[MachineOffer],
     requirements: &TaskRequirements,
     count: i64,
     prefer_cheapest: bool,
@@ -57,13 +57,14 @@
         if !requirements.allows(&offer.machine_type, &offer.zone, offer.spot) {
             continue;
         }
-        let fit = requirements.resources.times_in(&offer.capacity).min(count.max(1));
-        if fit < 1 {
+        let tasks_per_machine = requirements.resources.copies_that_fit(&offer.capacity).min(count.max(1));
+        if tasks_per_machine < 1 {
             continue;
         }
-        let per_task = offer.price / fit as f64;
-        let key = if prefer_cheapest { (per_task, offer.boot_s) } else { (offer.boot_s, per_task) };
-        if best.as_ref().is_none_or(|(_, b)| key < *b) {
+        let price_per_task = offer.price / tasks_per_machine as f64;
+        let key =
+            if prefer_cheapest { (price_per_task, offer.boot_s) } else { (offer.boot_s, price_per_task) };
+        if best.as_ref().is_none_or(|(_, best_key)| key < *best_key) {
             best = Some((index, key));
         }
     }
@@ -71,7 +72,7 @@
 }
 
 /// Equal machines that are still booting and so take no work yet, with the room
-/// left on each.
+/// left on tasks_per_machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingCapacity {
     /// Machine type.
@@ -80,27 +81,27 @@
     pub zone: String,
     /// Whether they are spot or preemptible instances.
     pub spot: bool,
-    /// Room left on each.
+    /// Room left on tasks_per_machine.
     pub room: Resources,
     /// How many machines there are.
     pub count: i64,
 }
 
 /// Packs the demands, largest first, onto the machines that are still booting,
-/// and plans a scale-out for the rest: no more than `max_machines` machines in
-/// all, one [`ScaleOutRequest`] per offer, in the order of the offers. `offers` are those
+/// and plans a scale-out for the unused_task_slots: no more than `max_machines` machines in
+/// all, one [`ScaleOutRequest`] per offer, in the demands_by_size of the offers. `offers` are those
 /// not backed off from. Equal machines are counted, not listed, so that the work
 /// grows with the demands and not with the fleet.
 pub fn plan_scale_out(
     demands: &[Demand],
     booting: Vec<PendingCapacity>,
-    offers: &[Offer],
+    offers: &[MachineOffer],
     prefer_cheapest: bool,
     max_machines: u32,
 ) -> Vec<ScaleOutRequest> {
     let mut pending = booting;
-    let mut order: Vec<&Demand> = demands.iter().collect();
-    order.sort_by_key(|d| {
+    let mut demands_by_size: Vec<&Demand> = demands.iter().collect();
+    demands_by_size.sort_by_key(|d| {
         std::cmp::Reverse((
             d.requirements.resources.cpus,
             d.requirements.resources.gpus,
@@ -108,32 +109,39 @@
         ))
     });
     let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-    let mut planned = 0;
-    for demand in order {
+    let mut planned_machines = 0;
+    for demand in demands_by_size {
         let requirements = &demand.requirements;
-        let mut left = pack_onto_pending_machines(&mut pending, requirements, demand.count);
-        while left > 0 && planned < max_machines {
-            let Some(index) = cheapest_offer(offers, requirements, left, prefer_cheapest && !demand.fastest)
+        let mut unplaced = pack_onto_pending_machines(&mut pending, requirements, demand.count);
+        while unplaced > 0 && planned_machines < max_machines {
+            let Some(index) =
+                select_offer(offers, requirements, unplaced, prefer_cheapest && !demand.prefer_fastest_boot)
             else {
                 break;
             };
             let offer = &offers[index];
-            let each = requirements.resources.times_in(&offer.capacity).max(1);
+            let tasks_per_machine = requirements.resources.copies_that_fit(&offer.capacity).max(1);
             // A last machine that would stay partly empty is planned by itself, so
             // that its leftover room is kept for the smaller demands that follow.
-            let full = (left / each).max(1).min(i64::from(max_machines - planned));
-            let here = (full * each).min(left);
-            *counts.entry(index).or_default() += full as u32;
-            planned += full as u32;
-            left -= here;
-            let rest = full * each - here;
-            if rest > 0 || requirements.resources.times(each) != offer.capacity {
+            let new_machines =
+                (unplaced / tasks_per_machine).max(1).min(i64::from(max_machines - planned_machines));
+            let tasks_packed = (new_machines * tasks_per_machine).min(unplaced);
+            *counts.entry(index).or_default() += new_machines as u32;
+            planned_machines += new_machines as u32;
+            unplaced -= tasks_packed;
+            let unused_task_slots = new_machines * tasks_per_machine - tasks_packed;
+            if unused_task_slots > 0 || requirements.resources.times(tasks_per_machine) != offer.capacity {
                 pending.push(PendingCapacity {
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
-                    room: offer.capacity - requirements.resources.times(if full == 1 { here } else { each }),
-                    count: full,
+                    room: offer.capacity
+                        - requirements.resources.times(if new_machines == 1 {
+                            tasks_packed
+                        } else {
+                            tasks_per_machine
+                        }),
+                    count: new_machines,
                 });
             }
         }
@@ -148,7 +156,7 @@
     requirements: &TaskRequirements,
     count: i64,
 ) -> i64 {
-    let mut order: Vec<usize> = (0..pending.len())
+    let mut groups_by_room: Vec<usize> = (0..pending.len())
         .filter(|&group| {
             let machines = &pending[group];
             machines.count > 0
@@ -156,13 +164,13 @@
                 && requirements.resources.fits(&machines.room)
         })
         .collect();
-    order.sort_by_key(|&group| (pending[group].room.cpus, pending[group].room.memory, group));
+    groups_by_room.sort_by_key(|&group| (pending[group].room.cpus, pending[group].room.memory, group));
     let mut remaining = count;
-    for group in order {
+    for group in groups_by_room {
         if remaining <= 0 {
             break;
         }
-        let per_machine = requirements.resources.times_in(&pending[group].room).max(1);
+        let per_machine = requirements.resources.copies_that_fit(&pending[group].room).max(1);
         let full_machines = (remaining / per_machine).min(pending[group].count);
         let on_partial_machine =
             if full_machines < pending[group].count { remaining - full_machines * per_machine } else { 0 };
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -12,10 +12,10 @@
 mod resources;
 mod teams;
 
-pub use fleet::{Demand, Offer, PendingCapacity, ScaleOutRequest, cheapest_offer, plan_scale_out};
-pub use place::{Candidate, ImagePresence, Slot, TaskRequirements, best_fit, best_fit_capped};
+pub use fleet::{Demand, MachineOffer, PendingCapacity, ScaleOutRequest, plan_scale_out, select_offer};
+pub use place::{Candidate, ImagePresence, MachineSnapshot, TaskRequirements, best_fit, best_fit_capped};
 pub use preempt::{Claim, Victims, pick_victims};
-pub use progress::{Checkpoints, Progress};
-pub use repack::{RepackPlan, RepackRules, Resident, TaskMove, plan_repack};
+pub use progress::{CheckpointPolicy, TaskProgress};
+pub use repack::{PlacedTask, RepackLimits, RepackPlan, TaskMove, plan_repack};
 pub use resources::Resources;
-pub use teams::{TeamQuota, Teams};
+pub use teams::{TeamQuota, TeamQuotas};
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -5,9 +5,9 @@
 
 /// A machine as placement, preemption and repacking see it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Slot {
+pub struct MachineSnapshot {
     /// The machine's name.
-    pub machine: String,
+    pub name: String,
     /// Its machine type.
     pub machine_type: String,
     /// Its zone.
@@ -19,10 +19,10 @@
     /// What the tasks placed on it have booked.
     pub booked: Resources,
     /// Whether new tasks may be placed on it.
-    pub open: bool,
+    pub schedulable: bool,
 }
 
-impl Slot {
+impl MachineSnapshot {
     /// What is left: the capacity less what is booked; negative in a resource
     /// that is overbooked.
     pub fn room(&self) -> Resources {
@@ -30,8 +30,8 @@
     }
 
     /// The dominant share of the capacity that is booked, as a fraction.
-    pub fn share(&self) -> f64 {
-        self.booked.share_of(&self.capacity)
+    pub fn dominant_share(&self) -> f64 {
+        self.booked.dominant_share_of(&self.capacity)
     }
 }
 
@@ -42,11 +42,11 @@
     /// Resources that it books.
     pub resources: Resources,
     /// Allowed machine types; `None`: any.
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone; `None`: any.
     pub zone: Option<String>,
     /// Whether a spot or preemptible instance will do.
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// The image that the task runs, if any.
     pub image: Option<String>,
 }
@@ -55,20 +55,21 @@
     /// Whether a machine of this type, zone and kind is allowed at all, whatever
     /// it has free.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        (self.spot || !spot)
+        (self.spot_allowed || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
-            && self.types.as_ref().is_none_or(|t| t.iter().any(|n| n == machine_type))
+            && self.machine_types.as_ref().is_none_or(|t| t.iter().any(|n| n == machine_type))
     }
 
-    /// Whether the task is allowed on `slot` and fits into what is left there now.
-    pub fn fits(&self, slot: &Slot) -> bool {
-        self.allows(&slot.machine_type, &slot.zone, slot.spot) && self.resources.fits(&slot.room())
+    /// Whether the task is allowed on `machine` and fits into what is left there now.
+    pub fn fits(&self, machine: &MachineSnapshot) -> bool {
+        self.allows(&machine.machine_type, &machine.zone, machine.spot)
+            && self.resources.fits(&machine.room())
     }
 }
 
 /// Steps of the share within which machines count as equally full, so that the
 /// image decides between them.
-const SHARE_STEPS: f64 = 4.0;
+const SHARE_BUCKETS: f64 = 4.0;
 
 /// The per-machine cap of [`best_fit`]: none.
 const NO_PER_MACHINE_CAP: i64 = i64::MAX;
@@ -95,54 +96,56 @@
     /// Whether it has the job's image.
     pub image: ImagePresence,
     /// Whether it has shown itself to be slow or faulty: taken only last.
-    pub doubtful: bool,
+    pub unreliable: bool,
     /// For replicas: whether one of the same service is there.
-    pub sibling: bool,
+    pub has_service_replica: bool,
     /// For replicas: how quickly it fetches images, the greater the faster; else 0.
-    pub fetch: u32,
+    pub image_fetch_mb_per_s: u32,
 }
 
 /// How well a candidate fits. The best one is the greatest, fields compared in
-/// the order in which they stand here.
+/// the scores in which they stand here.
 #[derive(Debug, Clone, Copy)]
 struct FitScore {
     /// Not slow or faulty.
     reliable: bool,
-    /// The dominant share with the task, in [`SHARE_STEPS`] of the machine.
-    share_step: i64,
+    /// The dominant share with the task, in [`SHARE_BUCKETS`] of the machine.
+    share_bucket: i64,
     /// For replicas: no other one of the service is there.
-    no_sibling: bool,
+    no_service_replica: bool,
     /// Whether it has the image.
     image: ImagePresence,
     /// How quickly it would fetch it.
-    fetch: u32,
+    image_fetch_mb_per_s: u32,
     /// The dominant share with the task.
     share: f64,
     /// The candidate; of equal ones the first is the best.
-    candidate: Reverse<usize>,
+    candidate_index: Reverse<usize>,
 }
 
 impl FitScore {
     fn new(index: usize, candidate: &Candidate, required: &Resources) -> FitScore {
-        let share = (candidate.booked + *required).share_of(&candidate.capacity);
+        let share = (candidate.booked + *required).dominant_share_of(&candidate.capacity);
         FitScore {
-            reliable: !candidate.doubtful,
-            share_step: (share * SHARE_STEPS) as i64,
-            no_sibling: !candidate.sibling,
+            reliable: !candidate.unreliable,
+            share_bucket: (share * SHARE_BUCKETS) as i64,
+            no_service_replica: !candidate.has_service_replica,
             image: candidate.image,
-            fetch: candidate.fetch,
+            image_fetch_mb_per_s: candidate.image_fetch_mb_per_s,
             share,
-            candidate: Reverse(index),
+            candidate_index: Reverse(index),
         }
     }
 
     /// The better score is the greater.
     fn compare(&self, other: &FitScore) -> Ordering {
-        let coarse = |s: &FitScore| (s.reliable, s.share_step, s.no_sibling, s.image, s.fetch);
+        let coarse = |s: &FitScore| {
+            (s.reliable, s.share_bucket, s.no_service_replica, s.image, s.image_fetch_mb_per_s)
+        };
         coarse(self)
             .cmp(&coarse(other))
             .then(self.share.total_cmp(&other.share))
-            .then(self.candidate.cmp(&other.candidate))
+            .then(self.candidate_index.cmp(&other.candidate_index))
     }
 }
 
@@ -167,7 +170,7 @@
     count: i64,
     max_per_machine: i64,
 ) -> Vec<(usize, i64)> {
-    let mut order: Vec<FitScore> = candidates
+    let mut scores: Vec<FitScore> = candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| required.fits(&(candidate.capacity - candidate.booked)))
@@ -180,26 +183,26 @@
     if max_machines == 0 {
         return Vec::new();
     }
-    if order.len() > max_machines {
-        order.select_nth_unstable_by(max_machines - 1, best_first);
-        order.truncate(max_machines);
+    if scores.len() > max_machines {
+        scores.select_nth_unstable_by(max_machines - 1, best_first);
+        scores.truncate(max_machines);
     }
-    order.sort_unstable_by(best_first);
+    scores.sort_unstable_by(best_first);
     let mut remaining = count;
-    let mut chosen = Vec::new();
-    for FitScore { candidate: Reverse(index), .. } in order {
+    let mut placements = Vec::new();
+    for FitScore { candidate_index: Reverse(index), .. } in scores {
         if remaining <= 0 {
             break;
         }
         let candidate = &candidates[index];
         let tasks_here = required
-            .times_in(&(candidate.capacity - candidate.booked))
+            .copies_that_fit(&(candidate.capacity - candidate.booked))
             .min(max_per_machine)
             .clamp(1, remaining);
-        chosen.push((index, tasks_here));
+        placements.push((index, tasks_here));
         remaining -= tasks_here;
     }
-    chosen
+    placements
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-sched/src/place/tests.rs
+++ b/crates/dapplecroft-sched/src/place/tests.rs
@@ -1,30 +1,34 @@
 use super::*;
 
-pub(crate) fn slot(name: &str, cpus: f64, booked: f64) -> Slot {
-    Slot {
-        machine: name.into(),
+pub(crate) fn machine(name: &str, cpus: f64, booked: f64) -> MachineSnapshot {
+    MachineSnapshot {
+        name: name.into(),
         machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
         capacity: Resources::new(cpus, 0.0, cpus * 4.0),
         booked: Resources::new(booked, 0.0, booked),
-        open: true,
+        schedulable: true,
     }
 }
 
 pub(crate) fn requirements(cpus: f64) -> TaskRequirements {
-    TaskRequirements { resources: Resources::new(cpus, 0.0, cpus), spot: true, ..TaskRequirements::default() }
+    TaskRequirements {
+        resources: Resources::new(cpus, 0.0, cpus),
+        spot_allowed: true,
+        ..TaskRequirements::default()
+    }
 }
 
 fn candidate(cpus: f64, booked: f64) -> Candidate {
-    let slot = slot("c", cpus, booked);
+    let machine = machine("c", cpus, booked);
     Candidate {
-        capacity: slot.capacity,
-        booked: slot.booked,
+        capacity: machine.capacity,
+        booked: machine.booked,
         image: ImagePresence::No,
-        doubtful: false,
-        sibling: false,
-        fetch: 0,
+        unreliable: false,
+        has_service_replica: false,
+        image_fetch_mb_per_s: 0,
     }
 }
 
@@ -39,22 +43,22 @@
 }
 
 #[test]
-fn the_image_decides_between_about_equally_full_machines_and_doubt_before_all() {
+fn image_presence_breaks_ties_but_reliability_comes_first() {
     let mut machines = [candidate(16.0, 4.5), candidate(16.0, 4.0)];
     machines[1].image = ImagePresence::Yes;
     assert_eq!(best_fit(&machines, &requirements(1.0).resources, 1), [(1, 1)]);
-    machines[1].doubtful = true;
+    machines[1].unreliable = true;
     assert_eq!(best_fit(&machines, &requirements(1.0).resources, 1), [(0, 1)]);
 }
 
 #[test]
 fn types_zones_and_spot_are_respected() {
-    let mut spot = slot("a", 16.0, 8.0);
+    let mut spot = machine("a", 16.0, 8.0);
     spot.spot = true;
     let mut task = requirements(4.0);
     assert!(task.fits(&spot));
-    task.spot = false;
-    assert!(!task.fits(&spot) && task.fits(&slot("b", 16.0, 0.0)));
-    task.types = Some(vec!["other".into()]);
-    assert!(!task.fits(&slot("b", 16.0, 0.0)));
+    task.spot_allowed = false;
+    assert!(!task.fits(&spot) && task.fits(&machine("b", 16.0, 0.0)));
+    task.machine_types = Some(vec!["other".into()]);
+    assert!(!task.fits(&machine("b", 16.0, 0.0)));
 }
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -1,7 +1,7 @@
 //! Preemption: which running tasks of one machine give way so that a waiting
 //! task fits there.
 
-use crate::{Resident, Resources, Slot, TaskRequirements};
+use crate::{MachineSnapshot, PlacedTask, Resources, TaskRequirements};
 use std::time::Duration;
 
 /// What entitles a waiting task to preempt running ones.
@@ -16,17 +16,17 @@
 /// The tasks to preempt on one machine so that a waiting task fits there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Victims {
-    /// Indices into the residents given to [`pick_victims`].
-    pub residents: Vec<usize>,
+    /// Indices into the placed_tasks given to [`pick_victims`].
+    pub tasks: Vec<usize>,
     /// Machine time that is lost with them, summed.
-    pub lost: Duration,
+    pub lost_time: Duration,
     /// How long until their room is free: the longest time that any of them
     /// takes to save a checkpoint.
-    pub delay: Duration,
+    pub eviction_delay: Duration,
 }
 
 /// What has to give way on one machine so that a waiting task fits, losing as
-/// little work as can be, and no more than `limit` with any one task. A resident
+/// little work as can be, and no more than `limit` with any one task. A placed_task
 /// may be preempted by a higher rank, or if its team is beyond its guaranteed
 /// quota and the waiting task within its own. What is leaving counts as room
 /// already.
@@ -35,41 +35,42 @@
 /// larger than its capacity, the task fits without preempting anything, or no
 /// choice within these rules makes room.
 pub fn pick_victims(
-    slot: &Slot,
-    residents: &[Resident],
+    machine: &MachineSnapshot,
+    placed_tasks: &[PlacedTask],
     requirements: &TaskRequirements,
     claim: Claim,
     limit: Duration,
 ) -> Option<Victims> {
-    let allowed = requirements.allows(&slot.machine_type, &slot.zone, slot.spot);
-    if !slot.open || !allowed || !requirements.resources.fits(&slot.capacity) {
+    let allowed = requirements.allows(&machine.machine_type, &machine.zone, machine.spot);
+    if !machine.schedulable || !allowed || !requirements.resources.fits(&machine.capacity) {
         return None;
     }
-    let mut candidates: Vec<usize> = (0..residents.len())
+    let mut candidates: Vec<usize> = (0..placed_tasks.len())
         .filter(|&index| {
-            let resident = &residents[index];
-            !resident.leaving
-                && resident.loss <= limit
-                && (claim.rank < resident.rank || (claim.within_quota && resident.over_quota))
+            let placed_task = &placed_tasks[index];
+            !placed_task.stopping
+                && placed_task.lost_if_stopped <= limit
+                && (claim.rank < placed_task.rank || (claim.within_quota && placed_task.over_quota))
         })
         .collect();
     // A preempted task saves its checkpoint before its room is free, and the
     // waiting task waits for that, so the save time counts with the loss.
-    candidates.sort_by_key(|&index| (residents[index].loss + residents[index].save_time, index));
-    let leaving: Resources = residents
+    candidates
+        .sort_by_key(|&index| (placed_tasks[index].lost_if_stopped + placed_tasks[index].save_time, index));
+    let freed_by_stopping: Resources = placed_tasks
         .iter()
-        .filter(|resident| resident.leaving)
-        .map(|resident| resident.requirements.resources)
+        .filter(|placed_task| placed_task.stopping)
+        .map(|placed_task| placed_task.requirements.resources)
         .sum();
-    let mut room = slot.room() + leaving;
+    let mut room = machine.room() + freed_by_stopping;
     let mut chosen = Vec::new();
-    let mut lost = Duration::ZERO;
+    let mut lost_time = Duration::ZERO;
     for index in candidates {
         if requirements.resources.fits(&room) {
             break;
         }
-        room += residents[index].requirements.resources;
-        lost += residents[index].loss;
+        room += placed_tasks[index].requirements.resources;
+        lost_time += placed_tasks[index].lost_if_stopped;
         chosen.push(index);
     }
     if chosen.is_empty() || !requirements.resources.fits(&room) {
@@ -77,18 +78,18 @@
     }
     // A task chosen early may have become unneeded once larger ones were added;
     // it keeps running, so that no more work is lost than the fit requires.
-    let mut kept = Vec::new();
+    let mut needed = Vec::new();
     for &index in chosen.iter().rev() {
-        let without: Resources = room - residents[index].requirements.resources;
-        if requirements.resources.fits(&without) {
-            room = without;
-            lost = lost.saturating_sub(residents[index].loss);
+        let room_if_spared: Resources = room - placed_tasks[index].requirements.resources;
+        if requirements.resources.fits(&room_if_spared) {
+            room = room_if_spared;
+            lost_time = lost_time.saturating_sub(placed_tasks[index].lost_if_stopped);
         } else {
-            kept.push(index);
+            needed.push(index);
         }
     }
-    let delay = kept.iter().map(|&index| residents[index].save_time).max().unwrap_or_default();
-    Some(Victims { residents: kept, lost, delay })
+    let eviction_delay = needed.iter().map(|&index| placed_tasks[index].save_time).max().unwrap_or_default();
+    Some(Victims { tasks: needed, lost_time, eviction_delay })
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -1,42 +1,43 @@
 use super::*;
-use crate::place::tests::{requirements, slot};
-use crate::repack::tests::resident;
+use crate::place::tests::{machine, requirements};
+use crate::repack::tests::placed_task;
 
-fn ranked(slot: usize, cpus: f64, rank: u8, ran: u64) -> Resident {
-    Resident { rank, ..resident(slot, cpus, ran) }
+fn ranked(machine: usize, cpus: f64, rank: u8, age: u64) -> PlacedTask {
+    PlacedTask { rank, ..placed_task(machine, cpus, age) }
 }
 
 #[test]
-fn only_lower_ranks_give_way_and_the_least_work_is_lost() {
-    let slot = slot("b", 16.0, 16.0);
-    let residents = [ranked(0, 8.0, 2, 10), ranked(0, 8.0, 2, 5)];
+fn only_lower_ranks_are_preempted_and_least_work_is_lost() {
+    let machine = machine("b", 16.0, 16.0);
+    let placed_tasks = [ranked(0, 8.0, 2, 10), ranked(0, 8.0, 2, 5)];
     let claim = Claim { rank: 1, within_quota: false };
     let hour = Duration::from_secs(3600);
-    let found = pick_victims(&slot, &residents, &requirements(4.0), claim, hour).unwrap();
-    assert_eq!((found.residents, found.lost), (vec![1], Duration::from_secs(5)));
+    let found = pick_victims(&machine, &placed_tasks, &requirements(4.0), claim, hour).unwrap();
+    assert_eq!((found.tasks, found.lost_time), (vec![1], Duration::from_secs(5)));
     let same = Claim { rank: 2, within_quota: false };
-    assert_eq!(pick_victims(&slot, &residents, &requirements(4.0), same, hour), None);
+    assert_eq!(pick_victims(&machine, &placed_tasks, &requirements(4.0), same, hour), None);
     let young = Duration::from_secs(4);
-    assert_eq!(pick_victims(&slot, &residents, &requirements(4.0), claim, young), None);
+    assert_eq!(pick_victims(&machine, &placed_tasks, &requirements(4.0), claim, young), None);
 }
 
 #[test]
-fn nothing_more_is_preempted_where_enough_is_leaving() {
-    let mut leaves = ranked(0, 8.0, 2, 10);
-    leaves.leaving = true;
-    let residents = [leaves, ranked(0, 8.0, 2, 5)];
+fn no_task_is_preempted_when_stopping_tasks_free_enough_room() {
+    let mut stopping_task = ranked(0, 8.0, 2, 10);
+    stopping_task.stopping = true;
+    let placed_tasks = [stopping_task, ranked(0, 8.0, 2, 5)];
     let claim = Claim { rank: 1, within_quota: false };
     let hour = Duration::from_secs(3600);
-    assert_eq!(pick_victims(&slot("b", 16.0, 16.0), &residents, &requirements(4.0), claim, hour), None);
+    assert_eq!(pick_victims(&machine("b", 16.0, 16.0), &placed_tasks, &requirements(4.0), claim, hour), None);
 }
 
 #[test]
 fn a_task_within_quota_preempts_one_over_quota() {
-    let slot = slot("a", 16.0, 16.0);
+    let machine = machine("a", 16.0, 16.0);
     let mut over_quota_task = ranked(0, 16.0, 0, 50);
     let claim = Claim { rank: 3, within_quota: true };
     let hour = Duration::from_secs(3600);
-    let find = |r: &Resident| pick_victims(&slot, std::slice::from_ref(r), &requirements(4.0), claim, hour);
+    let find =
+        |r: &PlacedTask| pick_victims(&machine, std::slice::from_ref(r), &requirements(4.0), claim, hour);
     assert_eq!(find(&over_quota_task), None);
     over_quota_task.over_quota = true;
     assert!(find(&over_quota_task).is_some());
@@ -45,20 +46,21 @@
 // What a stop loses was taken for the time since the start: a task that saves every
 // 20 s could not be preempted after a minute, and younger ones that lost all were.
 #[test]
-fn an_old_task_that_saves_gives_way_before_a_younger_one_that_does_not() {
-    let slot = slot("b", 16.0, 16.0);
-    let mut residents = [ranked(0, 8.0, 2, 300), ranked(0, 8.0, 2, 12)];
+fn a_task_with_checkpoints_is_preempted_before_a_younger_one_without() {
+    let machine = machine("b", 16.0, 16.0);
+    let mut placed_tasks = [ranked(0, 8.0, 2, 300), ranked(0, 8.0, 2, 12)];
     let claim = Claim { rank: 1, within_quota: false };
     let limit = Duration::from_secs(60);
-    let find =
-        |residents: &[Resident]| pick_victims(&slot, residents, &requirements(4.0), claim, limit).unwrap();
-    assert_eq!(find(&residents).residents, [1]);
-    residents[0].loss = Duration::from_secs(5);
-    residents[0].save_time = Duration::from_secs(2);
-    let found = find(&residents);
-    assert_eq!((found.residents, found.lost), (vec![0], Duration::from_secs(5)));
-    assert_eq!(found.delay, Duration::from_secs(2));
+    let find = |placed_tasks: &[PlacedTask]| {
+        pick_victims(&machine, placed_tasks, &requirements(4.0), claim, limit).unwrap()
+    };
+    assert_eq!(find(&placed_tasks).tasks, [1]);
+    placed_tasks[0].lost_if_stopped = Duration::from_secs(5);
+    placed_tasks[0].save_time = Duration::from_secs(2);
+    let found = find(&placed_tasks);
+    assert_eq!((found.tasks, found.lost_time), (vec![0], Duration::from_secs(5)));
+    assert_eq!(found.eviction_delay, Duration::from_secs(2));
     // The waiting task's time counts as well.
-    residents[1].loss = Duration::from_secs(6);
-    assert_eq!(find(&residents).residents, [1]);
+    placed_tasks[1].lost_if_stopped = Duration::from_secs(6);
+    assert_eq!(find(&placed_tasks).tasks, [1]);
 }
--- a/crates/dapplecroft-sched/src/progress/tests.rs
+++ b/crates/dapplecroft-sched/src/progress/tests.rs
@@ -4,51 +4,51 @@
     Duration::from_secs_f64(s)
 }
 
-fn saving(age: f64, running: f64) -> Progress {
-    let checkpoints = Checkpoints { interval: seconds(20.0), save_time: seconds(2.0) };
-    Progress {
+fn with_checkpoints(age: f64, running: f64) -> TaskProgress {
+    let checkpoints = CheckpointPolicy { interval: seconds(20.0), save_time: seconds(2.0) };
+    TaskProgress {
         age: seconds(age),
-        running: Some(seconds(running)),
-        checkpoints: Some(checkpoints),
+        run_time: Some(seconds(running)),
+        checkpoint_policy: Some(checkpoints),
         first_attempt: true,
     }
 }
 
 #[test]
-fn without_checkpoints_all_since_the_placement_is_lost() {
-    let task = Progress { checkpoints: None, ..saving(93.0, 90.0) };
-    assert_eq!((task.loss(), task.time_to_save()), (seconds(93.0), None));
+fn without_checkpoints_all_time_since_placement_is_lost() {
+    let task = TaskProgress { checkpoint_policy: None, ..with_checkpoints(93.0, 90.0) };
+    assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(93.0), None));
 }
 
 #[test]
-fn a_task_that_saves_loses_the_save_and_its_image() {
+fn a_task_with_checkpoints_loses_only_save_and_image_fetch_time() {
     // Three seconds of fetching; ten since the last checkpoint.
-    let task = saving(93.0, 90.0);
-    assert_eq!((task.loss(), task.time_to_save()), (seconds(5.0), Some(seconds(2.0))));
+    let task = with_checkpoints(93.0, 90.0);
+    assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(5.0), Some(seconds(2.0))));
 }
 
 #[test]
-fn what_has_just_been_saved_is_not_saved_again() {
-    let task = saving(84.0, 81.0);
-    assert_eq!((task.loss(), task.time_to_save()), (seconds(4.0), None));
+fn no_grace_when_saving_takes_longer_than_redoing_the_work() {
+    let task = with_checkpoints(84.0, 81.0);
+    assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(4.0), None));
     // Nor is what took less time to run than to save.
-    assert_eq!(saving(2.5, 1.5).loss(), seconds(2.5));
+    assert_eq!(with_checkpoints(2.5, 1.5).lost_if_stopped(), seconds(2.5));
     // When it last saved is not known of one that went on from a checkpoint.
-    let again = Progress { first_attempt: false, ..task };
-    assert_eq!((again.loss(), again.time_to_save()), (seconds(5.0), Some(seconds(2.0))));
+    let resumed = TaskProgress { first_attempt: false, ..task };
+    assert_eq!((resumed.lost_if_stopped(), resumed.checkpoint_grace()), (seconds(5.0), Some(seconds(2.0))));
 }
 
 #[test]
-fn a_fetch_under_way_is_lost_with_the_task() {
-    let task = Progress { running: None, ..saving(6.0, 0.0) };
-    assert_eq!((task.loss(), task.time_to_save()), (seconds(6.0), None));
+fn an_unfinished_image_fetch_is_lost() {
+    let task = TaskProgress { run_time: None, ..with_checkpoints(6.0, 0.0) };
+    assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(6.0), None));
 }
 
 #[test]
-fn no_loss_exceeds_the_time_on_the_machine() {
+fn lost_time_never_exceeds_time_on_the_machine() {
     for running in 0..200 {
         let running = f64::from(running) * 0.7;
-        let task = saving(running + 4.0, running);
-        assert!(task.loss() <= task.age, "{task:?}");
+        let task = with_checkpoints(running + 4.0, running);
+        assert!(task.lost_if_stopped() <= task.age, "{task:?}");
     }
 }
--- a/crates/dapplecroft-sched/src/repack/tests.rs
+++ b/crates/dapplecroft-sched/src/repack/tests.rs
@@ -1,61 +1,66 @@
 use super::*;
-use crate::place::tests::{requirements, slot};
+use crate::place::tests::{machine, requirements};
 
-pub(crate) fn resident(slot: usize, cpus: f64, age: u64) -> Resident {
-    Resident {
-        slot,
+pub(crate) fn placed_task(machine: usize, cpus: f64, age: u64) -> PlacedTask {
+    PlacedTask {
+        machine,
         requirements: requirements(cpus).into(),
         age: Duration::from_secs(age),
-        loss: Duration::from_secs(age),
+        lost_if_stopped: Duration::from_secs(age),
         save_time: Duration::ZERO,
         movable: true,
-        leaving: false,
+        stopping: false,
         rank: 2,
         over_quota: false,
     }
 }
 
-const RULES: RepackRules = RepackRules { trigger: 0.5, cap: 1.0, oldest: Duration::from_secs(10) };
+const LIMITS: RepackLimits =
+    RepackLimits { max_source_share: 0.5, max_target_share: 1.0, max_task_age: Duration::from_secs(10) };
 
 #[test]
-fn the_youngest_underfilled_machine_is_emptied_into_the_fullest() {
-    let slots = [slot("a", 16.0, 6.0), slot("b", 16.0, 8.0), slot("c", 16.0, 10.0)];
-    let residents = [resident(0, 2.0, 3), resident(0, 4.0, 1), resident(1, 8.0, 9), resident(2, 10.0, 30)];
-    let plan = plan_repack(&[requirements(16.0)], &slots, &residents, RULES).unwrap();
-    assert_eq!((plan.slot, plan.waiting), (0, 0));
+fn underfilled_machine_losing_least_is_drained_into_the_fullest() {
+    let machines = [machine("a", 16.0, 6.0), machine("b", 16.0, 8.0), machine("c", 16.0, 10.0)];
+    let placed_tasks =
+        [placed_task(0, 2.0, 3), placed_task(0, 4.0, 1), placed_task(1, 8.0, 9), placed_task(2, 10.0, 30)];
+    let plan = plan_repack(&[requirements(16.0)], &machines, &placed_tasks, LIMITS).unwrap();
+    assert_eq!((plan.machine, plan.waiting_task), (0, 0));
     // Largest first onto the fullest, both onto "c".
-    assert_eq!(plan.moves, [TaskMove { resident: 1, to: 2 }, TaskMove { resident: 0, to: 2 }]);
+    assert_eq!(plan.moves, [TaskMove { task: 1, to: 2 }, TaskMove { task: 0, to: 2 }]);
 }
 
 #[test]
-fn no_machine_is_evicted_in_vain() {
-    let slots = [slot("a", 16.0, 6.0), slot("b", 16.0, 12.0)];
-    let young = [resident(0, 6.0, 3), resident(1, 12.0, 3)];
+fn no_machine_is_drained_without_benefit_or_beyond_limits() {
+    let machines = [machine("a", 16.0, 6.0), machine("b", 16.0, 12.0)];
+    let young = [placed_task(0, 6.0, 3), placed_task(1, 12.0, 3)];
     // The task would not fit elsewhere.
-    assert_eq!(plan_repack(&[requirements(16.0)], &slots, &young, RULES), None);
-    let fits = [slot("a", 16.0, 4.0), slot("b", 16.0, 12.0)];
-    let mut small = [resident(0, 4.0, 3), resident(1, 12.0, 3)];
-    assert!(plan_repack(&[requirements(16.0)], &fits, &small, RULES).is_some());
+    assert_eq!(plan_repack(&[requirements(16.0)], &machines, &young, LIMITS), None);
+    let fits = [machine("a", 16.0, 4.0), machine("b", 16.0, 12.0)];
+    let mut small = [placed_task(0, 4.0, 3), placed_task(1, 12.0, 3)];
+    assert!(plan_repack(&[requirements(16.0)], &fits, &small, LIMITS).is_some());
     // The cap keeps machines from being filled further than lately.
-    assert_eq!(plan_repack(&[requirements(16.0)], &fits, &small, RepackRules { cap: 0.9, ..RULES }), None);
+    assert_eq!(
+        plan_repack(&[requirements(16.0)], &fits, &small, RepackLimits { max_target_share: 0.9, ..LIMITS }),
+        None
+    );
     // Too old, too full, or no help to the waiting task.
     small[0].age = Duration::from_secs(11);
-    assert_eq!(plan_repack(&[requirements(16.0)], &fits, &small, RULES), None);
+    assert_eq!(plan_repack(&[requirements(16.0)], &fits, &small, LIMITS), None);
     small[0].age = Duration::from_secs(1);
     assert_eq!(
-        plan_repack(&[requirements(16.0)], &fits, &small, RepackRules { trigger: 0.2, ..RULES }),
+        plan_repack(&[requirements(16.0)], &fits, &small, RepackLimits { max_source_share: 0.2, ..LIMITS }),
         None
     );
-    assert_eq!(plan_repack(&[requirements(17.0)], &fits, &small, RULES), None);
+    assert_eq!(plan_repack(&[requirements(17.0)], &fits, &small, LIMITS), None);
 }
 
 // A machine whose tasks had just saved was left alone, and one whose tasks lost
 // all was emptied.
 #[test]
-fn of_young_machines_the_one_that_loses_least_is_emptied() {
-    let slots = [slot("a", 16.0, 4.0), slot("b", 16.0, 4.0), slot("c", 16.0, 8.0)];
-    let mut residents = [resident(0, 4.0, 6), resident(1, 4.0, 9), resident(2, 8.0, 30)];
-    assert_eq!(plan_repack(&[requirements(16.0)], &slots, &residents, RULES).unwrap().slot, 0);
-    residents[1].loss = Duration::from_secs(2);
-    assert_eq!(plan_repack(&[requirements(16.0)], &slots, &residents, RULES).unwrap().slot, 1);
+fn drains_the_machine_whose_tasks_lose_least() {
+    let machines = [machine("a", 16.0, 4.0), machine("b", 16.0, 4.0), machine("c", 16.0, 8.0)];
+    let mut placed_tasks = [placed_task(0, 4.0, 6), placed_task(1, 4.0, 9), placed_task(2, 8.0, 30)];
+    assert_eq!(plan_repack(&[requirements(16.0)], &machines, &placed_tasks, LIMITS).unwrap().machine, 0);
+    placed_tasks[1].lost_if_stopped = Duration::from_secs(2);
+    assert_eq!(plan_repack(&[requirements(16.0)], &machines, &placed_tasks, LIMITS).unwrap().machine, 1);
 }
--- a/crates/dapplecroft-sched/src/resources.rs
+++ b/crates/dapplecroft-sched/src/resources.rs
@@ -38,7 +38,7 @@
     /// The dominant share: the largest fraction that `self` takes of any of the
     /// resources of `whole`. A resource that `self` does not use counts 0.0; one
     /// that it uses and `whole` lacks counts infinity.
-    pub fn share_of(&self, whole: &Resources) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         let part = |a: i64, b: i64| match (a, b) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
@@ -49,7 +49,7 @@
 
     /// How many times `self` fits into `room`: at least 0, and 0 if `self` is
     /// empty.
-    pub fn times_in(&self, room: &Resources) -> i64 {
+    pub fn copies_that_fit(&self, room: &Resources) -> i64 {
         [(self.cpus, room.cpus), (self.gpus, room.gpus), (self.memory, room.memory)]
             .into_iter()
             .filter(|(required, _)| *required > 0)
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -22,7 +22,7 @@
 
 impl TeamQuota {
     /// Whether a task of this size may start without exceeding a limit.
-    pub fn allocates(&self, task: &Resources) -> bool {
+    pub fn limit_allows(&self, task: &Resources) -> bool {
         let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
         ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
     }
@@ -37,7 +37,7 @@
     }
 
     /// Whether `total` lies within the guarantee; false for a team without one.
-    pub fn guarantees(&self, total: &Resources) -> bool {
+    pub fn guarantee_covers(&self, total: &Resources) -> bool {
         let any = self.guarantee.cpus > 0 || self.guarantee.gpus > 0;
         any && total.cpus <= self.guarantee.cpus && total.gpus <= self.guarantee.gpus
     }
@@ -50,12 +50,12 @@
 
 /// The quotas and use of all teams, by name.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Teams {
+pub struct TeamQuotas {
     by_name: BTreeMap<String, TeamQuota>,
 }
 
-impl Teams {
-    /// Teams from `(name, guarantee, limit)`, with nothing used.
+impl TeamQuotas {
+    /// TeamQuotas from `(name, guarantee, limit)`, with nothing used.
     pub fn new(teams: impl IntoIterator<Item = (String, Resources, Resources)>) -> Self {
         let by_name = teams
             .into_iter()
@@ -63,7 +63,7 @@
                 (name, TeamQuota { guarantee, limit, used: Resources::default() })
             })
             .collect();
-        Teams { by_name }
+        TeamQuotas { by_name }
     }
 
     /// A team's quota and use; `None` for a team that is not known.
@@ -73,18 +73,18 @@
 
     /// Counts a task in. A team that the settings no longer name is kept too,
     /// without a guarantee, so that its running work stays counted.
-    pub fn book(&mut self, name: &str, task: Resources) {
-        if let Some(book) = self.by_name.get_mut(name) {
-            book.used += task;
+    pub fn add_usage(&mut self, name: &str, task: Resources) {
+        if let Some(quota) = self.by_name.get_mut(name) {
+            quota.used += task;
         } else {
             self.by_name.insert(name.to_string(), TeamQuota { used: task, ..TeamQuota::default() });
         }
     }
 
     /// Counts a task out; a team that is not known is left alone.
-    pub fn unbook(&mut self, name: &str, task: Resources) {
-        if let Some(book) = self.by_name.get_mut(name) {
-            book.used -= task;
+    pub fn remove_usage(&mut self, name: &str, task: Resources) {
+        if let Some(quota) = self.by_name.get_mut(name) {
+            quota.used -= task;
         }
     }
 }
