--- a/crates/dapplecroft-sched/src/fleet.rs
+++ b/crates/dapplecroft-sched/src/fleet.rs
@@ -1,51 +1,52 @@
-//! Fleet sizing: how many machines of which kind to scale out by, spot
-//! instances included, for tasks that fit on no machine.
+//! Fleet sizing: how many machines of which type, on-demand or spot, to start for
+//! tasks that fit on no running machine.
 
 use crate::{Resources, TaskRequirements};
 use std::collections::BTreeMap;
 
-/// Tasks of one job that wait for a machine.
+/// Equal tasks of one job that wait for a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
-    /// What tasks_per_machine needs.
+    /// Requirements of each task.
     pub requirements: TaskRequirements,
-    /// How many tasks.
+    /// Number of tasks.
     pub count: i64,
-    /// Whether they can't wait for the cheapest machine: the one that is up
-    /// soonest is taken.
+    /// Whether to choose the machine that boots fastest, even where the cheapest one
+    /// is preferred for other tasks.
     pub prefer_fastest_boot: bool,
 }
 
-/// A kind of machine that the cloud can start.
+/// A kind of machine that can be rented from the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineOffer {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which the machine starts.
     pub zone: String,
-    /// Whether it is a spot or preemptible instance.
+    /// Whether the machine is a spot (preemptible) instance.
     pub spot: bool,
-    /// What it has.
+    /// Total resources of one machine.
     pub capacity: Resources,
-    /// Current price per machine and hour.
+    /// Current price of one machine per hour.
     pub price: f64,
-    /// Usual boot time, in seconds.
+    /// Typical boot time, in seconds.
     pub boot_s: f64,
 }
 
 /// A scale-out request: machines of one offer to start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOutRequest {
-    /// Index into the offers given to [`plan_scale_out`].
+    /// Index of the offer in the `offers` given to [`plan_scale_out`].
     pub offer: usize,
-    /// How many machines.
+    /// Number of machines to start.
     pub count: u32,
 }
 
-/// The offer for `count` tasks of this need: the cheapest per task if
-/// `prefer_cheapest`, else the one that is up soonest and serves most.
-/// Returns an index into `offers`; `None` if no offer is allowed for the need
-/// or has room for one of its tasks.
+/// Selects the offer to rent for `count` tasks with these requirements: with
+/// `prefer_cheapest` the one with the lowest price per task, else the one that boots
+/// fastest; the other criterion breaks ties.
+/// Returns an index into `offers`, or `None` if no offer is allowed for the tasks
+/// and large enough for one of them.
 pub fn select_offer(
     offers: &[MachineOffer],
     requirements: &TaskRequirements,
@@ -71,27 +72,28 @@
     best.map(|(index, _)| index)
 }
 
-/// Equal machines that are still booting and so take no work yet, with the room
-/// left on tasks_per_machine.
+/// A group of equal machines that are not up yet, with the resources that planned
+/// tasks leave free on each.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingCapacity {
-    /// Machine type.
+    /// Name of the machines' type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Whether they are spot or preemptible instances.
+    /// Whether the machines are spot (preemptible) instances.
     pub spot: bool,
-    /// Room left on tasks_per_machine.
+    /// Free resources on each machine.
     pub room: Resources,
-    /// How many machines there are.
+    /// Number of machines in the group.
     pub count: i64,
 }
 
-/// Packs the demands, largest first, onto the machines that are still booting,
-/// and plans a scale-out for the unused_task_slots: no more than `max_machines` machines in
-/// all, one [`ScaleOutRequest`] per offer, in the demands_by_size of the offers. `offers` are those
-/// not backed off from. Equal machines are counted, not listed, so that the work
-/// grows with the demands and not with the fleet.
+/// Packs the demands, largest tasks first, onto the machines that are still booting
+/// and plans a scale-out for the remaining tasks: at most `max_machines` machines in
+/// total, with one [`ScaleOutRequest`] per offer, in the order of the offers.
+/// `offers` must not contain kinds of machines that are in backoff after the cloud
+/// refused them. Equal machines are handled as one group with a count, so that the
+/// cost grows with the number of demands and not with the size of the fleet.
 pub fn plan_scale_out(
     demands: &[Demand],
     booting: Vec<PendingCapacity>,
@@ -121,8 +123,9 @@
             };
             let offer = &offers[index];
             let tasks_per_machine = requirements.resources.copies_that_fit(&offer.capacity).max(1);
-            // A last machine that would stay partly empty is planned by itself, so
-            // that its leftover room is kept for the smaller demands that follow.
+            // Only machines that the tasks fill are planned together. A last machine
+            // that stays partly empty is planned by itself in the next iteration, so
+            // that its exact free room is available to the smaller demands that follow.
             let new_machines =
                 (unplaced / tasks_per_machine).max(1).min(i64::from(max_machines - planned_machines));
             let tasks_packed = (new_machines * tasks_per_machine).min(unplaced);
@@ -149,8 +152,8 @@
     counts.into_iter().map(|(offer, count)| ScaleOutRequest { offer, count }).collect()
 }
 
-/// Takes room for up to `count` tasks, the tightest room first, and returns how
-/// many found none.
+/// Packs up to `count` tasks onto the pending machines, those with the least free
+/// room first, and returns how many tasks did not fit.
 fn pack_onto_pending_machines(
     pending: &mut Vec<PendingCapacity>,
     requirements: &TaskRequirements,
--- a/crates/dapplecroft-sched/src/lib.rs
+++ b/crates/dapplecroft-sched/src/lib.rs
@@ -1,7 +1,7 @@
-//! The scheduling decisions of dapplecroft, without any input or output:
+//! The scheduling decisions of dapplecroft as pure functions, without any I/O:
 //! dominant resource shares, bin packing by best fit decreasing, team quotas,
-//! preemption, repacking by graceful eviction, fleet sizing (scale out, spot
-//! instances) and the progress that checkpoints keep.
+//! preemption, repacking by graceful eviction, fleet sizing (scale-out, spot
+//! instances) and the work that is lost when a task is stopped.
 //! Everything is deterministic: the same arguments give the same decision.
 
 mod fleet;
--- a/crates/dapplecroft-sched/src/place.rs
+++ b/crates/dapplecroft-sched/src/place.rs
@@ -1,125 +1,129 @@
-//! Bin packing: best fit on the dominant resource share.
+//! Bin packing of tasks onto machines: best fit by dominant resource share.
 
 use crate::Resources;
 use std::cmp::{Ordering, Reverse};
 
-/// A machine as placement, preemption and repacking see it.
+/// A machine's state at one moment, as used by preemption and repacking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineSnapshot {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// Its machine type.
+    /// Name of the machine's type in the cloud's catalog.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: String,
-    /// Whether it is a spot or preemptible instance.
+    /// Whether the machine is a spot (preemptible) instance.
     pub spot: bool,
-    /// What it has.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What the tasks placed on it have booked.
+    /// Resources booked by the tasks that are placed on the machine.
     pub booked: Resources,
-    /// Whether new tasks may be placed on it.
+    /// Whether new tasks may be placed on the machine.
     pub schedulable: bool,
 }
 
 impl MachineSnapshot {
-    /// What is left: the capacity less what is booked; negative in a resource
-    /// that is overbooked.
+    /// Free resources: capacity minus booked resources. Negative in a resource that
+    /// is overbooked.
     pub fn room(&self) -> Resources {
         self.capacity - self.booked
     }
 
-    /// The dominant share of the capacity that is booked, as a fraction.
+    /// Dominant share of the booked resources in the machine's capacity.
     pub fn dominant_share(&self) -> f64 {
         self.booked.dominant_share_of(&self.capacity)
     }
 }
 
-/// What a task requires of its machine: resources, and which kinds of machine
-/// are allowed.
+/// What a task requires of its machine: resources, and constraints on the
+/// machine's type, zone and kind.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TaskRequirements {
-    /// Resources that it books.
+    /// Resources that the task books on its machine.
     pub resources: Resources,
-    /// Allowed machine types; `None`: any.
+    /// Names of the allowed machine types; `None` allows any.
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone; `None`: any.
+    /// The only allowed zone; `None` allows any.
     pub zone: Option<String>,
-    /// Whether a spot or preemptible instance will do.
+    /// Whether the task may run on a spot (preemptible) instance.
     pub spot_allowed: bool,
-    /// The image that the task runs, if any.
+    /// Name of the image that the task runs, if any.
     pub image: Option<String>,
 }
 
 impl TaskRequirements {
-    /// Whether a machine of this type, zone and kind is allowed at all, whatever
-    /// it has free.
+    /// Whether the constraints allow a machine of this type, zone and kind,
+    /// regardless of its resources.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot_allowed || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self.machine_types.as_ref().is_none_or(|t| t.iter().any(|n| n == machine_type))
     }
 
-    /// Whether the task is allowed on `machine` and fits into what is left there now.
+    /// Whether the constraints allow `machine` and the task fits into its free
+    /// resources.
     pub fn fits(&self, machine: &MachineSnapshot) -> bool {
         self.allows(&machine.machine_type, &machine.zone, machine.spot)
             && self.resources.fits(&machine.room())
     }
 }
 
-/// Steps of the share within which machines count as equally full, so that the
-/// image decides between them.
+/// Number of equal buckets into which dominant shares are divided. Machines in
+/// the same bucket count as equally full, so that the presence of the image
+/// decides between them.
 const SHARE_BUCKETS: f64 = 4.0;
 
-/// The per-machine cap of [`best_fit`]: none.
+/// Cap on tasks per machine that [`best_fit`] passes on: no cap.
 const NO_PER_MACHINE_CAP: i64 = i64::MAX;
 
-/// Whether a machine holds an image. The greater value is the better one for
+/// Whether a machine has an image locally. Greater values are better for
 /// placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ImagePresence {
-    /// No.
+    /// The machine neither has the image nor fetches it.
     No,
-    /// It is being fetched.
+    /// The machine is fetching the image.
     Fetching,
-    /// Yes, or none is needed.
+    /// The machine has the image, or the task needs none.
     Yes,
 }
 
-/// A machine that is allowed for a job, as best fit sees it.
+/// A machine on which a job's tasks are allowed, as input to [`best_fit`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// What it has.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What is booked on it.
+    /// Resources that are booked on the machine.
     pub booked: Resources,
-    /// Whether it has the job's image.
+    /// Whether the machine has the job's image.
     pub image: ImagePresence,
-    /// Whether it has shown itself to be slow or faulty: taken only last.
+    /// Whether the machine has proved slow or faulty; such machines are used last.
     pub unreliable: bool,
-    /// For replicas: whether one of the same service is there.
+    /// For service replicas: whether the machine already runs a replica of the same
+    /// service. False for other tasks.
     pub has_service_replica: bool,
-    /// For replicas: how quickly it fetches images, the greater the faster; else 0.
+    /// For service replicas: rate at which the machine fetches images, in megabytes
+    /// per second. 0 for other tasks.
     pub image_fetch_mb_per_s: u32,
 }
 
-/// How well a candidate fits. The best one is the greatest, fields compared in
-/// the scores in which they stand here.
+/// How well a candidate fits; the greatest score is the best. Fields are compared
+/// in the order of their declaration.
 #[derive(Debug, Clone, Copy)]
 struct FitScore {
-    /// Not slow or faulty.
+    /// Whether the machine is not known to be slow or faulty.
     reliable: bool,
-    /// The dominant share with the task, in [`SHARE_BUCKETS`] of the machine.
+    /// Bucket of `share`, see [`SHARE_BUCKETS`].
     share_bucket: i64,
-    /// For replicas: no other one of the service is there.
+    /// Whether the machine runs no replica of the same service yet.
     no_service_replica: bool,
-    /// Whether it has the image.
+    /// Whether the machine has the task's image.
     image: ImagePresence,
-    /// How quickly it would fetch it.
+    /// Rate at which the machine fetches images; set for service replicas only.
     image_fetch_mb_per_s: u32,
-    /// The dominant share with the task.
+    /// Dominant share of the machine's booked resources with one more task.
     share: f64,
-    /// The candidate; of equal ones the first is the best.
+    /// Index of the candidate; among equal candidates the first one is the best.
     candidate_index: Reverse<usize>,
 }
 
@@ -137,7 +141,7 @@
         }
     }
 
-    /// The better score is the greater.
+    /// Compares two scores; the better one is the greater.
     fn compare(&self, other: &FitScore) -> Ordering {
         let coarse = |s: &FitScore| {
             (s.reliable, s.share_bucket, s.no_service_replica, s.image, s.image_fetch_mb_per_s)
@@ -149,21 +153,22 @@
     }
 }
 
-/// Best fit on the dominant share for `count` equal tasks: each goes onto the
-/// machine whose share becomes the highest. Among about equally full ones, one
-/// that has the image is taken, or fetches it already. Filling a machine makes
-/// it fuller, so it stays the best until nothing more fits: one pass over the
-/// candidates serves all tasks.
+/// Best fit by dominant share for `count` equal tasks: each task goes onto the
+/// machine whose dominant share becomes the highest. Among about equally full
+/// machines, one that has the image is preferred, then one that is fetching it.
+/// Placing a task makes the machine fuller, so that machine stays the best until no
+/// further task fits; one pass over the candidates therefore places all tasks.
 ///
 /// Returns `(index into candidates, number of tasks)` pairs, best machine first,
-/// with no more than `count` tasks in all; fewer if room runs out, and none if
-/// `count` is 0 or the task fits nowhere.
+/// with at most `count` tasks in total. There are fewer tasks if the candidates
+/// lack room, and none if `count` is 0 or the task fits on no candidate.
 pub fn best_fit(candidates: &[Candidate], required: &Resources, count: i64) -> Vec<(usize, i64)> {
     best_fit_capped(candidates, required, count, NO_PER_MACHINE_CAP)
 }
 
-/// As [`best_fit`], with no more than `max_per_machine` tasks (and at least one)
-/// on each machine, so that the loss of one machine does not take all of them.
+/// Like [`best_fit`], with at most `max_per_machine` tasks on each machine, so that
+/// the failure of one machine does not take down all of them. A cap below 1 counts
+/// as 1.
 pub fn best_fit_capped(
     candidates: &[Candidate],
     required: &Resources,
@@ -177,8 +182,8 @@
         .map(|(index, candidate)| FitScore::new(index, candidate, required))
         .collect();
     let best_first = |a: &FitScore, b: &FitScore| b.compare(a);
-    // Only as many machines as there are tasks can be needed, so selecting the
-    // best `count` spares sorting all candidates of a large fleet.
+    // Each chosen machine takes at least one task, so at most `count` machines are
+    // needed. Selecting these first avoids sorting all candidates of a large fleet.
     let max_machines = usize::try_from(count.max(0)).unwrap_or(usize::MAX);
     if max_machines == 0 {
         return Vec::new();
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -1,39 +1,40 @@
-//! Preemption: which running tasks of one machine give way so that a waiting
+//! Preemption: chooses which tasks of one machine are stopped so that a waiting
 //! task fits there.
 
 use crate::{MachineSnapshot, PlacedTask, Resources, TaskRequirements};
 use std::time::Duration;
 
-/// What entitles a waiting task to preempt running ones.
+/// The properties of a waiting task that entitle it to preempt other tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// The waiting job's rank; lower numbers go first.
+    /// Rank of the waiting task's job; lower numbers have precedence.
     pub rank: u8,
-    /// Whether it lies within its team's guaranteed quota.
+    /// Whether the waiting job lies within its team's guaranteed quota.
     pub within_quota: bool,
 }
 
 /// The tasks to preempt on one machine so that a waiting task fits there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Victims {
-    /// Indices into the placed_tasks given to [`pick_victims`].
+    /// Indices of the preempted tasks in the `placed_tasks` given to
+    /// [`pick_victims`].
     pub tasks: Vec<usize>,
-    /// Machine time that is lost with them, summed.
+    /// Total machine time that is lost by stopping these tasks.
     pub lost_time: Duration,
-    /// How long until their room is free: the longest time that any of them
-    /// takes to save a checkpoint.
+    /// Time until the resources of all these tasks are free: the longest time that
+    /// any of them takes to save its checkpoint.
     pub eviction_delay: Duration,
 }
 
-/// What has to give way on one machine so that a waiting task fits, losing as
-/// little work as can be, and no more than `limit` with any one task. A placed_task
-/// may be preempted by a higher rank, or if its team is beyond its guaranteed
-/// quota and the waiting task within its own. What is leaving counts as room
-/// already.
+/// Chooses the tasks to preempt on one machine so that a waiting task fits there,
+/// preferring tasks that lose little machine time; no task that would lose more than
+/// `limit` is chosen. A task may be preempted by one of higher rank, or, if its team
+/// is over its guaranteed quota, by one within its own team's guaranteed quota. The
+/// resources of tasks that are already being stopped count as free.
 ///
-/// Returns `None` if the machine is not open, the task is not allowed there or
-/// larger than its capacity, the task fits without preempting anything, or no
-/// choice within these rules makes room.
+/// Returns `None` if the machine is not schedulable, the waiting task is not allowed
+/// on it or exceeds its capacity, the waiting task fits without preempting any task,
+/// or it does not fit even if all tasks that may be preempted are stopped.
 pub fn pick_victims(
     machine: &MachineSnapshot,
     placed_tasks: &[PlacedTask],
@@ -53,8 +54,8 @@
                 && (claim.rank < placed_task.rank || (claim.within_quota && placed_task.over_quota))
         })
         .collect();
-    // A preempted task saves its checkpoint before its room is free, and the
-    // waiting task waits for that, so the save time counts with the loss.
+    // A preempted task saves its checkpoint before its resources are free, and the
+    // waiting task waits for that, so the save time is added to the lost time.
     candidates
         .sort_by_key(|&index| (placed_tasks[index].lost_if_stopped + placed_tasks[index].save_time, index));
     let freed_by_stopping: Resources = placed_tasks
@@ -76,8 +77,8 @@
     if chosen.is_empty() || !requirements.resources.fits(&room) {
         return None;
     }
-    // A task chosen early may have become unneeded once larger ones were added;
-    // it keeps running, so that no more work is lost than the fit requires.
+    // A task that was chosen early may be unnecessary once larger tasks were added.
+    // Such a task keeps running, so that no work is lost needlessly.
     let mut needed = Vec::new();
     for &index in chosen.iter().rev() {
         let room_if_spared: Resources = room - placed_tasks[index].requirements.resources;
--- a/crates/dapplecroft-sched/src/preempt/tests.rs
+++ b/crates/dapplecroft-sched/src/preempt/tests.rs
@@ -43,8 +43,10 @@
     assert!(find(&over_quota_task).is_some());
 }
 
-// What a stop loses was taken for the time since the start: a task that saves every
-// 20 s could not be preempted after a minute, and younger ones that lost all were.
+// Regression test: the lost time was taken to be the time since the task's start. A
+// task that saves a checkpoint every 20 s could then no longer be preempted after a
+// minute, and younger tasks without checkpoints were stopped instead and lost all of
+// their work.
 #[test]
 fn a_task_with_checkpoints_is_preempted_before_a_younger_one_without() {
     let machine = machine("b", 16.0, 16.0);
@@ -60,7 +62,8 @@
     let found = find(&placed_tasks);
     assert_eq!((found.tasks, found.lost_time), (vec![0], Duration::from_secs(5)));
     assert_eq!(found.eviction_delay, Duration::from_secs(2));
-    // The waiting task's time counts as well.
+    // The save time of 2 s, during which the waiting task has to wait, counts too:
+    // 5 s lost plus 2 s saving is worse than 6 s lost.
     placed_tasks[1].lost_if_stopped = Duration::from_secs(6);
     assert_eq!(find(&placed_tasks).tasks, [1]);
 }
--- a/crates/dapplecroft-sched/src/progress.rs
+++ b/crates/dapplecroft-sched/src/progress.rs
@@ -1,33 +1,37 @@
-//! Checkpoint progress: how much machine time stopping a task would lose.
+//! Task progress and checkpoints: how much machine time is lost if a task is
+//! stopped.
 
 use std::time::Duration;
 
-/// How a task saves checkpoints of its progress.
+/// When a task saves checkpoints, and how long saving takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CheckpointPolicy {
-    /// Run time after which it saves a checkpoint by itself.
+    /// Run time between the periodic checkpoints that the task saves by itself.
     pub interval: Duration,
-    /// Time that it takes to save a checkpoint when it is stopped.
+    /// Time that the task needs to save a checkpoint when it is stopped.
     pub save_time: Duration,
 }
 
-/// How far a task has come on its machine.
+/// How long a task has been on its machine, and how it saves its progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskProgress {
-    /// Time since it was placed there.
+    /// Time since the task was placed on the machine.
     pub age: Duration,
-    /// Time since it was first seen running; none: it has still no image.
+    /// Time since the task was first seen running; `None` while its image is still
+    /// missing.
     pub run_time: Option<Duration>,
-    /// How it saves checkpoints; `None`: it does not.
+    /// How the task saves checkpoints; `None` if it saves none.
     pub checkpoint_policy: Option<CheckpointPolicy>,
-    /// Whether it began anew there, rather than from an earlier checkpoint.
+    /// Whether this is the task's first attempt, so that it started from the
+    /// beginning and not from a checkpoint of an earlier attempt.
     pub first_attempt: bool,
 }
 
 impl TaskProgress {
-    /// Run time since the last checkpoint, at most: `None` if nothing of it can be
-    /// kept. A task that began from a checkpoint may have saved at any point of
-    /// the interval.
+    /// Upper bound of the run time since the last checkpoint; `None` if the task is
+    /// not running yet or saves no checkpoints. For a task that resumed from a
+    /// checkpoint, the phase of its checkpoint interval is unknown, so the bound is a
+    /// whole interval.
     fn max_unsaved(&self) -> Option<Duration> {
         let (running, checkpoints) = (self.run_time?, self.checkpoint_policy?);
         let interval = checkpoints.interval.as_nanos().max(1);
@@ -36,18 +40,18 @@
         Some(at_most.min(running))
     }
 
-    /// Time that the task is to be given to save when it is stopped now; none if
-    /// saving would take longer than what it could keep took to run, or if it
-    /// can't save.
+    /// Grace period for saving a checkpoint if the task is stopped now. `None` if the
+    /// task can't save, or if running the unsaved part again takes no longer than
+    /// saving it.
     pub fn checkpoint_grace(&self) -> Option<Duration> {
         let save_time = self.checkpoint_policy?.save_time;
         (self.max_unsaved()? > save_time).then_some(save_time)
     }
 
-    /// Machine time that is lost with a stop: the wait for its image, which may
-    /// have to be fetched again elsewhere, and the progress that is not saved or
-    /// the time that saving it takes. Without checkpoints that is all since it was
-    /// placed.
+    /// Machine time that is lost if the task is stopped now: the time that its image
+    /// took to fetch, since another machine may have to fetch it again, plus either
+    /// the time to save a checkpoint or the unsaved run time. Without checkpoints, all
+    /// time since the placement is lost.
     pub fn lost_if_stopped(&self) -> Duration {
         let (Some(running), Some(unsaved)) = (self.run_time, self.max_unsaved()) else { return self.age };
         let fetching = self.age.saturating_sub(running);
--- a/crates/dapplecroft-sched/src/progress/tests.rs
+++ b/crates/dapplecroft-sched/src/progress/tests.rs
@@ -22,7 +22,8 @@
 
 #[test]
 fn a_task_with_checkpoints_loses_only_save_and_image_fetch_time() {
-    // Three seconds of fetching; ten since the last checkpoint.
+    // 3 s of fetching the image and 2 s of saving are lost. The last checkpoint was
+    // 10 s ago, so saving pays off.
     let task = with_checkpoints(93.0, 90.0);
     assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(5.0), Some(seconds(2.0))));
 }
@@ -31,9 +32,10 @@
 fn no_grace_when_saving_takes_longer_than_redoing_the_work() {
     let task = with_checkpoints(84.0, 81.0);
     assert_eq!((task.lost_if_stopped(), task.checkpoint_grace()), (seconds(4.0), None));
-    // Nor is what took less time to run than to save.
+    // The task has run for 1.5 s, which is less than the 2 s that saving takes.
     assert_eq!(with_checkpoints(2.5, 1.5).lost_if_stopped(), seconds(2.5));
-    // When it last saved is not known of one that went on from a checkpoint.
+    // For a task that resumed from a checkpoint, the time of its last save is unknown,
+    // so it gets the grace period to save.
     let resumed = TaskProgress { first_attempt: false, ..task };
     assert_eq!((resumed.lost_if_stopped(), resumed.checkpoint_grace()), (seconds(5.0), Some(seconds(2.0))));
 }
--- a/crates/dapplecroft-sched/src/repack.rs
+++ b/crates/dapplecroft-sched/src/repack.rs
@@ -1,82 +1,85 @@
-//! Repacking: the young tasks of one underfilled machine are moved onto fuller
-//! machines by graceful eviction, so that a waiting task that fits nowhere can
-//! start there.
+//! Repacking: drains one underused machine by moving its recently placed tasks onto
+//! other machines (graceful eviction), so that a waiting task that fits on no machine
+//! can start on the drained one.
 
 use crate::{MachineSnapshot, TaskRequirements};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Slack on the share cap, so that a machine filled exactly to the cap is not
-/// refused for a rounding error of the float division.
+/// Tolerance on the maximum target share, so that a machine filled exactly to that
+/// share is not rejected because of a floating-point rounding error.
 const SHARE_CAP_TOLERANCE: f64 = 1e-9;
 
-/// A task running on a machine, as preemption and repacking see it.
+/// A task that is placed on a machine, as used by preemption and repacking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacedTask {
-    /// Index of its machine in the machines.
+    /// Index of the task's machine in the `machines` given to [`plan_repack`].
     pub machine: usize,
-    /// What it needs.
+    /// Requirements of the task.
     pub requirements: Arc<TaskRequirements>,
-    /// How long it has been there.
+    /// Time since the task was placed on the machine.
     pub age: Duration,
-    /// Machine time that is lost if it is stopped now.
+    /// Machine time that is lost if the task is stopped now.
     pub lost_if_stopped: Duration,
-    /// How long it then saves before its room is free.
+    /// Time that a stopped task spends saving its checkpoint before its resources are
+    /// free.
     pub save_time: Duration,
-    /// Whether it may be moved at all.
+    /// Whether repacking may move the task.
     pub movable: bool,
-    /// Whether it is being stopped already.
+    /// Whether the task is already being stopped.
     pub stopping: bool,
-    /// Its job's rank; lower numbers go first.
+    /// Rank of the task's job; lower numbers have precedence.
     pub rank: u8,
-    /// Whether its team uses more than its guaranteed quota.
+    /// Whether a waiting task within its own guaranteed quota may preempt this task
+    /// because this task's team uses more than its guaranteed quota.
     pub over_quota: bool,
 }
 
-/// The bounds of a repack.
+/// Limits on which machines and tasks a repack may touch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RepackLimits {
-    /// Machines whose dominant booked share is at most this fraction may be
-    /// emptied.
+    /// Only machines whose dominant share of booked resources is at most this
+    /// fraction may be drained.
     pub max_source_share: f64,
-    /// No machine is filled beyond this dominant share: min{theta, Umax}.
+    /// No machine is filled beyond this dominant share. The caller passes the smaller
+    /// of the highest share that machines reached recently and the whole machine, 1.0.
     pub max_target_share: f64,
-    /// No task that has been on its machine longer than this is moved.
+    /// Tasks that have been on their machine longer than this are not moved.
     pub max_task_age: Duration,
 }
 
-/// One task's move onto another machine.
+/// The move of one task onto another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskMove {
-    /// Index into the placed_tasks.
+    /// Index of the task in the `placed_tasks` given to [`plan_repack`].
     pub task: usize,
-    /// Index of the machine in the machines that it goes to.
+    /// Index of the task's new machine in `machines`.
     pub to: usize,
 }
 
-/// A machine to empty by graceful eviction, and where its tasks go.
+/// A machine to drain by graceful eviction, and where its tasks move.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RepackPlan {
-    /// Index of the machine in the machines that is emptied.
+    /// Index of the drained machine in the `machines` given to [`plan_repack`].
     pub machine: usize,
-    /// Index into the waiting tasks of the one that takes it.
+    /// Index in `waiting` of the task that will start on the drained machine.
     pub waiting_task: usize,
-    /// Where its tasks go.
+    /// New machine of each of the drained machine's tasks.
     pub moves: Vec<TaskMove>,
 }
 
-/// Looks for a machine to empty for the first of the waiting tasks that one can
-/// help. Waiting tasks are given in the order in which they should start; all
-/// of them fit nowhere now. Returns `None` if no machine can be emptied for any
-/// of them within `limits`.
+/// Looks for a machine to drain for the first waiting task that can start on a
+/// drained machine. `waiting` holds tasks that fit on no machine now, in the order in
+/// which they should start. Returns `None` if no machine can be drained for any of
+/// them within `limits`.
 pub fn plan_repack(
     waiting: &[TaskRequirements],
     machines: &[MachineSnapshot],
     placed_tasks: &[PlacedTask],
     limits: RepackLimits,
 ) -> Option<RepackPlan> {
-    // The machine whose tasks lose least goes first: without checkpoints, the one
-    // whose tasks have run least.
+    // Machines whose tasks lose the least machine time are tried first. Without
+    // checkpoints, these are the machines whose tasks were placed most recently.
     let mut candidate_machines: Vec<(Duration, usize)> = machines
         .iter()
         .enumerate()
@@ -116,8 +119,9 @@
     None
 }
 
-/// Moves all tasks of a machine, largest first, each onto the fullest other machine
-/// that takes it within the cap.
+/// Assigns every task of machine `from`, largest first, to the fullest other machine
+/// that has room for the task and stays within `max_share`. Returns `None` if one of
+/// the tasks fits on no other machine.
 fn pack_onto_other_machines(
     from: usize,
     machines: &[MachineSnapshot],
@@ -136,7 +140,8 @@
         let mut best: Option<(f64, usize)> = None;
         for (index, machine) in machines.iter().enumerate() {
             let allowed = requirements.allows(&machine.machine_type, &machine.zone, machine.spot);
-            // An empty machine would have taken the waiting task itself.
+            // Empty machines are not considered as targets: one on which the waiting task
+            // is allowed would have taken that task already.
             if index == from || !machine.schedulable || !allowed || booked[index] == Default::default() {
                 continue;
             }
--- a/crates/dapplecroft-sched/src/repack/tests.rs
+++ b/crates/dapplecroft-sched/src/repack/tests.rs
@@ -25,7 +25,7 @@
         [placed_task(0, 2.0, 3), placed_task(0, 4.0, 1), placed_task(1, 8.0, 9), placed_task(2, 10.0, 30)];
     let plan = plan_repack(&[requirements(16.0)], &machines, &placed_tasks, LIMITS).unwrap();
     assert_eq!((plan.machine, plan.waiting_task), (0, 0));
-    // Largest first onto the fullest, both onto "c".
+    // The largest task is moved first; both go to "c", the fullest machine.
     assert_eq!(plan.moves, [TaskMove { task: 1, to: 2 }, TaskMove { task: 0, to: 2 }]);
 }
 
@@ -33,17 +33,18 @@
 fn no_machine_is_drained_without_benefit_or_beyond_limits() {
     let machines = [machine("a", 16.0, 6.0), machine("b", 16.0, 12.0)];
     let young = [placed_task(0, 6.0, 3), placed_task(1, 12.0, 3)];
-    // The task would not fit elsewhere.
+    // The task on "a" fits on no other machine.
     assert_eq!(plan_repack(&[requirements(16.0)], &machines, &young, LIMITS), None);
     let fits = [machine("a", 16.0, 4.0), machine("b", 16.0, 12.0)];
     let mut small = [placed_task(0, 4.0, 3), placed_task(1, 12.0, 3)];
     assert!(plan_repack(&[requirements(16.0)], &fits, &small, LIMITS).is_some());
-    // The cap keeps machines from being filled further than lately.
+    // Moving the task would fill "b" beyond the maximum target share.
     assert_eq!(
         plan_repack(&[requirements(16.0)], &fits, &small, RepackLimits { max_target_share: 0.9, ..LIMITS }),
         None
     );
-    // Too old, too full, or no help to the waiting task.
+    // The placed task is too old, then the machine too full to be drained, then the
+    // waiting task too large for the drained machine.
     small[0].age = Duration::from_secs(11);
     assert_eq!(plan_repack(&[requirements(16.0)], &fits, &small, LIMITS), None);
     small[0].age = Duration::from_secs(1);
@@ -54,8 +55,9 @@
     assert_eq!(plan_repack(&[requirements(17.0)], &fits, &small, LIMITS), None);
 }
 
-// A machine whose tasks had just saved was left alone, and one whose tasks lost
-// all was emptied.
+// Regression test: the age of the tasks decided instead of the time that they lose. A
+// machine whose tasks had just saved a checkpoint was spared, and one whose tasks lost
+// all of their work was drained.
 #[test]
 fn drains_the_machine_whose_tasks_lose_least() {
     let machines = [machine("a", 16.0, 4.0), machine("b", 16.0, 4.0), machine("c", 16.0, 8.0)];
--- a/crates/dapplecroft-sched/src/resources.rs
+++ b/crates/dapplecroft-sched/src/resources.rs
@@ -1,11 +1,12 @@
-//! Resource vectors: the CPUs, GPUs and memory that a task needs or a machine
-//! has, in whole thousandths.
+//! Resource vectors: the CPUs, GPUs and memory that a task requires or a machine
+//! provides, as integers in thousandths of a unit.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// CPUs, GPUs and memory in thousandths. Whole numbers, so that adding and
-/// taking away the same task always leaves exactly nothing.
+/// CPUs, GPUs and memory in thousandths. They are integers so that adding a task
+/// and subtracting it again gives exactly the original amount, without rounding
+/// errors.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -16,7 +17,7 @@
     pub memory: i64,
 }
 
-/// Amounts are kept in thousandths of a unit.
+/// Factor from CPUs, GPUs or gigabytes to the stored thousandths.
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
 fn thousandths(x: f64) -> i64 {
@@ -24,20 +25,20 @@
 }
 
 impl Resources {
-    /// Converts decimal CPUs, GPUs and gigabytes of memory to thousandths,
-    /// rounded to the nearest.
+    /// Converts CPUs, GPUs and gigabytes of memory to thousandths, rounded to the
+    /// nearest.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
     }
 
-    /// Whether `self` fits into `room` in every resource.
+    /// Whether `self` is at most `room` in every resource.
     pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
-    /// The dominant share: the largest fraction that `self` takes of any of the
-    /// resources of `whole`. A resource that `self` does not use counts 0.0; one
-    /// that it uses and `whole` lacks counts infinity.
+    /// The dominant share: the largest fraction that `self` takes of any single
+    /// resource of `whole`. A resource that `self` does not use counts as 0.0; one
+    /// that `self` uses and `whole` lacks counts as infinity.
     pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         let part = |a: i64, b: i64| match (a, b) {
             (0, _) => 0.0,
@@ -47,8 +48,8 @@
         part(self.cpus, whole.cpus).max(part(self.gpus, whole.gpus)).max(part(self.memory, whole.memory))
     }
 
-    /// How many times `self` fits into `room`: at least 0, and 0 if `self` is
-    /// empty.
+    /// How many copies of `self` fit into `room` together. Returns 0 if `self` is
+    /// empty or `room` is negative in a required resource.
     pub fn copies_that_fit(&self, room: &Resources) -> i64 {
         [(self.cpus, room.cpus), (self.gpus, room.gpus), (self.memory, room.memory)]
             .into_iter()
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -1,34 +1,35 @@
-//! Team quotas: each team's guarantee and limit, and what its tasks use.
+//! Team quotas: each team's guaranteed quota, its quota limit and its usage.
 
 use crate::Resources;
 use std::collections::BTreeMap;
 
-/// A limit of this value means that there is none.
+/// Value of a quota limit that means "unlimited".
 const NO_LIMIT: i64 = 0;
 
-/// The headroom under no limit.
+/// Headroom that [`TeamQuota::headroom`] reports when no limit applies.
 const UNLIMITED_HEADROOM: i64 = i64::MAX;
 
-/// One team's quota: its guarantee, its limit and its use.
+/// One team's guaranteed quota, quota limit and current usage.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TeamQuota {
-    /// Guaranteed CPUs and GPUs; memory is not counted.
+    /// Guaranteed CPUs and GPUs; memory is not part of the quota.
     pub guarantee: Resources,
-    /// Limits on CPUs and GPUs; 0 in a resource means none there.
+    /// Limits on CPUs and GPUs; 0 means that the resource is not limited.
     pub limit: Resources,
-    /// What its tasks take now, those not proven gone included.
+    /// Resources that the team's tasks use now. Tasks that may still be running
+    /// count until they are known to have left their machines.
     pub used: Resources,
 }
 
 impl TeamQuota {
-    /// Whether a task of this size may start without exceeding a limit.
+    /// Whether starting `task` keeps the team's usage within its limits.
     pub fn limit_allows(&self, task: &Resources) -> bool {
         let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
         ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
     }
 
-    /// How many more tasks of this size the limits let start; `i64::MAX` if
-    /// none binds.
+    /// How many more tasks of this size may start within the team's limits;
+    /// `i64::MAX` if no limit applies.
     pub fn headroom(&self, task: &Resources) -> i64 {
         let part = |used: i64, more: i64, limit: i64| {
             if limit == NO_LIMIT || more == 0 { UNLIMITED_HEADROOM } else { ((limit - used) / more).max(0) }
@@ -36,26 +37,27 @@
         part(self.used.cpus, task.cpus, self.limit.cpus).min(part(self.used.gpus, task.gpus, self.limit.gpus))
     }
 
-    /// Whether `total` lies within the guarantee; false for a team without one.
+    /// Whether `total` lies within the team's guaranteed quota; always false for a
+    /// team without a guarantee.
     pub fn guarantee_covers(&self, total: &Resources) -> bool {
         let any = self.guarantee.cpus > 0 || self.guarantee.gpus > 0;
         any && total.cpus <= self.guarantee.cpus && total.gpus <= self.guarantee.gpus
     }
 
-    /// Whether the team runs more than its guarantee.
+    /// Whether the team uses more than its guaranteed quota.
     pub fn over_quota(&self) -> bool {
         self.used.cpus > self.guarantee.cpus || self.used.gpus > self.guarantee.gpus
     }
 }
 
-/// The quotas and use of all teams, by name.
+/// Quotas and usage of all teams, by team name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TeamQuotas {
     by_name: BTreeMap<String, TeamQuota>,
 }
 
 impl TeamQuotas {
-    /// TeamQuotas from `(name, guarantee, limit)`, with nothing used.
+    /// Creates the teams from `(name, guarantee, limit)` with zero usage.
     pub fn new(teams: impl IntoIterator<Item = (String, Resources, Resources)>) -> Self {
         let by_name = teams
             .into_iter()
@@ -66,13 +68,14 @@
         TeamQuotas { by_name }
     }
 
-    /// A team's quota and use; `None` for a team that is not known.
+    /// A team's quota and usage; `None` if the team is unknown.
     pub fn get(&self, name: &str) -> Option<&TeamQuota> {
         self.by_name.get(name)
     }
 
-    /// Counts a task in. A team that the settings no longer name is kept too,
-    /// without a guarantee, so that its running work stays counted.
+    /// Adds a task to the team's usage. A team that is no longer in the settings
+    /// gets an entry without guarantee or limit, so that its running tasks stay
+    /// counted.
     pub fn add_usage(&mut self, name: &str, task: Resources) {
         if let Some(quota) = self.by_name.get_mut(name) {
             quota.used += task;
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Counts a task out; a team that is not known is left alone.
+    /// Subtracts a task from the team's usage; does nothing if the team is unknown.
     pub fn remove_usage(&mut self, name: &str, task: Resources) {
         if let Some(quota) = self.by_name.get_mut(name) {
             quota.used -= task;
