--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -1,28 +1,28 @@
-//! What the processors of a holder's machines are used for, for the log: where
-//! paid time goes that no task runs in.
+//! Breakdown of what the CPUs of a shard holder's machines are used for. It is logged
+//! to show where rented machine time is spent without running tasks.
 
 use super::Core;
 use crate::jobs::TaskId;
 use crate::machines::Machine;
 use std::time::Instant;
 
-/// Whole processors by what they are used for.
+/// Numbers of CPUs by what they are used for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CapacityUsage {
-    /// Of machines whose workers have not reported yet.
+    /// CPUs of machines whose workers have not sent a heartbeat yet.
     pub booting: i64,
-    /// Of machines that take no more work.
+    /// Free CPUs on machines that accept no new tasks.
     pub closed: i64,
-    /// Free on machines that take work.
+    /// Free CPUs on machines that accept new tasks.
     pub free: i64,
-    /// Of tasks whose placement is not committed yet.
+    /// CPUs of tasks whose placement is not committed yet.
     pub committing: i64,
-    /// Of tasks that have not been seen running yet: they wait for their start
-    /// command or their image.
+    /// CPUs of tasks that have not been reported running yet: they wait for their start
+    /// command or for their image.
     pub fetching: i64,
-    /// Of running tasks.
+    /// CPUs of running tasks that are not being stopped.
     pub running: i64,
-    /// Of running tasks that are being stopped.
+    /// CPUs of running tasks that are being stopped.
     pub stopping: i64,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Core {
-    /// What the processors of own shards' machines are used for now.
+    /// What the CPUs of the machines in this controller's shards are used for now.
     pub(super) fn capacity_usage(&self, now: Instant) -> CapacityUsage {
         let max_heartbeat_age = self.max_heartbeat_age();
         let mut usage = CapacityUsage::default();
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -1,5 +1,5 @@
-//! A round of placement: jobs in the order in which they are served, each by
-//! best fit decreasing on the dominant share inside this holder's shards.
+//! The placement round: places the waiting jobs, in serving order, on machines of the
+//! shards that this controller holds, by best fit decreasing on the dominant share.
 
 use super::Core;
 use super::serving_order::MAX_BOOSTED_TASKS;
@@ -14,79 +14,89 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most placements of one round, so that a round never holds up reports.
+/// Maximum number of placements per round, so that a round does not delay the
+/// processing of heartbeats.
 const MAX_PLACEMENTS_PER_ROUND: usize = 200;
-/// Other work has so long to give way to replicas before machines are rented.
+/// How long waiting service replicas try to preempt other tasks before machines are
+/// rented for them.
 const SERVICE_SCALE_OUT_DELAY: Duration = Duration::from_secs(2);
 
-/// What a round has decided so far.
+/// State of a placement round: its limits, and what it has decided so far.
 #[derive(Debug, Default)]
 pub(super) struct PlacementRound {
-    /// Placements that may still be made.
+    /// Number of placements that this round may still make.
     pub placements_left: usize,
-    /// Room that the leader counts on in other holders' shards.
+    /// On machines of other holders' shards: resources that the leader reserves for
+    /// tasks that are allocated there but not placed yet.
     pub reserved_by_machine: HashMap<Arc<str>, Resources>,
-    /// Processors of work that other holders have waiting, by shard.
+    /// CPUs of the tasks that are allocated to a shard and wait there, by shard, in
+    /// thousandths.
     pub backlog_cpus_by_shard: BTreeMap<u32, i64>,
-    /// What found too little room in a shard, or (`None`) in all shards: room
-    /// only shrinks within a round, so what needs no less finds none either.
+    /// Requirements of tasks that did not fit in a shard, or (`None`) in any shard. Free
+    /// room only shrinks within a round, so tasks with equal or stricter requirements do
+    /// not fit there either and are skipped.
     pub without_room: Vec<(Option<u32>, Arc<TaskRequirements>)>,
-    /// Processors of the machines that are up, by shard.
+    /// CPUs of the machines that are up, by shard, in thousandths.
     pub cpus_by_shard: BTreeMap<u32, i64>,
-    /// The same of the ordinary ones alone.
+    /// CPUs of the on-demand (not spot) machines that are up, by shard, in thousandths.
     pub on_demand_cpus_by_shard: BTreeMap<u32, i64>,
-    /// No other holder takes ahead what needs as many processors.
+    /// Tasks that need at least so many CPUs (in thousandths) fit into no shard's
+    /// backlog any more, so the leader does not try to allocate them in advance.
     pub min_cpus_exceeding_backlog: Option<i64>,
-    /// Whether changes of records are scarce.
+    /// Whether few writes to the state service are possible just now.
     pub writes_scarce: bool,
-    /// Most tasks of the job whose turn it is.
+    /// Maximum number of tasks that may be placed of the job that is being served.
     pub max_tasks_of_job: usize,
-    /// What teams will use once the work found no place for has one.
+    /// Quotas of the teams with unplaced tasks; their usage includes the unplaced tasks
+    /// for which machines are wanted.
     pub team_quotas: HashMap<String, TeamQuota>,
 }
 
 impl PlacementRound {
-    /// Whether it is known that a need finds no room any more.
+    /// Whether tasks with these requirements are known not to fit in the shard (`None`:
+    /// in any shard), because tasks with equal or looser requirements did not fit.
     pub fn lacks_room_for(&self, shard: Option<u32>, requirements: &TaskRequirements) -> bool {
-        self.without_room.iter().any(|(full_shard, full)| {
+        self.without_room.iter().any(|(full_shard, unplaced)| {
             (*full_shard == shard || full_shard.is_none())
-                && full.resources.fits(&requirements.resources)
-                && (full.machine_types.is_none() || full.machine_types == requirements.machine_types)
-                && (full.zone.is_none() || full.zone == requirements.zone)
-                && (full.spot_allowed || !requirements.spot_allowed)
+                && unplaced.resources.fits(&requirements.resources)
+                && (unplaced.machine_types.is_none() || unplaced.machine_types == requirements.machine_types)
+                && (unplaced.zone.is_none() || unplaced.zone == requirements.zone)
+                && (unplaced.spot_allowed || !requirements.spot_allowed)
         })
     }
 }
 
-/// Work that found no place: the job, and how much of it.
+/// The tasks of one job that a placement round could not place.
 pub(super) struct UnplacedTasks {
     pub job: Arc<str>,
     pub requirements: Arc<TaskRequirements>,
-    /// Tasks that wait in each own shard, and (`None`) those that the leader may
-    /// still allocate to any.
+    /// Number of tasks that wait in each shard that this controller holds, and (`None`)
+    /// number of tasks that the leader may still allocate to any shard.
     pub waiting_by_shard: BTreeMap<Option<u32>, i64>,
-    /// All tasks for which machines are wanted.
+    /// Number of tasks for which machines are wanted, in all shards.
     pub count: i64,
 }
 
 impl Core {
-    /// What a machine of a type has.
+    /// Resources of a machine of this type; `None` if the type is unknown.
     pub(super) fn machine_type_capacity(&self, machine_type: &str) -> Option<Resources> {
         let catalog = self.catalog.as_ref()?;
         let machine_type = catalog.machine_types.iter().find(|t| t.name == machine_type)?;
         Some(Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
     }
 
-    /// How quickly machines of a type fetch images, in megabytes a second.
+    /// Rate at which machines of this type fetch images, in megabytes per second; 0 if
+    /// the type is unknown.
     pub(super) fn image_fetch_mb_per_s(&self, machine_type: &str) -> u32 {
         let machine_types = self.catalog.iter().flat_map(|c| &c.machine_types);
         let rate = machine_types.filter(|h| h.name == machine_type).map(|h| h.fetch_gb_per_s).next();
         (rate.unwrap_or(0.0) * 1000.0) as u32
     }
 
-    /// One round. Proposals become commands only once they are committed.
-    /// `wall_clock_s` is the time of day in seconds since 1970; `writes_scarce` says that few
-    /// changes of records can be made just now.
+    /// Runs one placement round. A proposed placement leads to a start command only once
+    /// its record is committed. `wall_clock_s` is the time in seconds since the Unix
+    /// epoch; `writes_scarce` says that few writes to the state service are possible
+    /// just now.
     pub fn place(&mut self, wall_clock_s: f64, writes_scarce: bool, now: Instant) {
         if !self.loaded || !self.has_role() || !self.in_contact(now) || self.catalog.is_none() {
             return;
@@ -108,8 +118,9 @@
             let Some(job) = self.open_job(id) else { continue };
             round.max_tasks_of_job =
                 if self.effective_rank(job) < job.rank() { MAX_BOOSTED_TASKS } else { usize::MAX };
-            let here: Vec<u32> = job.waiting.keys().copied().filter(|shard| self.is_holder(*shard)).collect();
-            for shard in here {
+            let own_shards: Vec<u32> =
+                job.waiting.keys().copied().filter(|shard| self.is_holder(*shard)).collect();
+            for shard in own_shards {
                 self.place_in_shard(id, shard, &mut round, now);
             }
             if leads {
@@ -130,16 +141,16 @@
             }
             self.unplaced = unplaced
                 .into_iter()
-                .filter(|u| u.count > 0)
-                .filter_map(|u| {
-                    let job = self.open_job(&u.job)?;
-                    // Other work gives way to replicas at once; machines are rented
-                    // for them only where none does.
+                .filter(|tasks| tasks.count > 0)
+                .filter_map(|tasks| {
+                    let job = self.open_job(&tasks.job)?;
+                    // Service replicas preempt other tasks at once; machines are rented
+                    // for them only if preemption does not make room.
                     let waited_for_preemption =
                         now.saturating_duration_since(job.served) >= SERVICE_SCALE_OUT_DELAY;
                     (!job.is_service() || waited_for_preemption).then(|| Demand {
-                        requirements: (*u.requirements).clone(),
-                        count: u.count,
+                        requirements: (*tasks.requirements).clone(),
+                        count: tasks.count,
                         prefer_fastest_boot: job.is_service(),
                     })
                 })
@@ -147,8 +158,8 @@
         }
     }
 
-    /// What of a job found no place; machines are wanted only for what its
-    /// team's limit lets start.
+    /// The tasks of a job that were not placed in this round. Unallocated tasks count
+    /// only as far as the team's quota limit lets them start.
     fn unplaced_tasks(
         &self,
         id: &Arc<str>,
@@ -157,12 +168,12 @@
     ) -> Option<UnplacedTasks> {
         let job = self.open_job(id)?;
         let requirements = &job.requirements;
-        let mut here = BTreeMap::new();
+        let mut waiting_by_shard = BTreeMap::new();
         let mut waiting = 0;
         for (shard, ranges) in &job.waiting {
             waiting += i64::from(ranges.len());
             if self.is_holder(*shard) {
-                here.insert(Some(*shard), i64::from(ranges.len()));
+                waiting_by_shard.insert(Some(*shard), i64::from(ranges.len()));
             }
         }
         if leads && !job.unallocated.is_empty() {
@@ -173,21 +184,21 @@
             let room = quota.headroom(&requirements.resources).min(i64::from(job.unallocated.len()));
             quota.used += requirements.resources.times(room);
             if room > 0 {
-                here.insert(None, room);
+                waiting_by_shard.insert(None, room);
             }
             waiting += room;
         }
         (waiting > 0).then(|| UnplacedTasks {
             job: id.clone(),
             requirements: requirements.clone(),
-            waiting_by_shard: here,
+            waiting_by_shard,
             count: waiting,
         })
     }
 
-    /// Machines of a shard on which a task of a job may start now, as far as
-    /// this process knows: in its own shards exactly, in others by what their
-    /// holders have committed.
+    /// Machines of a shard on which a task of a job may start now. For shards that this
+    /// controller holds the result is exact; for others it follows from the records
+    /// that their holders have committed.
     pub(super) fn candidate_machines(
         &self,
         id: &Arc<str>,
@@ -206,7 +217,8 @@
         let max_heartbeat_age = self.max_heartbeat_age();
         let other_drain = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
-        // Where it failed, unless it fails everywhere.
+        // Machines on which the job failed are avoided. If it failed on several, the job
+        // is at fault rather than the machines, and none is avoided.
         let avoid_failed_machines = job.failed_on.len() < 2;
         let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
         let to_candidate = |name: &Arc<str>| {
@@ -248,7 +260,8 @@
         let mut candidates: Vec<(Arc<str>, Candidate)> =
             machines_by_free_cpus.range(min_key..).filter_map(|(_, name)| to_candidate(name)).collect();
         if !hints.is_empty() {
-            // Those that have room only by what was told besides their record.
+            // Machines that have room only according to the holder's hints on freed
+            // resources, which are newer than the committed records.
             let mut hinted_machines: Vec<&Arc<str>> = hints
                 .iter()
                 .flat_map(|h| h.freed.keys())
@@ -262,12 +275,13 @@
         candidates
     }
 
-    /// How long a worker may be silent before it takes no more work.
+    /// Age of a worker's last heartbeat beyond which its machine gets no new tasks: 1.5
+    /// heartbeat intervals.
     pub(super) fn max_heartbeat_age(&self) -> std::time::Duration {
         self.settings.heartbeat_interval().mul_f64(1.5)
     }
 
-    /// Places what waits in a shard of this holder.
+    /// Places the tasks of a job that wait in a shard which this controller holds.
     pub(super) fn place_in_shard(
         &mut self,
         id: &Arc<str>,
@@ -288,8 +302,9 @@
         while !waiting.is_empty() {
             let placed = self.place_best_fit(id, shard, &waiting, now);
             waiting.drain(..placed);
-            // With constraints on zones each task may change what the next may do;
-            // replicas go to one machine each while there is a choice.
+            // With zone constraints, each placed task may change where the next one is
+            // allowed. Service replicas go to different machines as long as there is a
+            // choice, so each pass places at most one per machine.
             if placed == 0 || !(constrained || service) {
                 break;
             }
@@ -305,8 +320,8 @@
         }
     }
 
-    /// Tasks of a job that wait in a shard and may be placed in this round. One
-    /// that is still on a machine, against all records, waits.
+    /// Tasks of a job that wait in a shard and may be placed in this round. A task that
+    /// a worker still reports although no record places it there has to wait.
     fn placeable_tasks(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &PlacementRound) -> Vec<u32> {
         let max_tasks = round.placements_left.min(round.max_tasks_of_job);
         let is_running_unexpectedly = |index: u32| {
@@ -317,11 +332,14 @@
         waiting.take(max_tasks).filter(|index| !is_running_unexpectedly(*index)).collect()
     }
 
-    /// What a drain moves goes where the drain says, if it still fits.
+    /// Places tasks that a drain moves on the machines that the drain's record names, if
+    /// they still fit there.
     fn place_drain_moves(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
         let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
-        for DrainMove { index, to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
-            let Some(position) = waiting.iter().position(|waits| waits == index) else { continue };
+        for DrainMove { index, to, .. } in drain.moves.iter().filter(|task_move| task_move.job == **id) {
+            let Some(position) = waiting.iter().position(|waiting_index| waiting_index == index) else {
+                continue;
+            };
             let to: Arc<str> = to.as_str().into();
             let Some(job) = self.open_job(id) else { return };
             let machines = self.candidate_machines(id, job, shard, &HashMap::new(), now);
@@ -332,15 +350,15 @@
         }
     }
 
-    /// Places the first of the waiting tasks by best fit, as many as find room at
-    /// once; returns how many.
+    /// Places as many of the first waiting tasks as one best-fit pass can; returns how
+    /// many were placed.
     fn place_best_fit(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
         let Some(job) = self.open_job(id) else { return 0 };
         let mut machines = self.candidate_machines(id, job, shard, &HashMap::new(), now);
         if job.is_constrained() {
-            let zones = self.task_count_by_zone(job);
+            let task_counts = self.task_count_by_zone(job);
             machines.retain(|(name, _)| {
-                self.machines.get(name).is_some_and(|m| zone_constraints_allow(job, &zones, &m.zone))
+                self.machines.get(name).is_some_and(|m| zone_constraints_allow(job, &task_counts, &m.zone))
             });
         }
         let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
@@ -352,7 +370,7 @@
             let machine = machines[index].0.clone();
             for _ in 0..tasks {
                 let Some(task) = waiting.get(placed).copied() else { break };
-                // The machine may have room and its record none.
+                // The machine may have room although its segment is full.
                 if !self.propose_placement(&TaskId { job: id.clone(), index: task }, &machine, now) {
                     break;
                 }
@@ -362,19 +380,21 @@
         placed
     }
 
-    /// How many of a job's tasks each zone has.
+    /// Number of a job's placed tasks in each zone.
     fn task_count_by_zone(&self, job: &OpenJob) -> BTreeMap<String, u32> {
-        let mut zones = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for placed in job.placed.values() {
             if let Some(machine) = self.machines.get(&placed.machine) {
-                *zones.entry(machine.zone.clone()).or_default() += 1;
+                *counts.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        zones
+        counts
     }
 
-    /// Books a task on a machine until its record is committed or refused; the
-    /// caller derives the job anew. `false`: there is no room in the record.
+    /// Books a task on a machine and marks the machine's segment for a commit. The
+    /// booking is provisional until the commit succeeds, and is undone if it is refused.
+    /// The caller must rederive the job's state. Returns `false` if the task can't be
+    /// placed, for example because the segment is full.
     fn propose_placement(&mut self, task: &TaskId, machine: &Arc<str>, now: Instant) -> bool {
         let Some(session) = self.machines.get(machine).map(|m| m.session) else { return false };
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
@@ -411,13 +431,15 @@
     }
 }
 
-/// Whether a job's constraints on zones let another of its tasks go to one.
-fn zone_constraints_allow(job: &OpenJob, zones: &BTreeMap<String, u32>, zone: &str) -> bool {
-    let here = zones.get(zone).copied().unwrap_or(0);
-    (!job.spec.one_zone || zones.is_empty() || here > 0)
-        && (!job.spec.spread || here < job.record.tasks.div_ceil(2))
+/// Whether a job's zone constraints allow another of its tasks in `zone`, given the
+/// number of its tasks in each zone.
+fn zone_constraints_allow(job: &OpenJob, task_counts: &BTreeMap<String, u32>, zone: &str) -> bool {
+    let tasks_in_zone = task_counts.get(zone).copied().unwrap_or(0);
+    (!job.spec.one_zone || task_counts.is_empty() || tasks_in_zone > 0)
+        && (!job.spec.spread || tasks_in_zone < job.record.tasks.div_ceil(2))
 }
 
+/// Whether a machine has the image that a task requires.
 pub(super) fn image_presence(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
     match requirements.image.as_ref().map(|image| machine.image(image)) {
         None | Some(Some(true)) => ImagePresence::Yes,
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -1,5 +1,5 @@
-//! The order in which waiting jobs are served: by rank, guarantees, what has waited very
-//! long, deadlines, and best fit decreasing.
+//! The order in which waiting jobs are served: by rank, guaranteed quota, starvation,
+//! deadline, and task size (largest first, for best fit decreasing).
 
 use super::Core;
 use crate::jobs::OpenJob;
@@ -9,88 +9,93 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Users want even the largest jobs to begin within minutes: one of which
-/// nothing has run for so long goes before all others of its rank, and ranks
-/// one higher.
+/// Seconds after its submission at which a job that has not started counts as
+/// starved: it goes before all jobs of its serving level that are not starved, and its
+/// rank is raised by one. Users expect even the largest jobs to start within minutes.
 const MAX_START_WAIT_S: f64 = 150.0;
-/// So many tasks make a beginning.
+/// Number of tasks that a starved job places at its raised rank. These are enough for
+/// the job to count as started.
 pub(super) const MAX_BOOSTED_TASKS: usize = 2;
-/// The same, but for the rank, for what has begun and does not get on.
+/// Seconds after its submission at which a job that has started but is not complete
+/// counts as starved: it goes before all jobs of its serving level that are not
+/// starved, but this alone does not raise its rank.
 const MAX_COMPLETION_WAIT_S: f64 = 400.0;
 
-/// Which work goes before which, whatever else is known of it. A guarantee is a
-/// promise to a team whatever the rank of its work: what another team runs beyond
-/// its own must not keep it waiting.
+/// The first criterion of the serving order. A team's guaranteed quota holds for its
+/// ordinary work of any rank: work that another team runs beyond its own guarantee
+/// must not delay it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ServingLevel {
-    /// Critical and urgent work, by effective rank.
+    /// Critical and urgent jobs, by effective rank.
     Urgent(u8),
-    /// Ordinary work that lies within its team's guarantee, or has waited very
-    /// long.
-    Guaranteed,
-    /// Other ordinary work, by effective rank.
+    /// Ordinary jobs that lie within their team's guaranteed quota or are starved.
+    GuaranteedOrStarved,
+    /// All other jobs, by effective rank.
     Ordinary(u8),
 }
 
 impl ServingLevel {
-    pub(super) fn of(rank: u8, guaranteed: bool) -> ServingLevel {
+    pub(super) fn of(rank: u8, guaranteed_or_starved: bool) -> ServingLevel {
         match rank {
             0 | 1 => ServingLevel::Urgent(rank),
-            _ if guaranteed => ServingLevel::Guaranteed,
+            _ if guaranteed_or_starved => ServingLevel::GuaranteedOrStarved,
             _ => ServingLevel::Ordinary(rank),
         }
     }
 }
 
-/// In which order jobs are served: the job with the smallest key goes first.
-/// Fields are compared in the order in which they stand here.
+/// Sort key of the serving order: the job with the smallest key is served first.
+/// Fields are compared in the order of their declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ServingKey {
-    /// Which of all work goes before which.
+    /// Serving level of the job.
     pub level: ServingLevel,
-    /// For a job that has waited very long, its submission time in milliseconds
-    /// since 1970; for all others, the largest number.
+    /// Submission time of a starved job, in milliseconds since the Unix epoch;
+    /// `u64::MAX` for all other jobs.
     pub starved_submitted_ms: u64,
-    /// Work within its team's guarantee goes before work beyond it.
+    /// Whether the job exceeds its team's guaranteed quota; jobs within it go first.
     pub over_quota: bool,
-    /// The effective rank; lower numbers go first.
+    /// Effective rank of the job; lower numbers have precedence.
     pub rank: u8,
     /// Whether the job can still meet its deadline.
     pub deadline: DeadlineState,
-    /// Best fit *decreasing*: the larger tasks first.
+    /// CPUs of each task, in thousandths. Jobs with larger tasks go first, as best fit
+    /// decreasing requires.
     pub task_cpus: Reverse<i64>,
-    /// Estimated seconds of run time that are left of the job.
+    /// Estimated run time of all unfinished tasks of the job, in seconds.
     pub remaining_run_time_s: u64,
-    /// When it is due, in milliseconds since 1970.
+    /// Time by which the job should be complete, in milliseconds since the Unix epoch.
     pub due_ms: u64,
-    /// When it was submitted, in milliseconds since 1970.
+    /// Submission time of the job, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
 }
 
-/// Whether a job can still meet its deadline. Best fit is decreasing within each
-/// of these. Those that have time are not put behind those that must start soon:
-/// in overload all would wait until they are nearly late, and then be late
-/// together.
+/// Whether a job can still meet its deadline. Within each state, jobs with larger
+/// tasks go first (best fit decreasing). Jobs with much time left are not put behind
+/// jobs that must start soon: under overload, every job would wait until it is nearly
+/// late, and then most would miss their deadlines together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DeadlineState {
-    /// It can still be in time.
+    /// The job can still meet its deadline.
     InTime,
-    /// It is too late already: others can still be in time.
+    /// The job can no longer meet its deadline, so it goes after jobs that still can.
     Missed,
 }
 
 pub(super) fn deadline_state(time_left_s: f64, estimate_s: f64) -> DeadlineState {
-    // A service has neither.
+    // A service has neither a deadline nor an estimated run time.
     if estimate_s <= 0.0 {
         return DeadlineState::InTime;
     }
-    // Estimates are often wrong by a quarter.
+    // Estimates are often off by a quarter, so a deadline counts as missed only if less
+    // than three quarters of the estimated run time are left.
     if time_left_s < 0.75 * estimate_s { DeadlineState::Missed } else { DeadlineState::InTime }
 }
 
 impl Core {
-    /// Jobs that lie within their team's guarantee together with the team's
-    /// earlier unfinished ones.
+    /// For each open job, whether it lies within its team's guaranteed quota: whether
+    /// its unfinished tasks, together with those of the team's jobs that were submitted
+    /// earlier, use no more than the guarantee.
     pub(super) fn jobs_within_guarantee(&self) -> HashMap<Arc<str>, bool> {
         let mut by_age: Vec<(&Arc<str>, &OpenJob)> = self
             .open
@@ -99,10 +104,10 @@
             .filter(|(_, j)| j.is_open())
             .collect();
         by_age.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
-        let mut totals: HashMap<&str, Resources> = HashMap::new();
+        let mut total_by_team: HashMap<&str, Resources> = HashMap::new();
         let mut within_guarantee = HashMap::new();
         for (id, job) in by_age {
-            let total = totals.entry(job.spec.team.as_str()).or_default();
+            let total = total_by_team.entry(job.spec.team.as_str()).or_default();
             *total += job.requirements.resources.times(i64::from(job.left()));
             let within = self.teams.get(&job.spec.team).is_some_and(|quota| quota.guarantee_covers(total));
             within_guarantee.insert(id.clone(), within);
@@ -110,32 +115,36 @@
         within_guarantee
     }
 
-    /// When a job should be complete, in seconds since 1970.
+    /// Time by which a job should be complete, in seconds since the Unix epoch: the
+    /// earlier of its own deadline and its class's objective, or, if it has neither,
+    /// four times its estimated run time after its submission.
     fn due_time_s(&self, job: &OpenJob) -> f64 {
         let limits_s = [job.spec.deadline_s, self.settings.finished_within(&job.spec.class)];
         let limit_s = limits_s.into_iter().flatten().min_by(f64::total_cmp);
         job.record.at + limit_s.unwrap_or(job.spec.estimate_s * 4.0)
     }
 
-    /// Whether a job has waited so long that it goes before others: least left
-    /// first, and missed deadlines last, must starve nobody.
+    /// Whether a job has waited so long that it goes before others of its serving level.
+    /// The other criteria serve jobs with little remaining run time first and jobs that
+    /// missed their deadline last; without this rule, they could starve a job.
     fn is_starved(&self, job: &OpenJob) -> bool {
         let started = !job.placed.is_empty() || !job.done.is_empty();
         self.wall_clock_s - job.record.at > if started { MAX_COMPLETION_WAIT_S } else { MAX_START_WAIT_S }
     }
 
-    /// A job's rank, one higher once it has waited very long. What is placed of
-    /// it keeps that rank while it is young, or the job would be undone again
-    /// and again by more urgent ones.
+    /// A job's rank, raised by one if the job waits to start for longer than
+    /// [`MAX_START_WAIT_S`]. Its first placed tasks keep the raised rank; otherwise
+    /// jobs of a higher rank would preempt them again and again.
     pub(super) fn effective_rank(&self, job: &OpenJob) -> u8 {
-        let old = self.wall_clock_s - job.record.at > MAX_START_WAIT_S;
-        // A few tasks are enough to begin: a large job must not take the place
-        // of all urgent work.
-        let few = job.placed.len() <= MAX_BOOSTED_TASKS && job.done.is_empty();
-        if old && few { job.rank().saturating_sub(1) } else { job.rank() }
+        let waited_long = self.wall_clock_s - job.record.at > MAX_START_WAIT_S;
+        // A few tasks are enough for a start: a large job must not displace all work of
+        // the higher rank.
+        let few_started = job.placed.len() <= MAX_BOOSTED_TASKS && job.done.is_empty();
+        if waited_long && few_started { job.rank().saturating_sub(1) } else { job.rank() }
     }
 
-    /// Waiting jobs in the order in which they are served.
+    /// The waiting jobs in the order in which they are served, without jobs that must not
+    /// start yet, for example during the backoff after failures.
     pub(super) fn serving_order(&self, wall_clock_s: f64, now: Instant) -> Vec<(ServingKey, Arc<str>)> {
         let guaranteed = self.jobs_within_guarantee();
         let mut order: Vec<(ServingKey, Arc<str>)> = self
--- a/crates/dapplecroft-controller/src/core/serving_order/tests.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-// Jobs with time left once waited behind those that had to start soon: in
-// overload nearly all became late that way.
+// Regression test: jobs with time left until their deadline were served after jobs that
+// had to start soon. Under overload, nearly all jobs missed their deadlines that way.
 #[test]
 fn deadline_slack_does_not_change_the_order_until_missed() {
     assert_eq!(deadline_state(500.0, 40.0), deadline_state(41.0, 40.0));
@@ -10,8 +10,9 @@
     assert!(DeadlineState::InTime < DeadlineState::Missed);
 }
 
-// Low work within its team's guarantee waited for minutes behind normal work that
-// other teams ran beyond theirs (incidents eef6 and 2905 of mekong-cold-chain).
+// Regression test: low-priority jobs within their team's guaranteed quota waited for
+// minutes behind normal-priority jobs that other teams ran beyond their guarantees
+// (incidents eef6 and 2905 of mekong-cold-chain).
 #[test]
 fn guaranteed_work_precedes_ordinary_work_of_any_rank() {
     let levels = [
