--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -15,24 +15,24 @@
 
 /// A job with so many tasks for each shard has a part for each, where there are so many
 /// shards that its record could not name several ranges of each.
-const LARGE_PART: usize = 16;
-const MANY_SHARDS: usize = 16;
+const PARTITION_MIN_TASKS_PER_SHARD: usize = 16;
+const PARTITION_MIN_SHARDS: usize = 16;
 
 /// Tasks that a shard could not start for so long are taken back, if another
 /// shard can start some.
-const STALLED: Duration = Duration::from_secs(8);
+const STALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// Part of a shard's processors for which work may wait there, so that its
 /// holder fills what becomes free without asking; more for urgent work, for
 /// which other work gives way there.
-const BACKLOG: i64 = 8;
-const URGENT_BACKLOG: i64 = 4;
+const BACKLOG_DIVISOR: i64 = 8;
+const URGENT_BACKLOG_DIVISOR: i64 = 4;
 
 /// How long a hint on free room counts.
-const HINT_LASTS: Duration = Duration::from_millis(1500);
+const ROOM_HINT_LIFETIME: Duration = Duration::from_millis(1500);
 
 /// Room that another holder has told of.
 #[derive(Debug, Clone)]
-pub(super) struct Hint {
+pub(super) struct RoomHint {
     version: u64,
     at: Instant,
     pub(super) freed: HashMap<Arc<str>, Resources>,
@@ -42,13 +42,13 @@
 struct ShardFit {
     shard: u32,
     /// Tasks that may start.
-    total: i64,
+    startable: i64,
     /// Those on machines that are in use already.
-    tight: i64,
+    on_used_machines: i64,
     /// Those on machines with the image.
     with_image: i64,
     /// Whether tasks of the job were allocated there before.
-    used: bool,
+    has_allocation: bool,
 }
 
 /// How well a shard suits `wanted` tasks of a job; the greatest is the best.
@@ -56,10 +56,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ShardScore {
     /// Whether all may start there.
-    all: bool,
+    fits_all: bool,
     with_image: i64,
-    tight: i64,
-    used: bool,
+    on_used_machines: i64,
+    has_allocation: bool,
     /// Of shards that take all, the one with the least room; of others, the one
     /// with the most.
     room: i64,
@@ -69,13 +69,13 @@
 
 impl ShardFit {
     fn score(&self, wanted: i64) -> ShardScore {
-        let all = self.total >= wanted;
+        let fits_all = self.startable >= wanted;
         ShardScore {
-            all,
+            fits_all,
             with_image: self.with_image.min(wanted),
-            tight: self.tight.min(wanted),
-            used: self.used,
-            room: if all { -self.total } else { self.total },
+            on_used_machines: self.on_used_machines.min(wanted),
+            has_allocation: self.has_allocation,
+            room: if fits_all { -self.startable } else { self.startable },
             shard: Reverse(self.shard),
         }
     }
@@ -83,7 +83,7 @@
 
 /// The shard that a job is bound to whose zones depend on each other: its
 /// constraints hold across all its tasks, so one holder has to see all of them.
-fn bound_shard(job: &OpenJob) -> Option<u32> {
+fn constrained_job_shard(job: &OpenJob) -> Option<u32> {
     // What was taken back from a shard may be on a machine there all the same,
     // placed just before. What is done binds nothing any more, though the record
     // still says where it was allocated.
@@ -94,7 +94,7 @@
 
 impl Core {
     /// What has become free in this holder's shards since their records.
-    pub fn freed_room(&self) -> RoomReply {
+    pub fn freed_room_reply(&self) -> RoomReply {
         let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
             let mut freed = Resources::default();
@@ -127,7 +127,7 @@
 
     /// Takes over what has become free in another holder's shards. It counts
     /// only on top of the record that it was told with, and not for long.
-    pub fn take_room(&mut self, reply: &RoomReply, now: Instant) {
+    pub fn apply_room_reply(&mut self, reply: &RoomReply, now: Instant) {
         for shard in &reply.blocks {
             let segment_id = SegmentId { shard: shard.block, segment: shard.part };
             let current = self.segments.get(&segment_id).map_or(0, |l| l.version);
@@ -142,29 +142,29 @@
                     (f.machine.as_str().into(), resources)
                 })
                 .collect();
-            self.hints.insert(segment_id, Hint { version: current, at: now, freed });
+            self.hints.insert(segment_id, RoomHint { version: current, at: now, freed });
             self.wakeups.place = true;
         }
     }
 
     /// What another holder has told to be free on machines since their records.
-    pub(super) fn hinted(&self, shard: u32, now: Instant) -> Vec<&Hint> {
-        let of = SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX);
-        let fresh = |id: &SegmentId, hint: &Hint| {
+    pub(super) fn current_room_hints(&self, shard: u32, now: Instant) -> Vec<&RoomHint> {
+        let shard_segments = SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX);
+        let fresh = |id: &SegmentId, hint: &RoomHint| {
             let current = self.segments.get(id).map_or(0, |l| l.version);
-            now.saturating_duration_since(hint.at) < HINT_LASTS && hint.version == current
+            now.saturating_duration_since(hint.at) < ROOM_HINT_LIFETIME && hint.version == current
         };
-        self.hints.range(of).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
+        self.hints.range(shard_segments).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
     }
 
     /// Whether a shard has a holder that is up.
-    fn is_served(&self, shard: u32) -> bool {
+    fn has_live_holder(&self, shard: u32) -> bool {
         self.is_holder(shard) || self.holder_host(shard).is_some()
     }
 
     /// Sets room aside for what other holders have been given and have not
     /// placed yet.
-    pub(super) fn reserve_backlog(&self, round: &mut Round, now: Instant) {
+    pub(super) fn reserve_remote_backlog(&self, round: &mut Round, now: Instant) {
         for id in &self.waiting {
             let Some(job) = self.open_job(id) else { continue };
             for (shard, waiting) in &job.waiting {
@@ -173,12 +173,20 @@
                 if self.is_holder(*shard) {
                     continue;
                 }
-                self.reserve(id, job, *shard, count, round, now);
+                self.reserve_room(id, job, *shard, count, round, now);
             }
         }
     }
 
-    fn reserve(&self, id: &Arc<str>, job: &OpenJob, shard: u32, count: i64, round: &mut Round, now: Instant) {
+    fn reserve_room(
+        &self,
+        id: &Arc<str>,
+        job: &OpenJob,
+        shard: u32,
+        count: i64,
+        round: &mut Round,
+        now: Instant,
+    ) {
         let machines = self.candidates(id, job, shard, &round.reserved, now);
         let candidates: Vec<Candidate> = machines.iter().map(|(_, c)| *c).collect();
         for (index, n) in best_fit(&candidates, &job.requirements.resources, count) {
@@ -187,25 +195,25 @@
         }
     }
 
-    fn fit(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round, now: Instant) -> ShardFit {
-        let mut fit = ShardFit {
+    fn shard_fit(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round, now: Instant) -> ShardFit {
+        let mut shard_fit = ShardFit {
             shard,
-            total: 0,
-            tight: 0,
+            startable: 0,
+            on_used_machines: 0,
             with_image: 0,
-            used: job.record.allocated.contains_key(&shard),
+            has_allocation: job.record.allocated.contains_key(&shard),
         };
         for (_, c) in self.candidates(id, job, shard, &round.reserved, now) {
             let n = job.requirements.resources.times_in(&(c.capacity - c.booked)).max(1);
-            fit.total += n;
+            shard_fit.startable += n;
             if c.booked != Resources::default() {
-                fit.tight += n;
+                shard_fit.on_used_machines += n;
             }
             if c.image != ImagePresence::No {
-                fit.with_image += n;
+                shard_fit.with_image += n;
             }
         }
-        fit
+        shard_fit
     }
 
     /// Allocates what of a job can start somewhere, to as few shards as will do,
@@ -235,27 +243,27 @@
         let mut fits = self.shard_fits(id, job, left, round, now);
         if constrained {
             fits.truncate(1);
-            if let Some(fit) = fits.first_mut() {
-                fit.total = left;
+            if let Some(shard_fit) = fits.first_mut() {
+                shard_fit.startable = left;
             }
         }
-        let (all, several, service) = (left, fits.len() > 1, job.is_service());
-        for fit in fits {
+        let (wanted, several, service) = (left, fits.len() > 1, job.is_service());
+        for shard_fit in fits {
             if left <= 0 {
                 break;
             }
-            let own = self.is_holder(fit.shard);
-            let most = if own { fit.total.min(round.left as i64) } else { fit.total };
+            let own = self.is_holder(shard_fit.shard);
+            let most = if own { shard_fit.startable.min(round.left as i64) } else { shard_fit.startable };
             // The replicas of a service are not all in one shard.
-            let most = if service && several { most.min((all + 1) / 2) } else { most };
+            let most = if service && several { most.min((wanted + 1) / 2) } else { most };
             let n = left.min(most);
             if n > 0 {
-                if !self.allocate_to(id, fit.shard, n as u32, round, now) {
+                if !self.allocate_to(id, shard_fit.shard, n as u32, round, now) {
                     return;
                 }
                 left -= n;
                 if own {
-                    self.place_in(id, fit.shard, round, now);
+                    self.place_in(id, shard_fit.shard, round, now);
                 }
             }
         }
@@ -280,21 +288,21 @@
     ) -> Vec<ShardFit> {
         let may_fit = |shard: u32, machines: &BTreeSet<(i64, Arc<str>)>| {
             let most = machines.last().map_or(-1, |(free, _)| *free);
-            most >= job.requirements.resources.cpus || !self.hinted(shard, now).is_empty()
+            most >= job.requirements.resources.cpus || !self.current_room_hints(shard, now).is_empty()
         };
         let mut fits: Vec<ShardFit> = self
             .machines_by_free_cpus
             .iter()
-            .filter(|(shard, machines)| may_fit(**shard, machines) && self.is_served(**shard))
-            .map(|(shard, _)| self.fit(id, job, *shard, round, now))
-            .filter(|fit| fit.total > 0)
+            .filter(|(shard, machines)| may_fit(**shard, machines) && self.has_live_holder(**shard))
+            .map(|(shard, _)| self.shard_fit(id, job, *shard, round, now))
+            .filter(|shard_fit| shard_fit.startable > 0)
             .collect();
         if job.is_constrained()
-            && let Some(bound) = bound_shard(job)
+            && let Some(bound) = constrained_job_shard(job)
         {
-            fits.retain(|fit| fit.shard == bound);
+            fits.retain(|shard_fit| shard_fit.shard == bound);
         }
-        fits.sort_by_key(|fit| Reverse(fit.score(wanted)));
+        fits.sort_by_key(|shard_fit| Reverse(shard_fit.score(wanted)));
         fits
     }
 
@@ -309,7 +317,7 @@
         now: Instant,
     ) -> bool {
         let Some(job) = self.open_job(id) else { return false };
-        let ranges = job.unallocated.head_from(self.allocation_start(job, shard), count);
+        let ranges = job.unallocated.head_from(self.allocation_start_index(job, shard), count);
         let Some(job) = self.open_job_mut(id) else { return false };
         let before = job.allocating.clone();
         let own = job.allocating.entry(shard).or_default();
@@ -326,7 +334,7 @@
         self.mark_job(id);
         let Some(job) = self.open_job(id) else { return false };
         if !self.is_holder(shard) {
-            self.reserve(id, job, shard, i64::from(count), round, now);
+            self.reserve_room(id, job, shard, i64::from(count), round, now);
         }
         if !self.is_holder(shard) || round.scarce {
             *round.backlog.entry(shard).or_default() += job.requirements.resources.cpus * i64::from(count);
@@ -338,9 +346,11 @@
     /// goes on where it left off in a part of a large job of its own: allocated as they
     /// come, to many shards by turns, its tasks would be in so many ranges that its
     /// record, which names them, is full long before the fleet is.
-    fn allocation_start(&self, job: &OpenJob, shard: u32) -> u32 {
+    fn allocation_start_index(&self, job: &OpenJob, shard: u32) -> u32 {
         let shards = self.shards.len();
-        if shards < MANY_SHARDS || (job.record.tasks as usize) < LARGE_PART * shards {
+        if shards < PARTITION_MIN_SHARDS
+            || (job.record.tasks as usize) < PARTITION_MIN_TASKS_PER_SHARD * shards
+        {
             return 0;
         }
         let last = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&shard).and_then(Ranges::last);
@@ -356,12 +366,12 @@
             let capacity = Resources::new(t.cpus, t.gpus, t.memory_gb);
             job.requirements.resources.times_in(&capacity)
         });
-        let part = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
-        (u64::from(shard) * part % u64::from(job.record.tasks)) as u32
+        let tasks_per_shard = on_one.max().unwrap_or(1).max(1) as u64 * self.shard_machines() as u64;
+        (u64::from(shard) * tasks_per_shard % u64::from(job.record.tasks)) as u32
     }
 
     /// How many processors each shard has that are up.
-    pub(super) fn measure_shards(&self, round: &mut Round) {
+    pub(super) fn sum_shard_cpus(&self, round: &mut Round) {
         for machine in self.machines.values().filter(|m| m.seems_open()) {
             *round.sizes.entry(machine.shard).or_default() += machine.capacity.cpus;
             if !machine.spot {
@@ -394,13 +404,13 @@
         // What waits in a shard is taken from the team's limit: not all of it.
         let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
         let left = if unlimited { left } else { left.min(book.headroom(&requirements.resources) / 2) };
-        let part = if urgent { URGENT_BACKLOG } else { BACKLOG };
+        let divisor = if urgent { URGENT_BACKLOG_DIVISOR } else { BACKLOG_DIVISOR };
         let sizes = if requirements.spot { &round.sizes } else { &round.ordinary };
         let best = sizes
             .iter()
-            .filter(|(b, _)| self.is_served(**b) && (round.scarce || service || !self.is_holder(**b)))
+            .filter(|(b, _)| self.has_live_holder(**b) && (round.scarce || service || !self.is_holder(**b)))
             .map(|(b, size)| {
-                let free = size / part - round.backlog.get(b).copied().unwrap_or(0);
+                let free = size / divisor - round.backlog.get(b).copied().unwrap_or(0);
                 (job.record.allocated.contains_key(b), free / cpus, Reverse(*b))
             })
             .filter(|(_, n, _)| *n > 0)
@@ -415,7 +425,7 @@
     }
 
     /// Takes back what a shard could not start soon, if others could.
-    pub(super) fn take_back_stalled(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
+    pub(super) fn revoke_stalled_allocations(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
         let Some(job) = self.open_job_mut(id) else { return };
         let (waiting, old) = (&job.waiting, &job.stalled);
         job.stalled = waiting
@@ -428,7 +438,7 @@
         let stalled: Vec<u32> = job
             .stalled
             .iter()
-            .filter(|(_, (since, _))| now.saturating_duration_since(*since) >= STALLED)
+            .filter(|(_, (since, _))| now.saturating_duration_since(*since) >= STALL_TIMEOUT)
             .map(|(shard, _)| *shard)
             .collect();
         for shard in stalled {
@@ -439,8 +449,10 @@
                 .filter(|(b, m)| {
                     **b != shard && m.last().is_some_and(|(free, _)| *free >= job.requirements.resources.cpus)
                 })
-                .any(|(b, _)| self.is_served(*b) && self.fit(id, job, *b, round, now).total > 0);
-            let served = self.is_served(shard);
+                .any(|(b, _)| {
+                    self.has_live_holder(*b) && self.shard_fit(id, job, *b, round, now).startable > 0
+                });
+            let served = self.has_live_holder(shard);
             // Constraints on zones hold across all tasks of a job: as long as one is
             // on a machine, the others stay with the holder that sees it.
             let constrained = job.is_constrained();
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -16,47 +16,48 @@
 /// What a holder remembers of drains and of how full machines were.
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
-    looked: Option<Instant>,
-    last: Option<Instant>,
-    seen: Option<(u64, Instant)>,
-    shares: VecDeque<(Instant, f64)>,
-    turn: u32,
+    last_check: Option<Instant>,
+    last_drain: Option<Instant>,
+    current_seen: Option<(u64, Instant)>,
+    highest_shares: VecDeque<(Instant, f64)>,
+    next_shard: u32,
     /// Whether a write of a drain's record is on its way.
-    writing: bool,
+    write_pending: bool,
 }
 
 impl Core {
     /// The next step of repacking: a change of a drain's record, if any.
     pub fn drain_step(&mut self, now: Instant) -> Option<AtomicUpdate> {
-        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.writing {
+        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.write_pending {
             return None;
         }
-        let begun = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
-        if let Some((&shard, (record, version))) = begun {
+        let current = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
+        if let Some((&shard, (record, version))) = current {
             let (record, version) = (record.clone(), *version);
             return self.continue_drain(shard, &record, version, now);
         }
-        if self.draining.looked.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL) {
+        if self.draining.last_check.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL)
+        {
             return None;
         }
-        self.draining.looked = Some(now);
-        self.note_shares(now);
+        self.draining.last_check = Some(now);
+        self.record_highest_booked_share(now);
         let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_every;
-        if self.draining.last.is_some_and(recent) {
+        if self.draining.last_drain.is_some_and(recent) {
             return None;
         }
         // One shard at a look, in turn, beginning with the first.
-        let turn = self.draining.turn;
+        let next_shard = self.draining.next_shard;
         let held = &self.role.leased_shards;
-        let shard = held.range(turn..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
-        self.draining.turn = shard + 1;
-        let record = self.new_drain(shard, now)?;
+        let shard = held.range(next_shard..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
+        self.draining.next_shard = shard + 1;
+        let record = self.plan_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
         if stored_size(&value) > self.limits().value {
             // So many tasks are not moved at a time.
             return None;
         }
-        self.draining.last = Some(now);
+        self.draining.last_drain = Some(now);
         tracing::info!(
             machine = record.machine,
             for_job = record.for_job,
@@ -65,13 +66,13 @@
         );
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version: 0 }];
-        self.draining.writing = true;
+        self.draining.write_pending = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Notes the end of a write of a drain's record.
-    pub fn drain_written(&mut self) {
-        self.draining.writing = false;
+    pub fn drain_write_finished(&mut self) {
+        self.draining.write_pending = false;
     }
 
     fn shard_condition(&self, shard: u32) -> Option<Condition> {
@@ -81,7 +82,7 @@
 
     /// The cap on what a drain fills: the highest share within the window, and
     /// the whole machine until anything was seen.
-    fn note_shares(&mut self, now: Instant) {
+    fn record_highest_booked_share(&mut self, now: Instant) {
         let silence = self.silence();
         let highest = self
             .machines
@@ -90,26 +91,26 @@
             .map(|m| m.booked.share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
-        let shares = &mut self.draining.shares;
+        let shares = &mut self.draining.highest_shares;
         shares.retain(|(at, _)| now.saturating_duration_since(*at) <= window);
         shares.push_back((now, highest));
     }
 
-    fn cap(&self, now: Instant) -> f64 {
-        let whole = self
+    fn max_fill_share(&self, now: Instant) -> f64 {
+        let history_too_short = self
             .draining
-            .shares
+            .highest_shares
             .front()
             .is_none_or(|(at, _)| now.saturating_duration_since(*at) < self.options.drain_window / 2);
-        if whole {
+        if history_too_short {
             return 1.0;
         }
-        self.draining.shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
+        self.draining.highest_shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
     }
 
     /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
     /// that are put off after failures are not among them.
-    fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
+    fn jobs_without_room(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
             let ready = job.is_open() && job.not_before.is_none_or(|at| at <= now) && job.failures == 0;
@@ -127,8 +128,8 @@
             .collect()
     }
 
-    fn new_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
-        let waiting = self.without_room_in(shard, now);
+    fn plan_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
+        let waiting = self.jobs_without_room(shard, now);
         if waiting.is_empty() {
             return None;
         }
@@ -145,7 +146,7 @@
         }
         let rules = RepackRules {
             trigger: self.options.drain_trigger,
-            cap: self.cap(now),
+            cap: self.max_fill_share(now),
             oldest: self.options.drain_every,
         };
         let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
@@ -175,37 +176,37 @@
         version: u64,
         now: Instant,
     ) -> Option<AtomicUpdate> {
-        let begun = match self.draining.seen {
+        let first_seen = match self.draining.current_seen {
             Some((seen, at)) if seen == version => at,
             _ => {
-                self.draining.seen = Some((version, now));
+                self.draining.current_seen = Some((version, now));
                 now
             }
         };
-        let mut left = false;
+        let mut tasks_remain = false;
         for DrainMove { job, index, attempt, .. } in &record.moves {
             let task = TaskId { job: job.as_str().into(), index: *index };
             let Some(placed) = self.open_job(job).and_then(|j| j.placed.get(index)) else {
                 // Done, or waiting to be placed where the record says.
-                let waits = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
-                left |= self.open_job(job).is_some_and(waits);
+                let is_waiting = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
+                tasks_remain |= self.open_job(job).is_some_and(is_waiting);
                 continue;
             };
             if *placed.machine == *record.machine && placed.attempt == *attempt {
-                left = true;
-                self.stop(&task, Stop::Drained, now);
+                tasks_remain = true;
+                self.stop_committed_task(&task, Stop::Drained, now);
             }
         }
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
-        let waits = self.waiting.contains(record.for_job.as_str());
-        let long = now.saturating_duration_since(begun) > self.options.drain_every * 2;
-        if (left || (emptied && waits)) && !long {
+        let target_waits = self.waiting.contains(record.for_job.as_str());
+        let overdue = now.saturating_duration_since(first_seen) > self.options.drain_every * 2;
+        if (tasks_remain || (emptied && target_waits)) && !overdue {
             return None;
         }
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version }];
-        self.draining.writing = true;
+        self.draining.write_pending = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -95,7 +95,7 @@
         let mut waiting: Vec<(&Arc<str>, &OpenJob)> =
             self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?))).collect();
         waiting.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
-        let mut rooms = self.coming();
+        let mut rooms = self.pending_capacity();
         let offers = self.offers(now);
         let mut candidates = Vec::new();
         for (id, job) in waiting {
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -13,18 +13,18 @@
 
 /// ScaleOutRequest requests that may be on their way at a time even if the cloud takes
 /// fewer a second.
-const MIN_RENTING: usize = 4;
+const MIN_CONCURRENT_RENT_REQUESTS: usize = 4;
 /// Pause after the first refusal of a kind of machine, doubled by each further
 /// one up to the longest.
-const REFUSED_PAUSE: Duration = Duration::from_secs(5);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+const CAPACITY_BACKOFF_INITIAL: Duration = Duration::from_secs(5);
+const CAPACITY_BACKOFF_MAX: Duration = Duration::from_secs(30);
 
 /// How long released machines are remembered, so that late messages and lists
 /// don't bring them back; far longer than either can be late.
-const REMEMBER_GONE: Duration = Duration::from_secs(3600);
+const RELEASED_MACHINE_RETENTION: Duration = Duration::from_secs(3600);
 
 /// Silent machines about which the others are asked at a time.
-pub const MAX_CONSULTED: usize = 128;
+pub const MAX_CONSULTED_MACHINES: usize = 128;
 /// A kind of machine that the cloud may have or not have at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct MachineKind {
@@ -38,40 +38,40 @@
 
 /// A refusal of a kind of machine.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Refusal {
+pub(super) struct CapacityRefusal {
     /// It is not asked for again before.
-    pub until: Instant,
+    pub retry_at: Instant,
     /// How often in a row nothing at all was to be had.
-    times: u32,
+    consecutive_empty: u32,
 }
 
 /// What the leader remembers of the cloud.
 #[derive(Debug, Default)]
 pub(super) struct FleetState {
-    began: Option<Instant>,
-    requests: u64,
-    renting: BTreeMap<String, (RentRequest, u32)>,
-    pub(super) refused: HashMap<MachineKind, Refusal>,
+    started_at: Option<Instant>,
+    request_count: u64,
+    pending_rentals: BTreeMap<String, (RentRequest, u32)>,
+    pub(super) capacity_refusals: HashMap<MachineKind, CapacityRefusal>,
     /// Machines whose release was answered and that a record still names.
-    released: BTreeSet<Arc<str>>,
+    released_in_records: BTreeSet<Arc<str>>,
     /// Machines that report and that no record names.
-    found: BTreeMap<Arc<str>, Machine>,
-    pub(super) addresses_at: Option<Instant>,
+    unrecorded_machines: BTreeMap<Arc<str>, Machine>,
+    pub(super) addresses_updated_at: Option<Instant>,
 }
 
 impl FleetState {
     /// Whether the leader has begun its work.
-    pub(super) fn ready(&self) -> bool {
-        self.began.is_some()
+    pub(super) fn has_started(&self) -> bool {
+        self.started_at.is_some()
     }
 
-    pub(super) fn begin(&mut self, now: Instant) {
-        self.began = Some(now);
+    pub(super) fn start(&mut self, now: Instant) {
+        self.started_at = Some(now);
     }
 
-    pub(super) fn next_number(&mut self) -> u64 {
-        self.requests += 1;
-        self.requests
+    pub(super) fn next_request_number(&mut self) -> u64 {
+        self.request_count += 1;
+        self.request_count
     }
 }
 
@@ -87,9 +87,9 @@
     /// Silent machines: name and address. Others should be asked about them.
     pub silent: Vec<(Arc<str>, String)>,
     /// How many machines are silent, asked about or not.
-    pub quiet: usize,
+    pub silent_count: usize,
     /// Records to write.
-    pub records: Vec<GroupUpdate>,
+    pub group_updates: Vec<GroupUpdate>,
 }
 
 impl Core {
@@ -100,37 +100,38 @@
             return actions;
         }
         self.move_replicas(now);
-        self.released_machines.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
-        let due = self.judge_machines(&mut actions, now);
-        self.prove_released(now);
+        self.released_machines
+            .retain(|_, at| now.saturating_duration_since(*at) < RELEASED_MACHINE_RETENTION);
+        let due = self.update_machine_phases(&mut actions, now);
+        self.clear_orphaned_machines(now);
         // The cloud checks no token: a leader that may have been replaced leaves
         // machines alone, well before it stops answering workers.
         let age = self.contact_age(now);
         let mut give_up = BTreeSet::new();
         if self.leads(now) && age.is_some_and(|a| a <= self.options.node_lease) {
-            self.releases(due, &mut actions);
-            self.take_in_found();
-            self.rentals(&mut actions, now);
+            self.plan_releases(due, &mut actions);
+            self.adopt_unrecorded_machines();
+            self.plan_rentals(&mut actions, now);
         } else if !self.leads(now) {
             give_up = due;
         }
         let machines = &self.machines;
-        self.fleet.released.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
-        let released = self.fleet.released.clone();
-        actions.records = self.group_updates(&give_up, &released, now);
+        self.fleet.released_in_records.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
+        let released = self.fleet.released_in_records.clone();
+        actions.group_updates = self.group_updates(&give_up, &released, now);
         actions
     }
 
     /// What is to be released: what is due in the leader's own shards, and what
     /// other holders have given up or the cloud says has stopped.
-    fn releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
+    fn plan_releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
         let leased_shards = &self.role.leased_shards;
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
                 || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
             let waits = machine.releasing || machine.group.is_none();
-            if wanted && !waits && !self.fleet.released.contains(&machine.id) {
+            if wanted && !waits && !self.fleet.released_in_records.contains(&machine.id) {
                 machine.releasing = true;
                 tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
@@ -138,8 +139,8 @@
         }
     }
 
-    fn take_in_found(&mut self) {
-        let found = std::mem::take(&mut self.fleet.found);
+    fn adopt_unrecorded_machines(&mut self) {
+        let found = std::mem::take(&mut self.fleet.unrecorded_machines);
         let unknown: Vec<Machine> = found
             .into_values()
             .filter(|m| !self.is_grouped(&m.id) && !self.released_machines.contains_key(&m.id))
@@ -154,7 +155,7 @@
     /// recorded before anything is placed on them, and leave their group only
     /// once their release was answered. It counts once the copy of the records
     /// has caught up with the placement.
-    fn prove_released(&mut self, now: Instant) {
+    fn clear_orphaned_machines(&mut self, now: Instant) {
         let orphans: Vec<Arc<str>> = self
             .machines
             .values()
@@ -183,7 +184,7 @@
     }
 
     /// How many machines of own shards have come up.
-    pub fn heard_machines(&self) -> usize {
+    pub fn booted_machine_count(&self) -> usize {
         let own = self.machines.values().filter(|m| self.is_holder(m.shard));
         own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
     }
@@ -208,7 +209,7 @@
     /// by kind and room. Those that are up count too: a machine that has just
     /// come up gets its tasks in the next round, and nothing must be rented for
     /// them meanwhile.
-    pub(super) fn coming(&self) -> Vec<PendingCapacity> {
+    pub(super) fn pending_capacity(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
             let lost = machine.phase != MachinePhase::Active
@@ -236,7 +237,7 @@
             .collect();
         let asked = self
             .fleet
-            .renting
+            .pending_rentals
             .values()
             .map(|(r, _)| (r.machine_type.clone(), r.zone.clone(), r.spot, i64::from(r.count)));
         let uncommitted = self.groups.values().filter(|g| g.version == 0).map(|g| {
@@ -250,27 +251,29 @@
         rooms
     }
 
-    fn rentals(&mut self, actions: &mut FleetActions, now: Instant) {
+    fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
         let Some(leadership) = self.role.leadership else { return };
-        let most = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_RENTING);
-        if (self.unplaced.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
+        let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
+        if (self.unplaced.is_empty() && self.standby() == 0)
+            || self.fleet.pending_rentals.len() >= max_requests
+        {
             return;
         }
         let thrift = self.options.thrift;
         let offers = self.offers(now);
-        let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
-        let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
+        let machines = MAX_RENT * (max_requests - self.fleet.pending_rentals.len()) as u32;
+        let mut plan = plan_scale_out(&self.unplaced, self.pending_capacity(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_rental(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
-        for (request, shard) in self.fleet.renting.values() {
+        for (request, shard) in self.fleet.pending_rentals.values() {
             *taken.entry(*shard).or_default() += request.count as usize;
         }
         for rental in plan {
             let offer = &offers[rental.offer];
             let mut left = rental.count;
-            while left > 0 && self.fleet.renting.len() < most {
+            while left > 0 && self.fleet.pending_rentals.len() < max_requests {
                 let (shard, space) = self.shard_with_room(&taken);
                 let count = left.min(MAX_RENT).min(space.max(1) as u32);
                 left -= count;
@@ -279,7 +282,7 @@
                 // the leader's key, committed before, belongs to this
                 // leadership alone.
                 let request = RentRequest {
-                    request: format!("dc-{leadership}-{}", self.fleet.next_number()),
+                    request: format!("dc-{leadership}-{}", self.fleet.next_request_number()),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -292,21 +295,21 @@
                     block = shard,
                     "renting machines"
                 );
-                self.fleet.renting.insert(request.request.clone(), (request.clone(), shard));
+                self.fleet.pending_rentals.insert(request.request.clone(), (request.clone(), shard));
                 actions.rent.push(request);
             }
         }
     }
 
     /// Notes the machines that a request brought; none: there is no capacity.
-    pub fn rented(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
-        let Some((_, shard)) = self.fleet.renting.remove(&request.request) else { return };
+    pub fn rent_completed(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
+        let Some((_, shard)) = self.fleet.pending_rentals.remove(&request.request) else { return };
         let kind = MachineKind {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
         };
-        let pausing = self.fleet.refused.get(&kind).is_some_and(|refusal| refusal.until > now);
+        let pausing = self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
         if machines.len() < request.count as usize && pausing {
             // Asked before an earlier refusal was known, it says nothing new: the
             // pause must not double with each of several requests at a time.
@@ -317,8 +320,10 @@
                 "refused as well"
             );
         } else if machines.len() < request.count as usize {
-            let times = self.fleet.refused.get(&kind).map_or(0, |refusal| refusal.times);
-            let pause = (REFUSED_PAUSE * 2u32.pow(times.min(4))).min(LONGEST_PAUSE);
+            let consecutive_empty =
+                self.fleet.capacity_refusals.get(&kind).map_or(0, |refusal| refusal.consecutive_empty);
+            let pause =
+                (CAPACITY_BACKOFF_INITIAL * 2u32.pow(consecutive_empty.min(4))).min(CAPACITY_BACKOFF_MAX);
             tracing::info!(
                 machine_type = kind.machine_type,
                 spot = kind.spot,
@@ -326,10 +331,12 @@
                 ?pause,
                 "no more capacity"
             );
-            let times = if machines.is_empty() { times + 1 } else { 0 };
-            self.fleet.refused.insert(kind, Refusal { until: now + pause, times });
+            let consecutive_empty = if machines.is_empty() { consecutive_empty + 1 } else { 0 };
+            self.fleet
+                .capacity_refusals
+                .insert(kind, CapacityRefusal { retry_at: now + pause, consecutive_empty });
         } else {
-            self.fleet.refused.remove(&kind);
+            self.fleet.capacity_refusals.remove(&kind);
         }
         let machines: BTreeMap<String, MemberRecord> = machines
             .iter()
@@ -345,30 +352,30 @@
     }
 
     /// Notes that a request will not be carried out by this process any more.
-    pub fn rent_dropped(&mut self, request: &RentRequest) {
-        self.fleet.renting.remove(&request.request);
+    pub fn rent_abandoned(&mut self, request: &RentRequest) {
+        self.fleet.pending_rentals.remove(&request.request);
     }
 
     /// Notes a machine that reports and that no record names.
-    pub(super) fn found(&mut self, report: &Heartbeat, now: Instant) {
+    pub(super) fn handle_unrecorded_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let id: Arc<str> = report.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
         machine.machine_type.clone_from(&report.machine_type);
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
         machine.address = Some(report.address.clone());
-        self.fleet.found.insert(id, machine);
+        self.fleet.unrecorded_machines.insert(id, machine);
         self.wakeups.fleet = true;
     }
 
     /// Takes over a list of machines; it lags, and may be older than the last.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         if !self.leads(now) {
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
         // Before that, a list may still show what an earlier leader released.
-        let settled = self.fleet.began.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
+        let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
                 continue;
@@ -386,7 +393,7 @@
                     machine.machine_type.clone_from(&listed.machine_type);
                     machine.zone.clone_from(&listed.zone);
                     machine.spot = listed.spot;
-                    self.fleet.found.insert(id, machine);
+                    self.fleet.unrecorded_machines.insert(id, machine);
                 }
                 None => {}
             }
@@ -395,9 +402,9 @@
 
     /// Notes machines whose release was answered: they are gone with all that
     /// was on them. Other holders learn it from the machines' records.
-    pub fn released(&mut self, ids: &[Arc<str>], now: Instant) {
+    pub fn release_completed(&mut self, ids: &[Arc<str>], now: Instant) {
         for id in ids {
-            self.fleet.released.insert(id.clone());
+            self.fleet.released_in_records.insert(id.clone());
             self.machine_gone(id, now);
         }
         self.wakeups.fleet = true;
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -202,8 +202,10 @@
         now: Instant,
     ) -> Vec<GroupUpdate> {
         let mut updates = Vec::new();
-        let mut addresses =
-            self.fleet.addresses_at.is_none_or(|at| now.saturating_duration_since(at) >= ADDRESSES_EVERY);
+        let mut addresses = self
+            .fleet
+            .addresses_updated_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= ADDRESSES_EVERY);
         self.split_large_groups();
         let released_groups = self.groups_of(released);
         let given_up_groups = self.groups_of(give_up);
@@ -231,7 +233,7 @@
             let held = self.is_holder(group.record.shard);
             if !unchanged && group.addresses_unrecorded && held {
                 addresses = false;
-                self.fleet.addresses_at = Some(now);
+                self.fleet.addresses_updated_at = Some(now);
             }
             let Some(group) = self.groups.get_mut(&name) else { continue };
             group.addresses_unrecorded &= !(unchanged || held);
@@ -379,7 +381,7 @@
             groups.entry(key).or_default().push(machine);
         }
         for ((shard, machine_type, zone, spot), members) in groups {
-            let name = format!("dc-{term}-{}", self.fleet.next_number());
+            let name = format!("dc-{term}-{}", self.fleet.next_request_number());
             let machines = members
                 .into_iter()
                 .map(|m| (m.id.to_string(), MemberRecord { address: m.address, given_up: false }))
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -10,13 +10,13 @@
 
 /// A machine is surplus only after it has been idle for so long: room that is free
 /// between two rounds of placement is none.
-const SURPLUS_AFTER: Duration = Duration::from_secs(10);
+const MIN_SURPLUS_IDLE_TIME: Duration = Duration::from_secs(10);
 /// Work that came within so many boot times tells how much is to be expected.
-const BOOT_TIMES: u32 = 2;
+const ARRIVAL_WINDOW_BOOT_TIMES: u32 = 2;
 
 /// A job that came lately.
 #[derive(Debug)]
-struct Arrival {
+struct JobArrival {
     at: Instant,
     /// Thousandths of processors that it asks for.
     cpus: i64,
@@ -26,19 +26,19 @@
 
 /// Work that came lately.
 #[derive(Debug, Default)]
-pub(super) struct Arrivals {
-    jobs: VecDeque<Arrival>,
+pub(super) struct RecentArrivals {
+    jobs: VecDeque<JobArrival>,
 }
 
-impl Arrivals {
+impl RecentArrivals {
     /// Notes a job that asks for processors for so long.
-    pub fn note(&mut self, cpus: i64, run_time: Duration, now: Instant) {
-        self.jobs.push_back(Arrival { at: now, cpus, run_time });
+    pub fn record(&mut self, cpus: i64, run_time: Duration, now: Instant) {
+        self.jobs.push_back(JobArrival { at: now, cpus, run_time });
     }
 
     /// How many processors what came within a window keeps busy, on the average
     /// over that window; forgets what came before.
-    pub fn keep_busy(&mut self, window: Duration, now: Instant) -> i64 {
+    pub fn average_busy_cpus(&mut self, window: Duration, now: Instant) -> i64 {
         while self.jobs.front().is_some_and(|job| now.saturating_duration_since(job.at) > window) {
             self.jobs.pop_front();
         }
@@ -48,7 +48,7 @@
 }
 
 /// An idle machine.
-struct Idle {
+struct IdleMachine {
     id: Arc<str>,
     cpus: i64,
     price_per_cpu: f64,
@@ -57,7 +57,7 @@
 
 /// The idle machines that are more than `reserve` processors: the dearest, and of
 /// equal ones those that have been idle the longest.
-fn surplus_of(mut idle: Vec<Idle>, reserve: i64) -> BTreeSet<Arc<str>> {
+fn select_surplus(mut idle: Vec<IdleMachine>, reserve: i64) -> BTreeSet<Arc<str>> {
     idle.sort_by(|a, b| {
         let dearest = b.price_per_cpu.total_cmp(&a.price_per_cpu);
         dearest.then(a.since.cmp(&b.since)).then(a.id.cmp(&b.id))
@@ -81,8 +81,8 @@
         if self.options.idle_return.is_some() {
             return BTreeSet::new();
         }
-        let window = self.longest_boot_time() * BOOT_TIMES;
-        let expected = self.arrivals.keep_busy(window, now);
+        let window = self.longest_boot_time() * ARRIVAL_WINDOW_BOOT_TIMES;
+        let expected = self.arrivals.average_busy_cpus(window, now);
         let keeps = |m: &&Machine| m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up;
         let capacity = |own: bool| -> i64 {
             let counted = self.machines.values().filter(keeps).filter(|m| !own || self.is_holder(m.shard));
@@ -91,20 +91,21 @@
         let (own, all) = (capacity(true), capacity(false).max(1));
         let reserve = (expected as f64 * own as f64 / all as f64) as i64;
         let is_idle = |m: &&Machine| {
-            let since = m.idle_since.is_some_and(|at| now.saturating_duration_since(at) > SURPLUS_AFTER);
+            let since =
+                m.idle_since.is_some_and(|at| now.saturating_duration_since(at) > MIN_SURPLUS_IDLE_TIME);
             self.is_holder(m.shard) && m.tasks.is_empty() && m.heard.is_some() && since
         };
-        let idle = self.machines.values().filter(keeps).filter(is_idle).map(|m| Idle {
+        let idle = self.machines.values().filter(keeps).filter(is_idle).map(|m| IdleMachine {
             id: m.id.clone(),
             cpus: m.capacity.cpus,
             price_per_cpu: self.price_per_cpu(m),
             since: m.idle_since.unwrap_or(now),
         });
-        surplus_of(idle.collect(), reserve)
+        select_surplus(idle.collect(), reserve)
     }
 
     /// Notes that a job has come that asks for this.
-    pub(super) fn note_arrival(&mut self, id: &str, now: Instant) {
+    pub(super) fn record_job_arrival(&mut self, id: &str, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
         // No more of it runs at a time than its team's limit lets.
         let tasks = i64::from(job.record.tasks);
@@ -112,7 +113,7 @@
         let cpus = job.requirements.resources.cpus * tasks;
         let cpus = if limit > 0 { cpus.min(limit) } else { cpus };
         let run_time = Duration::try_from_secs_f64(job.spec.estimate_s).unwrap_or_default();
-        self.arrivals.note(cpus, run_time, now);
+        self.arrivals.record(cpus, run_time, now);
     }
 
     fn longest_boot_time(&self) -> Duration {
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -34,7 +34,7 @@
 pub use commit::{CommitOutcome, CommitTarget, PendingCommit};
 pub use credit::{Ruling, SubmissionPlan};
 pub use federation::{AwayRequest, NotAway, OfferUpdate, VisitPlan, VisitRequest};
-pub use fleet::{FleetActions, MAX_CONSULTED};
+pub use fleet::{FleetActions, MAX_CONSULTED_MACHINES};
 pub use groups::GroupUpdate;
 pub use session::{CommandEnd, HeartbeatOutcome};
 pub use shards::{LeaseGrant, ShardLease};
@@ -190,7 +190,7 @@
     /// What waits to be committed.
     commits: CommitQueue,
     /// Work that came lately.
-    arrivals: idle_reserve::Arrivals,
+    arrivals: idle_reserve::RecentArrivals,
     /// Jobs that were withdrawn, or of which something was taken back, and about
     /// which something earlier may not be known yet.
     unsettled: BTreeSet<Arc<str>>,
@@ -200,7 +200,7 @@
     /// task looks only at those where it may fit.
     machines_by_free_cpus: BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     /// Room that other holders have told of.
-    hints: BTreeMap<SegmentId, allocation::Hint>,
+    hints: BTreeMap<SegmentId, allocation::RoomHint>,
     /// What runs in each shard, by its records.
     pub segments: BTreeMap<SegmentId, Segment>,
     /// What proposals add to the weight of segments.
@@ -281,7 +281,7 @@
             open: BTreeSet::new(),
             waiting: BTreeSet::new(),
             commits: CommitQueue::default(),
-            arrivals: idle_reserve::Arrivals::default(),
+            arrivals: idle_reserve::RecentArrivals::default(),
             segments: BTreeMap::new(),
             pending: BTreeMap::new(),
             absorbing: BTreeSet::new(),
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -65,7 +65,7 @@
                 for spot in [false, true] {
                     let kind =
                         MachineKind { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
-                    if self.fleet.refused.get(&kind).is_some_and(|refusal| refusal.until > now) {
+                    if self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now) {
                         continue;
                     }
                     offers.push(Offer {
@@ -142,7 +142,7 @@
     /// that is up soonest and has an image soonest.
     pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
         let ordinary = |r: &PendingCapacity| if r.spot { 0 } else { r.count };
-        let there: i64 = self.coming().iter().map(ordinary).sum();
+        let there: i64 = self.pending_capacity().iter().map(ordinary).sum();
         let missing = (self.standby() as i64 - there).max(0) as u32;
         let catalog = self.catalog.as_ref()?;
         let fetch = |name: &str| {
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -96,8 +96,8 @@
         let order = self.serving_order(wall_clock_s, now);
         let mut round = Round { left: MAX_PER_ROUND, scarce, ..Round::default() };
         if leads {
-            self.measure_shards(&mut round);
-            self.reserve_backlog(&mut round, now);
+            self.sum_shard_cpus(&mut round);
+            self.reserve_remote_backlog(&mut round, now);
         }
         let mut unplaced = Vec::new();
         for (_, id) in &order {
@@ -108,7 +108,7 @@
                 self.place_in(id, shard, &mut round, now);
             }
             if leads {
-                self.take_back_stalled(id, &round, now);
+                self.revoke_stalled_allocations(id, &round, now);
                 self.allocate(id, &mut round, now);
             }
             unplaced.extend(self.left_unplaced(id, &mut round, leads));
@@ -197,7 +197,7 @@
         let service = job.is_service();
         // Where it failed, unless it fails everywhere.
         let avoid = job.failed_on.len() < 2;
-        let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
+        let hints = if epoch.is_none() { self.current_room_hints(shard, now) } else { Vec::new() };
         let consider = |name: &Arc<str>| {
             let machine = self.machines.get(name)?;
             let open = match epoch {
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -82,7 +82,7 @@
         let leased = self.shards.iter().any(|(n, (b, version))| {
             b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
         });
-        if leased || self.role.leadership.is_some_and(waits) && !self.fleet.ready() {
+        if leased || self.role.leadership.is_some_and(waits) && !self.fleet.has_started() {
             self.wakeups.role = true;
         }
     }
@@ -385,7 +385,7 @@
                 job.completed_records = self.completed_records.get(&id).cloned().unwrap_or_default();
                 self.open.insert(id.clone());
                 self.jobs.insert(id.clone(), Job::Open(Box::new(job)));
-                self.note_arrival(&id, now);
+                self.record_job_arrival(&id, now);
                 self.reapply_segments(&id, now);
             }
         }
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -71,8 +71,8 @@
     /// commit names their key's version.
     pub fn begin_to_lead(&mut self, now: Instant) {
         let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
-        if ready && !self.fleet.ready() {
-            self.fleet.begin(now);
+        if ready && !self.fleet.has_started() {
+            self.fleet.start(now);
             self.begin_granting();
             let open: Vec<Arc<str>> = self.open.iter().cloned().collect();
             for id in open {
@@ -143,7 +143,7 @@
 
     /// Whether this process leads, knows what its predecessors did, and may act.
     pub fn leads(&self, now: Instant) -> bool {
-        self.role.leadership.is_some() && self.fleet.ready() && self.in_contact(now)
+        self.role.leadership.is_some() && self.fleet.has_started() && self.in_contact(now)
     }
 
     /// The leader's node, if it is another one and up.
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -79,7 +79,7 @@
         let id = report.machine.as_str();
         let shard = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.shard);
         let Some(shard_lease) = shard.and_then(|b| self.active_lease(b, now)) else {
-            self.found(report, now);
+            self.handle_unrecorded_heartbeat(report, now);
             return self.not_here();
         };
         self.apply_heartbeat(report, now);
@@ -316,7 +316,7 @@
             let Some(placed) = job.placed.get(&task.index) else { continue };
             let ran = placed.running.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
             if job.spec.estimate_s - ran > left.as_secs_f64() {
-                self.ask_for_end(&task, Stop::Notice, left, now);
+                self.request_task_stop(&task, Stop::Notice, left, now);
             }
         }
         self.wakeups.place = true;
@@ -333,7 +333,7 @@
             self.machines.values().filter(soon).filter(held).flat_map(|m| m.tasks.iter().cloned()).collect();
         for task in leaving {
             if self.open_job(&task.job).is_some_and(|j| j.is_service()) {
-                self.stop(&task, Stop::Notice, now);
+                self.stop_committed_task(&task, Stop::Notice, now);
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -206,7 +206,7 @@
 
     /// What is to be committed of a job: allocations, what is taken back, its end.
     pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
-        let leadership = self.role.leadership.filter(|_| self.fleet.ready());
+        let leadership = self.role.leadership.filter(|_| self.fleet.has_started());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
         let mut record = if job.is_open() && job.done.len() == job.record.tasks {
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -1,6 +1,6 @@
 //! The cloud: machine types, lists, rentals, releases, and silent machines.
 
-use crate::core::{GroupUpdate, MAX_CONSULTED};
+use crate::core::{GroupUpdate, MAX_CONSULTED_MACHINES};
 use crate::node::{Node, now};
 use dapplecroft_cloud::{MAX_RELEASE, Rented};
 use dapplecroft_net::Outcome;
@@ -12,18 +12,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-const STEP: Duration = Duration::from_millis(500);
-const PAUSE: Duration = Duration::from_secs(1);
-const CATALOG_EVERY: Duration = Duration::from_secs(20);
-const LIST_EVERY: Duration = Duration::from_secs(4);
+const FLEET_STEP_INTERVAL: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+const CATALOG_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
+const LIST_REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 /// How long a node that was cut from its workers stays out of elections.
-const ABSTAIN: Duration = Duration::from_secs(15);
+const ELECTION_ABSTENTION: Duration = Duration::from_secs(15);
 
 impl Node {
     /// Works off the difference between the wanted fleet and the known one.
     pub(crate) async fn fleet_loop(self: Arc<Self>) {
         loop {
-            let _ = timeout(STEP, self.wake_fleet.notified()).await;
+            let _ = timeout(FLEET_STEP_INTERVAL, self.wake_fleet.notified()).await;
             let actions = self.with(|core| core.fleet_step(now()));
             for request in actions.rent {
                 let node = self.clone();
@@ -37,14 +37,14 @@
                 let node = self.clone();
                 self.spawn(async move { node.probe(id, address).await });
             }
-            for update in actions.records {
+            for update in actions.group_updates {
                 let node = self.clone();
-                self.spawn(async move { node.record(update).await });
+                self.spawn(async move { node.commit_group_update(update).await });
             }
             if !actions.silent.is_empty() && !self.consulting.swap(true, Ordering::Relaxed) {
                 let node = self.clone();
                 self.spawn(async move {
-                    node.consult(actions.silent, actions.quiet).await;
+                    node.consult_peers(actions.silent, actions.silent_count).await;
                     node.consulting.store(false, Ordering::Relaxed);
                 });
             }
@@ -63,35 +63,35 @@
         while self.leads() {
             match self.cloud.rent(&request).await {
                 Outcome::Done(Rented::Machines(machines)) => {
-                    return self.with(|core| core.rented(&request, &machines, now()));
+                    return self.with(|core| core.rent_completed(&request, &machines, now()));
                 }
                 Outcome::Done(Rented::NoCapacity) => {
-                    return self.with(|core| core.rented(&request, &[], now()));
+                    return self.with(|core| core.rent_completed(&request, &[], now()));
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
                     tracing::debug!(error, "rental not answered");
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
-        self.with(|core| core.rent_dropped(&request));
+        self.with(|core| core.rent_abandoned(&request));
     }
 
     async fn release(&self, ids: Vec<Arc<str>>) {
         let names: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
         while self.leads() {
             match self.cloud.release(&names).await {
-                Outcome::Done(()) => return self.with(|core| core.released(&ids, now())),
+                Outcome::Done(()) => return self.with(|core| core.release_completed(&ids, now())),
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
                     tracing::debug!(error, "release not answered");
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
         self.with(|core| core.release_failed(&ids));
     }
 
-    async fn record(&self, group: GroupUpdate) {
+    async fn commit_group_update(&self, group: GroupUpdate) {
         match self.committer.commit(group.update.clone()).await {
             UpdateResult::Committed(revision) => {
                 self.with(|core| core.apply_changes(&group.update.changes, revision, now()));
@@ -101,7 +101,7 @@
                     self.refresh(&key, || true).await;
                 }
             }
-            UpdateResult::Refused(_) | UpdateResult::Unknown(_) => sleep(PAUSE).await,
+            UpdateResult::Refused(_) | UpdateResult::Unknown(_) => sleep(RETRY_DELAY).await,
         }
         self.with(|core| core.group_written(&group.name));
     }
@@ -124,11 +124,11 @@
     /// A few are asked about at a time, others the next time; whether this node
     /// is cut off is told by them and by how many are quiet at all, long before
     /// each has been probed.
-    async fn consult(&self, mut silent: Vec<(Arc<str>, String)>, quiet: usize) {
-        let turn = self.consulted.fetch_add(MAX_CONSULTED, Ordering::Relaxed);
+    async fn consult_peers(&self, mut silent: Vec<(Arc<str>, String)>, silent_count: usize) {
+        let turn = self.consulted.fetch_add(MAX_CONSULTED_MACHINES, Ordering::Relaxed);
         let begin = turn % silent.len().max(1);
         silent.rotate_left(begin);
-        silent.truncate(MAX_CONSULTED);
+        silent.truncate(MAX_CONSULTED_MACHINES);
         let addresses: Vec<String> =
             silent.iter().map(|(_, a)| a.clone()).filter(|a| !a.is_empty()).collect();
         let mut reached = std::collections::HashSet::new();
@@ -143,11 +143,11 @@
             answers += 1;
             reached.extend(addresses);
         }
-        let all = self.with(|core| core.heard_machines());
-        let most = quiet * 2 > all && all > 2;
-        if reached.len() * 2 > silent.len() && most {
+        let all = self.with(|core| core.booted_machine_count());
+        let mostly_silent = silent_count * 2 > all && all > 2;
+        if reached.len() * 2 > silent.len() && mostly_silent {
             tracing::info!(
-                quiet,
+                quiet = silent_count,
                 all,
                 asked = silent.len(),
                 reached = reached.len(),
@@ -155,7 +155,7 @@
             );
             let lease = self.with(|core| {
                 core.step_down("cut off from the workers", now());
-                core.role.abstains = Some(now() + ABSTAIN);
+                core.role.abstains = Some(now() + ELECTION_ABSTENTION);
                 core.role.lease.take()
             });
             if let Some(lease) = lease {
@@ -163,9 +163,9 @@
             }
             return;
         }
-        if answers == 0 && most {
-            tracing::info!(quiet, all, "most machines are silent and nobody can be asked");
-            sleep(PAUSE * 2).await;
+        if answers == 0 && mostly_silent {
+            tracing::info!(quiet = silent_count, all, "most machines are silent and nobody can be asked");
+            sleep(RETRY_DELAY * 2).await;
             return;
         }
         let given_up: Vec<Arc<str>> =
@@ -184,20 +184,20 @@
             let known = self.with(|core| core.catalog.is_some());
             // Others only need the types, and have them from the records.
             if (self.leads() || !known) && now() >= catalog_at {
-                let ok = self.read_catalog().await;
-                catalog_at = now() + if ok { CATALOG_EVERY } else { PAUSE * 2 };
+                let ok = self.refresh_catalog().await;
+                catalog_at = now() + if ok { CATALOG_REFRESH_INTERVAL } else { RETRY_DELAY * 2 };
             }
             if self.leads() && now() >= list_at {
                 if let Outcome::Done(list) = self.cloud.machines().await {
-                    self.with(|core| core.listed(&list, now()));
+                    self.with(|core| core.apply_machine_list(&list, now()));
                 }
-                list_at = now() + LIST_EVERY;
+                list_at = now() + LIST_REFRESH_INTERVAL;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn read_catalog(&self) -> bool {
+    async fn refresh_catalog(&self) -> bool {
         let catalog: Catalog = match self.cloud.catalog().await {
             Outcome::Done(catalog) if !catalog.machine_types.is_empty() => catalog,
             _ => return false,
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -59,7 +59,7 @@
                         node.with(|core| core.apply_changes(&update.changes, revision, now()));
                     }
                     // Else a later round sees what became of it.
-                    node.with(|core| core.drain_written());
+                    node.with(|core| core.drain_write_finished());
                 });
             }
             let took = now().saturating_duration_since(began);
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -1,6 +1,6 @@
 //! What controllers ask of each other.
 
-use crate::core::MAX_CONSULTED;
+use crate::core::MAX_CONSULTED_MACHINES;
 use crate::node::{Node, Reply, lock, now};
 use async_trait::async_trait;
 use dapplecroft_net::Request;
@@ -83,7 +83,7 @@
     /// What of this node's changes nobody here needs is left to the asking one
     /// for as long as that may count on it.
     pub fn own_room(&self) -> RoomReply {
-        let room = self.0.with(|core| core.freed_room());
+        let room = self.0.with(|core| core.freed_room_reply());
         RoomReply { spare_changes: self.0.lend(), ..room }
     }
 
@@ -101,7 +101,7 @@
     /// Which of these workers this node gets an answer from.
     pub async fn own_probe(&self, addresses: Vec<String>) -> Vec<String> {
         let mut probes = JoinSet::new();
-        for address in addresses.into_iter().take(MAX_CONSULTED) {
+        for address in addresses.into_iter().take(MAX_CONSULTED_MACHINES) {
             let node = self.0.clone();
             probes.spawn(async move { node.ask_status(&address).await.map(|_| address) });
         }
@@ -184,7 +184,7 @@
             }
             let mut spare = 0.0;
             for reply in asked.join_all().await.into_iter().flatten() {
-                self.with(|core| core.take_room(&reply, now()));
+                self.with(|core| core.apply_room_reply(&reply, now()));
                 spare += reply.spare_changes.clamp(0.0, self.settings.params.state.write_rps);
             }
             *lock(&self.borrowed) = Some((spare, now() + LENT));
--- a/crates/dapplecroft-controller/tests/stories/fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/fleet.rs
@@ -38,7 +38,7 @@
     let c = running(450, 60, Options::default()).await;
     let leader = c.leader().unwrap();
     let cut = (0..3).find(|n| *n != leader).unwrap();
-    let own = c.node(cut).with(|core| core.heard_machines());
+    let own = c.node(cut).with(|core| core.booted_machine_count());
     assert!(own > 128, "{own} machines");
     for machine in c.cloud.machines() {
         c.net.rule(Rule::all(&machine, &address(cut), Action::Drop));
