--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -1,4 +1,4 @@
-//! The leader's allocation of waiting tasks to shards, within team limits.
+//! The leader's allocation of waiting tasks to shards, within the teams' quota limits.
 
 use super::Core;
 use super::placing::Round;
@@ -13,57 +13,61 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A job with so many tasks for each shard has a part for each, where there are so many
-/// shards that its record could not name several ranges of each.
+/// A job is split into one contiguous part per shard if it has at least this many tasks
+/// per shard and there are at least `PARTITION_MIN_SHARDS` shards. With that many shards,
+/// the job's record has no space for several ranges of each.
 const PARTITION_MIN_TASKS_PER_SHARD: usize = 16;
+/// Number of shards from which on large jobs are split into one part per shard.
 const PARTITION_MIN_SHARDS: usize = 16;
 
-/// Tasks that a shard could not start for so long are taken back, if another
-/// shard can start some.
+/// Tasks that their shard could not start for this long are revoked from it, if another
+/// shard can start some of them.
 const STALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Part of a shard's processors for which work may wait there, so that its
-/// holder fills what becomes free without asking; more for urgent work, for
-/// which other work gives way there.
+/// Waiting tasks may be allocated to a shard in advance for one eighth of its CPUs, so
+/// that the shard's holder can fill freed room without asking the leader.
 const BACKLOG_DIVISOR: i64 = 8;
+/// The same for urgent jobs: a quarter, since the holder preempts other tasks for them.
 const URGENT_BACKLOG_DIVISOR: i64 = 4;
 
-/// How long a hint on free room counts.
+/// How long another holder's report of freed room is used.
 const ROOM_HINT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// Room that another holder has told of.
+/// Room that another shard holder reported as freed since it last wrote the segment's record.
 #[derive(Debug, Clone)]
 pub(super) struct RoomHint {
+    /// Version of the segment's record that the freed room adds to.
     version: u64,
     at: Instant,
+    /// Freed resources by machine.
     pub(super) freed: HashMap<Arc<str>, Resources>,
 }
 
-/// What a shard could start of a job.
+/// How many tasks of a job a shard could start now.
 struct ShardFit {
     shard: u32,
-    /// Tasks that may start.
+    /// Tasks that fit in the shard's free room.
     startable: i64,
-    /// Those on machines that are in use already.
+    /// Of these, tasks that fit on machines that already run something.
     on_used_machines: i64,
-    /// Those on machines with the image.
+    /// Of these, tasks that fit on machines which have or are fetching the image.
     with_image: i64,
-    /// Whether tasks of the job were allocated there before.
+    /// Whether the job's record already allocates tasks to the shard.
     has_allocation: bool,
 }
 
-/// How well a shard suits `wanted` tasks of a job; the greatest is the best.
-/// Fields are compared in the order in which they stand here.
+/// How well a shard suits a number of tasks of a job; the greatest score is the best.
+/// The derived ordering compares the fields in the order of their declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ShardScore {
-    /// Whether all may start there.
+    /// Whether all the tasks can start in the shard.
     fits_all: bool,
     with_image: i64,
     on_used_machines: i64,
     has_allocation: bool,
-    /// Of shards that take all, the one with the least room; of others, the one
-    /// with the most.
+    /// Among shards that fit all the tasks, prefers the one with the least room; among
+    /// the others, the one with the most.
     room: i64,
-    /// Of equal ones the first.
+    /// Among otherwise equal shards, prefers the lowest number.
     shard: Reverse<u32>,
 }
 
@@ -81,19 +85,21 @@
     }
 }
 
-/// The shard that a job is bound to whose zones depend on each other: its
-/// constraints hold across all its tasks, so one holder has to see all of them.
+/// The shard to which a job with zone constraints is bound, if any of its tasks is placed
+/// or waits in one. The constraints span all the job's tasks, so one shard holder has to
+/// see all of them.
 fn constrained_job_shard(job: &OpenJob) -> Option<u32> {
-    // What was taken back from a shard may be on a machine there all the same,
-    // placed just before. What is done binds nothing any more, though the record
-    // still says where it was allocated.
+    // A task that was revoked from a shard may still run there, if it was placed just
+    // before. Completed tasks bind the job no longer, though the job's record still
+    // says where they were allocated.
     let placed = job.placed.values().map(|placed| placed.segment.shard);
     let waiting = job.waiting.keys().chain(job.revoking.keys());
     placed.chain(waiting.copied()).next()
 }
 
 impl Core {
-    /// What has become free in this holder's shards since their records.
+    /// Room that has become free in the shards held by this controller since it last
+    /// wrote their records.
     pub fn freed_room_reply(&self) -> RoomReply {
         let mut parts: BTreeMap<SegmentId, BlockRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
@@ -125,8 +131,8 @@
         RoomReply { blocks: parts.into_values().collect(), spare_changes: 0.0 }
     }
 
-    /// Takes over what has become free in another holder's shards. It counts
-    /// only on top of the record that it was told with, and not for long.
+    /// Stores another shard holder's report of freed room. A report is valid only for
+    /// the version of the segment's record that it names, and for a short time.
     pub fn apply_room_reply(&mut self, reply: &RoomReply, now: Instant) {
         for shard in &reply.blocks {
             let segment_id = SegmentId { shard: shard.block, segment: shard.part };
@@ -147,7 +153,7 @@
         }
     }
 
-    /// What another holder has told to be free on machines since their records.
+    /// The valid reports of freed room in a shard that another controller holds.
     pub(super) fn current_room_hints(&self, shard: u32, now: Instant) -> Vec<&RoomHint> {
         let shard_segments = SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX);
         let fresh = |id: &SegmentId, hint: &RoomHint| {
@@ -157,13 +163,13 @@
         self.hints.range(shard_segments).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
     }
 
-    /// Whether a shard has a holder that is up.
+    /// Whether a running controller holds the shard's lease.
     fn has_live_holder(&self, shard: u32) -> bool {
         self.is_holder(shard) || self.holder_host(shard).is_some()
     }
 
-    /// Sets room aside for what other holders have been given and have not
-    /// placed yet.
+    /// Reserves room in other holders' shards for the tasks that are allocated to them
+    /// but not placed yet. Also adds up the backlog of waiting tasks per shard.
     pub(super) fn reserve_remote_backlog(&self, round: &mut Round, now: Instant) {
         for id in &self.waiting {
             let Some(job) = self.open_job(id) else { continue };
@@ -178,6 +184,7 @@
         }
     }
 
+    /// Reserves room for `count` tasks of a job on the machines of a shard.
     fn reserve_room(
         &self,
         id: &Arc<str>,
@@ -195,6 +202,7 @@
         }
     }
 
+    /// Counts the tasks of a job that could start in a shard now.
     fn shard_fit(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round, now: Instant) -> ShardFit {
         let mut shard_fit = ShardFit {
             shard,
@@ -203,28 +211,31 @@
             with_image: 0,
             has_allocation: job.record.allocated.contains_key(&shard),
         };
-        for (_, c) in self.candidates(id, job, shard, &round.reserved, now) {
-            let n = job.requirements.resources.times_in(&(c.capacity - c.booked)).max(1);
-            shard_fit.startable += n;
-            if c.booked != Resources::default() {
-                shard_fit.on_used_machines += n;
+        for (_, machine) in self.candidates(id, job, shard, &round.reserved, now) {
+            let free = machine.capacity - machine.booked;
+            let count = job.requirements.resources.times_in(&free).max(1);
+            shard_fit.startable += count;
+            if machine.booked != Resources::default() {
+                shard_fit.on_used_machines += count;
             }
-            if c.image != ImagePresence::No {
-                shard_fit.with_image += n;
+            if machine.image != ImagePresence::No {
+                shard_fit.with_image += count;
             }
         }
         shard_fit
     }
 
-    /// Allocates what of a job can start somewhere, to as few shards as will do,
-    /// since each costs records of its own; and a little of what can't yet.
+    /// Allocates the tasks of a job that can start now, to as few shards as possible
+    /// since each shard needs records of its own. Of the tasks that cannot start yet, a
+    /// few are allocated in advance.
     pub(super) fn allocate(&mut self, id: &Arc<str>, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open() && !j.unallocated.is_empty()) else {
             return;
         };
         if job.revoked > self.applied_revision {
-            // What was taken back from a shard may have been placed there just
-            // before: that is known once the copy has caught up.
+            // A task that was revoked from a shard may have been placed there just
+            // before. That is certain only once the record replica has caught up with
+            // the revocation.
             return;
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
@@ -254,7 +265,7 @@
             }
             let own = self.is_holder(shard_fit.shard);
             let most = if own { shard_fit.startable.min(round.left as i64) } else { shard_fit.startable };
-            // The replicas of a service are not all in one shard.
+            // A service's replicas are spread over at least two shards if several fit.
             let most = if service && several { most.min((wanted + 1) / 2) } else { most };
             let n = left.min(most);
             if n > 0 {
@@ -275,9 +286,9 @@
         }
     }
 
-    /// The shards in which a job's tasks may start now, the best for `wanted` tasks
-    /// first. Best fit among shards as within them: small tasks fill what is in
-    /// use, and leave whole machines to large ones.
+    /// The shards in which tasks of a job can start now, the best for `wanted` tasks
+    /// first. This is best fit among shards, as within them: small tasks fill machines
+    /// that are in use and leave whole machines to large tasks.
     fn shard_fits(
         &self,
         id: &Arc<str>,
@@ -306,8 +317,10 @@
         fits
     }
 
-    /// `false`: the job's record would outgrow a value. What is allocated has to
-    /// end first; that makes it smaller again.
+    /// Allocates up to `count` unallocated tasks of a job to a shard. Returns `false`
+    /// without allocating if the job is no longer open, or if its record would exceed the
+    /// state service's limit on the size of a value; the record shrinks again as
+    /// allocated tasks complete.
     fn allocate_to(
         &mut self,
         id: &Arc<str>,
@@ -342,10 +355,10 @@
         true
     }
 
-    /// The task from which on a job's next tasks are allocated to a shard. Each shard
-    /// goes on where it left off in a part of a large job of its own: allocated as they
-    /// come, to many shards by turns, its tasks would be in so many ranges that its
-    /// record, which names them, is full long before the fleet is.
+    /// Index of the task from which on a job's next tasks are allocated to a shard. In a
+    /// large job each shard has its own part and continues where it left off. If tasks
+    /// were handed to many shards in turn, the job's record would hold so many ranges
+    /// that it reached its size limit long before the fleet was full.
     fn allocation_start_index(&self, job: &OpenJob, shard: u32) -> u32 {
         let shards = self.shards.len();
         if shards < PARTITION_MIN_SHARDS
@@ -357,8 +370,8 @@
         if let Some(last) = last(&job.record.allocated).max(last(&job.allocating)) {
             return last + 1;
         }
-        // As many as a shard full of the largest machines takes: this does not change
-        // while the fleet grows.
+        // Each part has as many tasks as a shard full of the largest allowed machines
+        // can run: this number does not change while the fleet grows.
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let allowed =
             types.filter(|t| job.requirements.types.as_ref().is_none_or(|names| names.contains(&t.name)));
@@ -370,7 +383,8 @@
         (u64::from(shard) * tasks_per_shard % u64::from(job.record.tasks)) as u32
     }
 
-    /// How many processors each shard has that are up.
+    /// Sums up the CPUs of the running machines of each shard, in total and without spot
+    /// machines.
     pub(super) fn sum_shard_cpus(&self, round: &mut Round) {
         for machine in self.machines.values().filter(|m| m.seems_open()) {
             *round.sizes.entry(machine.shard).or_default() += machine.capacity.cpus;
@@ -380,10 +394,10 @@
         }
     }
 
-    /// Allocates a little of what fits nowhere now to a shard where it starts as
-    /// soon as something there becomes free. The leader needs no such stock in
-    /// its own shards, unless changes are scarce: then a job that is allocated
-    /// in larger ranges takes fewer of them.
+    /// Allocates a few of the tasks that fit nowhere now to a shard, whose holder starts
+    /// them as soon as room there becomes free. The leader needs no such backlog in its
+    /// own shards, except for services, and while updates of records are scarce:
+    /// allocating larger ranges of a job takes fewer updates.
     fn allocate_ahead(&mut self, id: &Arc<str>, left: i64, round: &mut Round, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
         let requirements = job.requirements.clone();
@@ -391,29 +405,32 @@
         let urgent = job.spec.priority < Priority::Normal;
         let limited = job.is_constrained() || requirements.types.is_some() || requirements.zone.is_some();
         let service = job.is_service();
-        // What can't run on spot machines is taken ahead only if it is urgent,
-        // since it may have to be made room for.
+        // Tasks that cannot run on spot machines are allocated in advance only if they
+        // are urgent, since room may have to be made for those by preemption.
         if cpus <= 0
             || limited
             || (!requirements.spot && !urgent)
-            || round.ahead_full.is_some_and(|c| cpus >= c)
+            || round.ahead_full.is_some_and(|too_many| cpus >= too_many)
         {
             return;
         }
         let Some(book) = self.teams.get(&job.spec.team) else { return };
-        // What waits in a shard is taken from the team's limit: not all of it.
+        // Tasks that wait in a shard count against the team's limit, so only half of
+        // the headroom is used for them.
         let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
         let left = if unlimited { left } else { left.min(book.headroom(&requirements.resources) / 2) };
         let divisor = if urgent { URGENT_BACKLOG_DIVISOR } else { BACKLOG_DIVISOR };
         let sizes = if requirements.spot { &round.sizes } else { &round.ordinary };
         let best = sizes
             .iter()
-            .filter(|(b, _)| self.has_live_holder(**b) && (round.scarce || service || !self.is_holder(**b)))
-            .map(|(b, size)| {
-                let free = size / divisor - round.backlog.get(b).copied().unwrap_or(0);
-                (job.record.allocated.contains_key(b), free / cpus, Reverse(*b))
+            .filter(|(shard, _)| {
+                self.has_live_holder(**shard) && (round.scarce || service || !self.is_holder(**shard))
             })
-            .filter(|(_, n, _)| *n > 0)
+            .map(|(shard, size)| {
+                let free = size / divisor - round.backlog.get(shard).copied().unwrap_or(0);
+                (job.record.allocated.contains_key(shard), free / cpus, Reverse(*shard))
+            })
+            .filter(|(_, count, _)| *count > 0)
             .max();
         match best {
             Some((_, most, Reverse(shard))) if left > 0 => {
@@ -424,7 +441,8 @@
         }
     }
 
-    /// Takes back what a shard could not start soon, if others could.
+    /// Revokes waiting tasks that their shard could not start within the stall timeout,
+    /// if another shard could start them or the shard has no running holder.
     pub(super) fn revoke_stalled_allocations(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
         let Some(job) = self.open_job_mut(id) else { return };
         let (waiting, old) = (&job.waiting, &job.stalled);
@@ -446,15 +464,16 @@
             let elsewhere = self
                 .machines_by_free_cpus
                 .iter()
-                .filter(|(b, m)| {
-                    **b != shard && m.last().is_some_and(|(free, _)| *free >= job.requirements.resources.cpus)
+                .filter(|(other, machines)| {
+                    let enough = |free: i64| free >= job.requirements.resources.cpus;
+                    **other != shard && machines.last().is_some_and(|(free, _)| enough(*free))
                 })
-                .any(|(b, _)| {
-                    self.has_live_holder(*b) && self.shard_fit(id, job, *b, round, now).startable > 0
+                .any(|(other, _)| {
+                    self.has_live_holder(*other) && self.shard_fit(id, job, *other, round, now).startable > 0
                 });
             let served = self.has_live_holder(shard);
-            // Constraints on zones hold across all tasks of a job: as long as one is
-            // on a machine, the others stay with the holder that sees it.
+            // Zone constraints span all tasks of a job: as long as one task is placed, the
+            // others stay with the shard holder that sees it.
             let constrained = job.is_constrained();
             if !elsewhere && served || constrained && !job.placed.is_empty() {
                 continue;
@@ -462,12 +481,15 @@
             let most = if constrained { job.record.tasks } else { 1000 };
             let ranges: Ranges = job.waiting.get(&shard).cloned().unwrap_or_default().head(most);
             let allocated = job.record.allocated.get(&shard).cloned().unwrap_or_default();
-            // What is not committed yet can't be taken back yet.
+            // Allocations that are not committed yet cannot be revoked yet.
             let ranges = ranges.without(&ranges.without(&allocated));
             if ranges.is_empty() {
                 continue;
             }
-            tracing::debug!(job = %id, block = shard, tasks = ranges.len(), "taken back from a block");
+            tracing::debug!(
+                job = %id, block = shard, tasks = ranges.len(),
+                "revoking tasks that their shard could not start"
+            );
             if let Some(job) = self.open_job_mut(id) {
                 job.stalled.remove(&shard);
                 let own = job.revoking.entry(shard).or_default();
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -1,5 +1,6 @@
-//! Adaptive repacking: at most one drain at a time in a holder's shards, each
-//! with a record.
+//! Adaptive repacking: empties a lightly used machine so that a waiting task fits on
+//! it. A controller runs at most one drain at a time across the shards it holds, and
+//! keeps a record of the drain in the state service.
 
 use super::Core;
 use crate::jobs::{OpenJob, Stop, TaskId};
@@ -10,23 +11,30 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks, which go over a shard's machines.
+/// Minimum time between two checks for a new drain; a check scans a shard's machines.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a holder remembers of drains and of how full machines were.
+/// A shard holder's in-memory state of drains and of how full its machines were.
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
+    /// When this controller last checked whether a drain would help.
     last_check: Option<Instant>,
+    /// When this controller last started a drain.
     last_drain: Option<Instant>,
+    /// Version of the current drain's record, and when this controller first saw it.
     current_seen: Option<(u64, Instant)>,
+    /// Highest booked share of any open machine at each check within the drain window.
     highest_shares: VecDeque<(Instant, f64)>,
+    /// Shard to check next; shards are checked in rotation.
     next_shard: u32,
-    /// Whether a write of a drain's record is on its way.
+    /// Whether a write of a drain's record is in flight.
     write_pending: bool,
 }
 
 impl Core {
-    /// The next step of repacking: a change of a drain's record, if any.
+    /// Continues the current drain, or starts a new one if a waiting task needs it and
+    /// the drain interval has passed. Returns the update of the drain's record to
+    /// commit, if any.
     pub fn drain_step(&mut self, now: Instant) -> Option<AtomicUpdate> {
         if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.write_pending {
             return None;
@@ -46,7 +54,7 @@
         if self.draining.last_drain.is_some_and(recent) {
             return None;
         }
-        // One shard at a look, in turn, beginning with the first.
+        // Each check looks at one shard, in rotation.
         let next_shard = self.draining.next_shard;
         let held = &self.role.leased_shards;
         let shard = held.range(next_shard..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
@@ -54,7 +62,8 @@
         let record = self.plan_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
         if stored_size(&value) > self.limits().value {
-            // So many tasks are not moved at a time.
+            // The drain moves so many tasks that its record would exceed the state
+            // service's limit on the size of a value.
             return None;
         }
         self.draining.last_drain = Some(now);
@@ -70,18 +79,19 @@
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// Notes the end of a write of a drain's record.
+    /// Called when a write of a drain's record has finished, with whatever result.
     pub fn drain_write_finished(&mut self) {
         self.draining.write_pending = false;
     }
 
+    /// Condition that this controller still holds the shard's lease.
     fn shard_condition(&self, shard: u32) -> Option<Condition> {
         let shard_lease = self.role.leased_shards.get(&shard)?;
         Some(Condition { key: records::shard_key(shard), version: shard_lease.version })
     }
 
-    /// The cap on what a drain fills: the highest share within the window, and
-    /// the whole machine until anything was seen.
+    /// Samples the highest booked share among the open machines of the leased shards,
+    /// and drops samples older than the drain window.
     fn record_highest_booked_share(&mut self, now: Instant) {
         let silence = self.silence();
         let highest = self
@@ -96,6 +106,9 @@
         shares.push_back((now, highest));
     }
 
+    /// The booked share up to which a drain may fill other machines: the highest share
+    /// seen within the drain window, or the whole machine while the samples cover less
+    /// than half of the window.
     fn max_fill_share(&self, now: Instant) -> f64 {
         let history_too_short = self
             .draining
@@ -108,8 +121,8 @@
         self.draining.highest_shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
     }
 
-    /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
-    /// that are put off after failures are not among them.
+    /// Jobs with a waiting task that fits on no machine of the shard, and the
+    /// requirements of their tasks. Jobs that back off after failures are left out.
     fn jobs_without_room(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
@@ -128,6 +141,7 @@
             .collect()
     }
 
+    /// Plans a drain of one machine of the shard for a waiting task that fits on none.
     fn plan_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
         let waiting = self.jobs_without_room(shard, now);
         if waiting.is_empty() {
@@ -167,8 +181,10 @@
         })
     }
 
-    /// Stops the tasks of the drained machine, and ends the drain when they are
-    /// elsewhere, or when it has taken too long.
+    /// Stops the tasks that still run on the drained machine. Returns the deletion of
+    /// the drain's record once those tasks have finished or run elsewhere and the
+    /// waiting job no longer waits for the empty machine, or once the drain has taken
+    /// more than twice the drain interval.
     fn continue_drain(
         &mut self,
         shard: u32,
@@ -187,7 +203,8 @@
         for DrainMove { job, index, attempt, .. } in &record.moves {
             let task = TaskId { job: job.as_str().into(), index: *index };
             let Some(placed) = self.open_job(job).and_then(|j| j.placed.get(index)) else {
-                // Done, or waiting to be placed where the record says.
+                // The task has finished, or waits to be placed on the machine that the
+                // drain's record names.
                 let is_waiting = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
                 tasks_remain |= self.open_job(job).is_some_and(is_waiting);
                 continue;
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -1,4 +1,5 @@
-//! The wanted fleet, and what is to be done about the difference.
+//! Compares the fleet that the waiting tasks need with the machines that exist, and plans the
+//! rentals, releases, probes and record updates that make up the difference.
 
 use super::{Core, GroupUpdate};
 use crate::machines::{Machine, MachinePhase};
@@ -11,89 +12,97 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// ScaleOutRequest requests that may be on their way at a time even if the cloud takes
-/// fewer a second.
+/// Rent requests that may always be in flight, even if the cloud accepts fewer per second.
 const MIN_CONCURRENT_RENT_REQUESTS: usize = 4;
-/// Pause after the first refusal of a kind of machine, doubled by each further
-/// one up to the longest.
+/// Backoff after the cloud first has no capacity for a kind of machine. It doubles with
+/// each further refusal in a row that brought no machine, up to `CAPACITY_BACKOFF_MAX`.
 const CAPACITY_BACKOFF_INITIAL: Duration = Duration::from_secs(5);
 const CAPACITY_BACKOFF_MAX: Duration = Duration::from_secs(30);
 
-/// How long released machines are remembered, so that late messages and lists
-/// don't bring them back; far longer than either can be late.
+/// How long released machines are remembered, so that late heartbeats and outdated machine
+/// lists do not bring them back. Neither can be late by nearly as much.
 const RELEASED_MACHINE_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Silent machines about which the others are asked at a time.
+/// Maximum number of silent machines about which the peers are asked in one request.
 pub const MAX_CONSULTED_MACHINES: usize = 128;
-/// A kind of machine that the cloud may have or not have at a time.
+
+/// A kind of machine for which the cloud has capacity or not, independently of other kinds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct MachineKind {
-    /// Its type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// A refusal of a kind of machine.
+/// The last refusal of a kind of machine for lack of capacity.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CapacityRefusal {
-    /// It is not asked for again before.
+    /// Time before which no machine of that kind is requested again.
     pub retry_at: Instant,
-    /// How often in a row nothing at all was to be had.
+    /// Number of refusals in a row that brought no machine at all.
     consecutive_empty: u32,
 }
 
-/// What the leader remembers of the cloud.
+/// The leader's in-memory state of the fleet and the cloud.
 #[derive(Debug, Default)]
 pub(super) struct FleetState {
+    /// When this process, as leader, started to manage the fleet.
     started_at: Option<Instant>,
+    /// Number of request names that have been given out.
     request_count: u64,
+    /// Rent requests in flight by name, with the shard that gets their machines.
     pending_rentals: BTreeMap<String, (RentRequest, u32)>,
     pub(super) capacity_refusals: HashMap<MachineKind, CapacityRefusal>,
-    /// Machines whose release was answered and that a record still names.
+    /// Machines whose release the cloud has confirmed and that a group record still names.
     released_in_records: BTreeSet<Arc<str>>,
-    /// Machines that report and that no record names.
+    /// Machines that send heartbeats or are on the cloud's list but that no record names.
     unrecorded_machines: BTreeMap<Arc<str>, Machine>,
+    /// When an update of the workers' addresses in the group records was last prepared.
     pub(super) addresses_updated_at: Option<Instant>,
 }
 
 impl FleetState {
-    /// Whether the leader has begun its work.
+    /// Whether the leader has started to manage the fleet.
     pub(super) fn has_started(&self) -> bool {
         self.started_at.is_some()
     }
 
+    /// Marks the leader's management of the fleet as started.
     pub(super) fn start(&mut self, now: Instant) {
         self.started_at = Some(now);
     }
 
+    /// Next number for the name of a request; unique within this process.
     pub(super) fn next_request_number(&mut self) -> u64 {
         self.request_count += 1;
         self.request_count
     }
 }
 
-/// What the fleet needs done.
+/// The actions that one comparison of the fleet calls for.
 #[derive(Debug, Default)]
 pub struct FleetActions {
-    /// ScaleOutRequest requests to send.
+    /// Rent requests to send to the cloud.
     pub rent: Vec<RentRequest>,
     /// Machines to release.
     pub release: Vec<Arc<str>>,
-    /// Workers to ask for their status: machine and address.
+    /// Workers to probe for their status: machine and address.
     pub probe: Vec<(Arc<str>, String)>,
-    /// Silent machines: name and address. Others should be asked about them.
+    /// Silent machines about which peers should be asked: name and address.
     pub silent: Vec<(Arc<str>, String)>,
-    /// How many machines are silent, asked about or not.
+    /// Number of machines without a recent heartbeat, whether peers are asked about
+    /// them or not.
     pub silent_count: usize,
-    /// Records to write.
+    /// Updates of group records to commit.
     pub group_updates: Vec<GroupUpdate>,
 }
 
 impl Core {
-    /// Compares the wanted fleet with the known one.
+    /// Updates the phases of the machines in the leased shards and returns the actions to
+    /// take. Only the leader rents and releases machines.
     pub fn fleet_step(&mut self, now: Instant) -> FleetActions {
         let mut actions = FleetActions::default();
         if !self.loaded || !self.has_role() || !self.in_contact(now) {
@@ -104,8 +113,8 @@
             .retain(|_, at| now.saturating_duration_since(*at) < RELEASED_MACHINE_RETENTION);
         let due = self.update_machine_phases(&mut actions, now);
         self.clear_orphaned_machines(now);
-        // The cloud checks no token: a leader that may have been replaced leaves
-        // machines alone, well before it stops answering workers.
+        // The cloud checks no fencing token, so a leader that may have been replaced must
+        // not rent or release. It stops well before it stops answering workers.
         let age = self.contact_age(now);
         let mut give_up = BTreeSet::new();
         if self.leads(now) && age.is_some_and(|a| a <= self.options.node_lease) {
@@ -122,16 +131,16 @@
         actions
     }
 
-    /// What is to be released: what is due in the leader's own shards, and what
-    /// other holders have given up or the cloud says has stopped.
+    /// Plans the release of the machines that are due in the leader's own shards, that
+    /// other shard holders have given up, or that the cloud reports as failed.
     fn plan_releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
         let leased_shards = &self.role.leased_shards;
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
                 || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
-            let waits = machine.releasing || machine.group.is_none();
-            if wanted && !waits && !self.fleet.released_in_records.contains(&machine.id) {
+            let not_now = machine.releasing || machine.group.is_none();
+            if wanted && !not_now && !self.fleet.released_in_records.contains(&machine.id) {
                 machine.releasing = true;
                 tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
@@ -139,6 +148,7 @@
         }
     }
 
+    /// Adds the machines that no record names to the leader's groups.
     fn adopt_unrecorded_machines(&mut self) {
         let found = std::mem::take(&mut self.fleet.unrecorded_machines);
         let unknown: Vec<Machine> = found
@@ -146,15 +156,15 @@
             .filter(|m| !self.is_grouped(&m.id) && !self.released_machines.contains_key(&m.id))
             .collect();
         if !unknown.is_empty() {
-            tracing::info!(machines = unknown.len(), "machines that nobody expected are taken in");
+            tracing::info!(machines = unknown.len(), "adopting machines that no group record names");
             self.adopt(unknown);
         }
     }
 
-    /// A placement on a machine that no group has is proven over: machines are
-    /// recorded before anything is placed on them, and leave their group only
-    /// once their release was answered. It counts once the copy of the records
-    /// has caught up with the placement.
+    /// Ends the placements on machines that no group record names, and forgets those
+    /// machines. Such a machine is certainly gone: machines are recorded before a task is
+    /// placed on them, and leave their group only once the cloud has confirmed their
+    /// release. This holds once the record replica has caught up with the placements.
     fn clear_orphaned_machines(&mut self, now: Instant) {
         let orphans: Vec<Arc<str>> = self
             .machines
@@ -169,11 +179,11 @@
         }
     }
 
-    /// Gives up on machines that nobody reaches: they are released, and what is
-    /// on them runs elsewhere once that is answered.
+    /// Gives up machines that no controller reaches. They are released, and their tasks
+    /// run elsewhere once the cloud has confirmed the release.
     pub fn mark_lost(&mut self, ids: &[Arc<str>]) {
         for id in ids {
-            // One that has answered meanwhile is spared.
+            // A machine that has answered a probe meanwhile is kept.
             if let Some(machine) = self.machines.get_mut(id)
                 && machine.missed_probes >= 1
             {
@@ -183,13 +193,13 @@
         self.wakeups.fleet = true;
     }
 
-    /// How many machines of own shards have come up.
+    /// Number of machines in the leased shards that have come up.
     pub fn booted_machine_count(&self) -> usize {
         let own = self.machines.values().filter(|m| self.is_holder(m.shard));
         own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
     }
 
-    /// Notes the end of a probe without an answer.
+    /// Called when a probe got no answer.
     pub fn probe_missed(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.probing = false;
@@ -197,7 +207,7 @@
         }
     }
 
-    /// Notes the end of a probe with an answer.
+    /// Called when a probe was answered.
     pub fn probe_answered(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.probing = false;
@@ -205,19 +215,19 @@
         }
     }
 
-    /// All machines that take or will take work, and what is on its way, counted
-    /// by kind and room. Those that are up count too: a machine that has just
-    /// come up gets its tasks in the next round, and nothing must be rented for
-    /// them meanwhile.
+    /// Free room on all machines that take or will take tasks and on those being rented,
+    /// counted by kind and room. Running machines count too: a machine that has just come
+    /// up gets its tasks in the next placement round, and no other machine must be
+    /// rented for those tasks meanwhile.
     pub(super) fn pending_capacity(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
-            let lost = machine.phase != MachinePhase::Active
+            let unavailable = machine.phase != MachinePhase::Active
                 || machine.given_up
                 || machine.group.is_none()
                 || machine.taken_at.is_some()
                 || machine.missed_probes > 0;
-            if lost || machine.capacity.cpus == 0 {
+            if unavailable || machine.capacity.cpus == 0 {
                 continue;
             }
             let room = machine.room();
@@ -235,7 +245,7 @@
                 count,
             })
             .collect();
-        let asked = self
+        let requested = self
             .fleet
             .pending_rentals
             .values()
@@ -244,13 +254,15 @@
             let r = &g.record;
             (r.machine_type.clone(), r.zone.clone(), r.spot, r.machines.len() as i64)
         });
-        for (machine_type, zone, spot, count) in asked.chain(uncommitted) {
+        for (machine_type, zone, spot, count) in requested.chain(uncommitted) {
             let room = self.capacity(&machine_type).unwrap_or_default();
             rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
         rooms
     }
 
+    /// Plans rent requests for the tasks that found no room, and for standby machines. Each
+    /// request is for one shard with space for its machines.
     fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
         let Some(leadership) = self.role.leadership else { return };
         let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
@@ -278,9 +290,9 @@
                 let count = left.min(MAX_RENT).min(space.max(1) as u32);
                 left -= count;
                 *taken.entry(shard).or_default() += count as usize;
-                // The name is unique without a write of its own: the version of
-                // the leader's key, committed before, belongs to this
-                // leadership alone.
+                // The name is unique without a write to the state service: the version
+                // of the leader's key was committed before and belongs to this
+                // leadership term alone.
                 let request = RentRequest {
                     request: format!("dc-{leadership}-{}", self.fleet.next_request_number()),
                     machine_type: offer.machine_type.clone(),
@@ -301,7 +313,8 @@
         }
     }
 
-    /// Notes the machines that a request brought; none: there is no capacity.
+    /// Called when the cloud has answered a rent request. Fewer machines than requested,
+    /// or none, mean that the cloud has no more capacity of that kind.
     pub fn rent_completed(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
         let Some((_, shard)) = self.fleet.pending_rentals.remove(&request.request) else { return };
         let kind = MachineKind {
@@ -311,13 +324,14 @@
         };
         let pausing = self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
         if machines.len() < request.count as usize && pausing {
-            // Asked before an earlier refusal was known, it says nothing new: the
-            // pause must not double with each of several requests at a time.
+            // The request was sent before an earlier refusal was known, so this refusal
+            // says nothing new. The backoff must not double with each of several
+            // requests sent at the same time.
             tracing::debug!(
                 machine_type = kind.machine_type,
                 spot = kind.spot,
                 got = machines.len(),
-                "refused as well"
+                "cloud has no more capacity; backing off already"
             );
         } else if machines.len() < request.count as usize {
             let consecutive_empty =
@@ -329,7 +343,7 @@
                 spot = kind.spot,
                 got = machines.len(),
                 ?pause,
-                "no more capacity"
+                "cloud has no more capacity; backing off"
             );
             let consecutive_empty = if machines.is_empty() { consecutive_empty + 1 } else { 0 };
             self.fleet
@@ -351,12 +365,12 @@
         self.wakeups.fleet = true;
     }
 
-    /// Notes that a request will not be carried out by this process any more.
+    /// Called when this process stops repeating a rent request because it no longer leads.
     pub fn rent_abandoned(&mut self, request: &RentRequest) {
         self.fleet.pending_rentals.remove(&request.request);
     }
 
-    /// Notes a machine that reports and that no record names.
+    /// Remembers a machine that sends heartbeats and that no record names.
     pub(super) fn handle_unrecorded_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let id: Arc<str> = report.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
@@ -368,13 +382,14 @@
         self.wakeups.fleet = true;
     }
 
-    /// Takes over a list of machines; it lags, and may be older than the last.
+    /// Applies the cloud's list of machines. The list lags behind the cloud's actual state,
+    /// and may be older than the previous one.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         if !self.leads(now) {
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
-        // Before that, a list may still show what an earlier leader released.
+        // Until then the list may still show machines that an earlier leader released.
         let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
@@ -382,7 +397,7 @@
             }
             match self.machines.get_mut(listed.id.as_str()).filter(|m| m.group.is_some()) {
                 Some(machine) if listed.state == "failed" && machine.phase != MachinePhase::Lost => {
-                    tracing::info!(machine = &*machine.id, "a machine stopped on its own");
+                    tracing::info!(machine = &*machine.id, "cloud reports a machine as failed");
                     machine.phase = MachinePhase::Lost;
                     self.wakeups.fleet = true;
                 }
@@ -400,8 +415,8 @@
         }
     }
 
-    /// Notes machines whose release was answered: they are gone with all that
-    /// was on them. Other holders learn it from the machines' records.
+    /// Called when the cloud has confirmed the release of machines: they are gone, and
+    /// their tasks with them. Other shard holders learn this from the group records.
     pub fn release_completed(&mut self, ids: &[Arc<str>], now: Instant) {
         for id in ids {
             self.fleet.released_in_records.insert(id.clone());
@@ -410,7 +425,7 @@
         self.wakeups.fleet = true;
     }
 
-    /// Notes that a release was not carried out; it is tried again.
+    /// Called when a release was not confirmed; a later step requests it again.
     pub fn release_failed(&mut self, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -1,6 +1,6 @@
-//! How many idle machines are worth keeping: as many as work would keep busy if it
-//! goes on coming as it did lately. What is idle beyond that is surplus and returned
-//! soon, the dearest first.
+//! The reserve of idle machines: as many as new jobs would keep busy if they keep
+//! arriving at the recent rate. Idle machines beyond the reserve are surplus and are
+//! returned to the cloud early, the most expensive ones first.
 
 use super::Core;
 use crate::machines::{Machine, MachinePhase};
@@ -8,36 +8,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A machine is surplus only after it has been idle for so long: room that is free
-/// between two rounds of placement is none.
+/// Idle time after which a machine may count as surplus. A machine that is free only
+/// between two placement rounds is not idle.
 const MIN_SURPLUS_IDLE_TIME: Duration = Duration::from_secs(10);
-/// Work that came within so many boot times tells how much is to be expected.
+/// Length, in multiples of the longest boot time, of the window of recent arrivals
+/// from which the expected load is estimated.
 const ARRIVAL_WINDOW_BOOT_TIMES: u32 = 2;
 
-/// A job that came lately.
+/// A recently submitted job.
 #[derive(Debug)]
 struct JobArrival {
     at: Instant,
-    /// Thousandths of processors that it asks for.
+    /// Thousandths of CPUs that the job's tasks request in total.
     cpus: i64,
-    /// How long each task is expected to run.
+    /// Estimated run time of each task.
     run_time: Duration,
 }
 
-/// Work that came lately.
+/// Recently submitted jobs, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct RecentArrivals {
     jobs: VecDeque<JobArrival>,
 }
 
 impl RecentArrivals {
-    /// Notes a job that asks for processors for so long.
+    /// Records the arrival of a job that requests `cpus` for `run_time`.
     pub fn record(&mut self, cpus: i64, run_time: Duration, now: Instant) {
         self.jobs.push_back(JobArrival { at: now, cpus, run_time });
     }
 
-    /// How many processors what came within a window keeps busy, on the average
-    /// over that window; forgets what came before.
+    /// Average over the window of the CPUs that the jobs which arrived within it keep
+    /// busy, in thousandths. Drops older arrivals.
     pub fn average_busy_cpus(&mut self, window: Duration, now: Instant) -> i64 {
         while self.jobs.front().is_some_and(|job| now.saturating_duration_since(job.at) > window) {
             self.jobs.pop_front();
@@ -47,7 +48,6 @@
     }
 }
 
-/// An idle machine.
 struct IdleMachine {
     id: Arc<str>,
     cpus: i64,
@@ -55,8 +55,8 @@
     since: Instant,
 }
 
-/// The idle machines that are more than `reserve` processors: the dearest, and of
-/// equal ones those that have been idle the longest.
+/// Selects the machines that can go so that the idle machines left still have at least
+/// `reserve` CPUs: the most expensive per CPU first, and among equals the longest idle.
 fn select_surplus(mut idle: Vec<IdleMachine>, reserve: i64) -> BTreeSet<Arc<str>> {
     idle.sort_by(|a, b| {
         let dearest = b.price_per_cpu.total_cmp(&a.price_per_cpu);
@@ -65,7 +65,7 @@
     let mut left: i64 = idle.iter().map(|machine| machine.cpus).sum();
     let mut surplus = BTreeSet::new();
     for machine in idle {
-        // What is left without it must still be the reserve.
+        // Skips machines without which the rest would be less than the reserve.
         if left - machine.cpus >= reserve {
             left -= machine.cpus;
             surplus.insert(machine.id);
@@ -75,8 +75,9 @@
 }
 
 impl Core {
-    /// Machines of own shards that are idle beyond this holder's part of the
-    /// reserve. None, if operators have set how long idle machines are kept.
+    /// Idle machines in the leased shards beyond this controller's part of the reserve,
+    /// which is in proportion to the capacity that it holds. Empty if the operator has
+    /// set how long idle machines are kept.
     pub(super) fn surplus_machines(&mut self, now: Instant) -> BTreeSet<Arc<str>> {
         if self.options.idle_return.is_some() {
             return BTreeSet::new();
@@ -104,10 +105,10 @@
         select_surplus(idle.collect(), reserve)
     }
 
-    /// Notes that a job has come that asks for this.
+    /// Records the arrival of a job for the estimate of the expected load.
     pub(super) fn record_job_arrival(&mut self, id: &str, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
-        // No more of it runs at a time than its team's limit lets.
+        // The team's quota limit bounds how much of the job runs at a time.
         let tasks = i64::from(job.record.tasks);
         let limit = self.teams.get(&job.spec.team).map_or(0, |team| team.limit.cpus);
         let cpus = job.requirements.resources.cpus * tasks;
@@ -116,12 +117,13 @@
         self.arrivals.record(cpus, run_time, now);
     }
 
+    /// Longest boot time of any machine type in the catalog.
     fn longest_boot_time(&self) -> Duration {
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         types.map(|m| self.boot_time(&m.name)).max().unwrap_or_default()
     }
 
-    /// What one processor of a machine costs, as prices are now.
+    /// Current price of one CPU of a machine; zero if its type is not in the catalog.
     fn price_per_cpu(&self, machine: &Machine) -> f64 {
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let Some(machine_type) = types.into_iter().find(|m| m.name == machine.machine_type) else {
--- a/crates/dapplecroft-controller/src/core/idle_reserve/tests.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve/tests.rs
@@ -4,8 +4,9 @@
     IdleMachine { id: id.into(), cpus, price_per_cpu, since }
 }
 
-// At the end of a day 6,000 idle processors were kept for two boot times, though
-// nothing had come for a minute (incident 2905 of mekong-cold-chain).
+// Guards against keeping idle machines that no work is expected for: when submissions
+// ended for the day, 6,000 idle CPUs were kept for two boot times although no job had
+// arrived for a minute.
 #[test]
 fn idle_machines_beyond_the_reserve_are_surplus_most_expensive_first() {
     let start = Instant::now();
@@ -17,7 +18,8 @@
     assert_eq!(names(0), ["a", "b", "c"]);
     assert_eq!(names(16), ["b", "c"]);
     assert_eq!(names(20), ["c"]);
-    // The dearest is needed, and the cheaper ones are not.
+    // Without the most expensive machine less than the reserve would be left; without
+    // both cheaper ones it is still covered.
     assert_eq!(names(40), ["a", "b"]);
     assert!(names(96).is_empty());
 }
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -1,5 +1,6 @@
-//! The fate of machines in own shards: which are probed, which are given up, and
-//! which are returned because nothing needs them.
+//! The phases of the machines in the shards that this controller holds: which machines
+//! are probed, which are given up as lost, and which are returned to the cloud because no
+//! task needs them.
 
 use super::{Core, FleetActions};
 use crate::machines::{Machine, MachinePhase};
@@ -8,109 +9,127 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What is paid for a machine at least.
+/// The cloud bills a machine for at least this time.
 const MIN_BILLED_TIME: Duration = Duration::from_secs(60);
 
-/// Probes on their way at a time: a holder that takes up hundreds of machines
-/// must not ask all at once.
+/// Maximum number of probes in flight to machines that have not sent a heartbeat yet. A
+/// controller that acquires shards with hundreds of machines must not probe all at once.
 const MAX_CONCURRENT_PROBES: usize = 32;
-/// The same for machines that have fallen silent: most will not answer, and what
-/// ran on them waits for that.
+/// The same for machines that have stopped sending heartbeats. The limit is higher
+/// because most of these probes time out, and the tasks of the machines cannot be
+/// restarted before that.
 const MAX_CONCURRENT_SILENT_PROBES: usize = 128;
-/// Most workers of a shard that is taken up come by themselves so soon; the
-/// others are asked then.
+/// After a controller acquires a shard, most workers report on their own within this
+/// time; the others are probed then.
 const SHARD_HANDOVER_PROBE_DELAY: Duration = Duration::from_millis(1500);
 
-/// A machine is taken not to come up after so many usual boot times and a margin.
+/// A machine that has not come up after this many usual boot times, plus the margin below,
+/// is given up.
 const BOOT_TIMEOUT_FACTOR: u32 = 3;
 const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_secs(10);
-/// A worker that has been silent for so many report intervals is probed.
+/// A worker is probed after this many heartbeat intervals without a heartbeat.
 const PROBE_AFTER_INTERVALS: f64 = 1.4;
-/// One that has been silent for so many, and has not answered a probe, is silent.
+/// A worker counts as silent after this many heartbeat intervals without a heartbeat, if
+/// it has not answered a probe either.
 const SILENT_AFTER_INTERVALS: f64 = 1.9;
-/// The same where replicas run. What serves users is missed soonest: it is asked
-/// between reports.
+/// The same for machines that run service replicas. They serve users, so an outage has to
+/// be found soonest: their workers are probed even between two heartbeats.
 const REPLICA_PROBE_AFTER_INTERVALS: f64 = 0.6;
+/// [`SILENT_AFTER_INTERVALS`] for machines that run service replicas.
 const REPLICA_SILENT_AFTER_INTERVALS: f64 = 0.9;
-/// Margin on the lease of a worker that hears nothing.
+/// Safety factor on the lease after which a worker that receives no answers has ended its tasks.
 const LEASE_MARGIN_FACTOR: f64 = 1.1;
-/// A machine takes no more work once tasks of so many jobs failed on it alone.
+/// A machine is quarantined once tasks of this many jobs have failed on it that failed on
+/// no other machine.
 const QUARANTINE_FAILED_JOBS: usize = 2;
 
-/// Idle machines of which work waits: what each task needs, and how many tasks.
+/// Waiting tasks that idle machines are kept for: requirements of a task, and how many
+/// tasks have them.
 type WaitingDemand = Vec<(Arc<TaskRequirements>, i64)>;
 
-/// What the fates of all machines are decided by.
+/// The inputs by which the phases of all machines are decided.
 struct PhaseRules {
     now: Instant,
     heartbeat_interval: Duration,
+    /// Time after which a worker without answers has ended its tasks, margin included.
     lease: Duration,
     boot_times: BTreeMap<String, Duration>,
+    /// How long idle machines are kept, by machine type and whether they are spot.
     idle_times: BTreeMap<(String, bool), Duration>,
+    /// The operator's setting for the time that idle machines are kept, if any.
     idle_return: Option<Duration>,
+    /// Machines that run service replicas.
     service_machines: BTreeSet<Arc<str>>,
+    /// Idle machines beyond the reserve.
     surplus: BTreeSet<Arc<str>>,
+    /// Machines that are kept running so that service replicas can start at once.
     standby: BTreeSet<Arc<str>>,
 }
 
 impl PhaseRules {
+    /// Time since this process learned of the machine or acquired its shard.
     fn age(&self, machine: &Machine) -> Duration {
         self.now.saturating_duration_since(machine.since)
     }
 
+    /// Time since the last heartbeat, or the machine's age if there was none.
     fn time_since_heartbeat(&self, machine: &Machine) -> Duration {
         machine.heard.map_or(self.age(machine), |at| self.now.saturating_duration_since(at))
     }
 
-    /// Gives up a machine that has not come up for much longer than usual.
+    /// Gives up a machine that takes much longer to boot than usual.
     fn give_up_if_boot_overdue(&self, machine: &mut Machine) {
         let boot = self.boot_times.get(&machine.machine_type).copied().unwrap_or(self.heartbeat_interval);
         let age = self.age(machine);
         if machine.phase == MachinePhase::Active && age > boot * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN {
-            tracing::info!(machine = &*machine.id, ?age, "a machine did not come up");
+            tracing::info!(machine = &*machine.id, ?age, "machine did not boot in time; giving it up");
             machine.phase = MachinePhase::Lost;
         }
     }
 
-    /// Whether a machine is to be asked for its status now.
+    /// Whether the machine's worker has to be asked for its status now.
     fn needs_probe(&self, machine: &Machine) -> bool {
-        let taken_up = machine.heard.is_none()
+        let not_reported = machine.heard.is_none()
             && machine.missed_probes == 0
             && self.age(machine) > SHARD_HANDOVER_PROBE_DELAY;
-        let patience = if self.service_machines.contains(&machine.id) {
+        let intervals = if self.service_machines.contains(&machine.id) {
             REPLICA_PROBE_AFTER_INTERVALS
         } else {
             PROBE_AFTER_INTERVALS
         };
-        let overdue = self.time_since_heartbeat(machine) > self.heartbeat_interval.mul_f64(patience);
-        (taken_up || overdue) && !machine.probing && !machine.releasing
+        let overdue = self.time_since_heartbeat(machine) > self.heartbeat_interval.mul_f64(intervals);
+        (not_reported || overdue) && !machine.probing && !machine.releasing
     }
 
-    /// Gives up a machine whose reports arrive and which nothing reaches: its
-    /// worker has ended its tasks for want of an answer, and it is of no more use.
+    /// Gives up a machine whose heartbeats arrive but which receives nothing: its worker
+    /// has ended its tasks because its lease ran out, and can be given no new ones.
     fn give_up_if_unreachable(&self, machine: &mut Machine) {
-        let deaf = machine.deaf_since.is_some_and(|at| self.now.saturating_duration_since(at) > self.lease);
-        if deaf && machine.phase != MachinePhase::Lost {
-            tracing::info!(machine = &*machine.id, "a machine that reports and hears nothing is given up");
+        let unreachable =
+            machine.deaf_since.is_some_and(|at| self.now.saturating_duration_since(at) > self.lease);
+        if unreachable && machine.phase != MachinePhase::Lost {
+            tracing::info!(
+                machine = &*machine.id,
+                "machine sends heartbeats but receives nothing; giving it up"
+            );
             machine.phase = MachinePhase::Lost;
         }
     }
 
-    /// Whether others are to be asked about a machine.
+    /// Whether the machine counts as silent, so that peers are asked whether they reach it.
     fn is_silent(&self, machine: &Machine) -> bool {
-        let limit = if self.service_machines.contains(&machine.id) {
+        let intervals = if self.service_machines.contains(&machine.id) {
             REPLICA_SILENT_AFTER_INTERVALS
         } else {
             SILENT_AFTER_INTERVALS
         };
-        let overdue = self.time_since_heartbeat(machine) > self.heartbeat_interval.mul_f64(limit);
+        let overdue = self.time_since_heartbeat(machine) > self.heartbeat_interval.mul_f64(intervals);
         overdue && machine.missed_probes >= 1 && machine.phase != MachinePhase::Lost
     }
 
-    /// Decides whether a machine is returned: tasks of several jobs failed on it,
-    /// or nothing has needed it for long. Renting it again would cost its boot
-    /// time, so it is kept a while, the dearer the shorter; and a machine is paid
-    /// for a minute in any case.
+    /// Starts the return of a machine on which tasks of several jobs failed, or which no
+    /// task has needed for long. Renting a machine again costs its boot time, so an idle
+    /// one is kept for a while, the shorter the more it costs; and for at least the
+    /// minute for which it is billed in any case.
     fn return_if_failing_or_unneeded(&self, machine: &mut Machine, wanted: &mut WaitingDemand) {
         if machine.phase != MachinePhase::Active {
             return;
@@ -119,12 +138,15 @@
         let usual = self.idle_times.get(&kind).copied().unwrap_or(self.heartbeat_interval);
         let paid = MIN_BILLED_TIME.saturating_sub(self.age(machine));
         let keep = self.idle_return.unwrap_or(usual).max(paid);
-        // What is idle beyond what may come soon is not worth its price.
+        // A machine beyond the load that is expected soon is not worth its price.
         let keep = if self.surplus.contains(&machine.id) { paid } else { keep };
         let idle = machine.idle_since.is_some_and(|at| self.now.saturating_duration_since(at) > keep);
         let unused = idle && !consume_demand(machine, wanted) && !self.standby.contains(&machine.id);
         if machine.failed_jobs.len() >= QUARANTINE_FAILED_JOBS {
-            tracing::info!(machine = &*machine.id, "tasks of several jobs failed: quarantined");
+            tracing::info!(
+                machine = &*machine.id,
+                "tasks of several jobs failed on a machine; quarantining it"
+            );
             machine.phase = MachinePhase::Returning;
         } else if unused && machine.heard.is_some() && machine.taken_at.is_none() {
             machine.phase = MachinePhase::Returning;
@@ -132,8 +154,8 @@
     }
 }
 
-/// Whether work waits that an idle machine would do for; what it takes of that
-/// keeps no other machine.
+/// Whether an idle machine could run some of the waiting tasks. The tasks that fit on it
+/// are deducted from the demand, so that no other machine is kept for them.
 fn consume_demand(machine: &Machine, wanted: &mut WaitingDemand) -> bool {
     let found = wanted.iter_mut().find(|(requirements, count)| {
         *count > 0
@@ -146,8 +168,8 @@
 }
 
 impl Core {
-    /// Decides the fate of each machine of own shards, and which are to be
-    /// probed; returns those that are due to be released.
+    /// Updates the phase of each machine in the shards that this controller holds, and
+    /// collects the probes to send. Returns the machines to be released.
     pub(super) fn update_machine_phases(
         &mut self,
         actions: &mut FleetActions,
@@ -171,15 +193,16 @@
             }
             rules.return_if_failing_or_unneeded(machine, &mut wanted);
             let empty = machine.tasks.is_empty();
-            let over =
+            let is_due =
                 machine.phase == MachinePhase::Lost || (machine.phase == MachinePhase::Returning && empty);
-            if over && !machine.given_up {
+            if is_due && !machine.given_up {
                 due.insert(machine.id.clone());
             }
         }
         due
     }
 
+    /// Gathers the inputs for the phases of all machines.
     fn phase_rules(&self, surplus: BTreeSet<Arc<str>>, now: Instant) -> PhaseRules {
         let machine_types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         PhaseRules {
@@ -195,11 +218,11 @@
         }
     }
 
-    /// What work waits that may start as far as its team's limit goes, and how
-    /// much: as many idle machines as it needs are not returned, however long
-    /// they have been idle.
+    /// The waiting tasks that may start within their team's quota limit, by
+    /// requirements. The idle machines that they need are not returned, however long
+    /// those have been idle. Jobs that back off after failures are left out.
     fn waiting_demand(&self) -> WaitingDemand {
-        let mut task_requirements: WaitingDemand = Vec::new();
+        let mut demand: WaitingDemand = Vec::new();
         for job in self.waiting.iter().filter_map(|id| self.open_job(id)) {
             let headroom =
                 self.teams.get(&job.spec.team).map_or(0, |b| b.headroom(&job.requirements.resources));
@@ -208,16 +231,17 @@
             if count == 0 || job.failures > 0 {
                 continue;
             }
-            match task_requirements.iter_mut().find(|(requirements, _)| **requirements == *job.requirements) {
+            match demand.iter_mut().find(|(requirements, _)| **requirements == *job.requirements) {
                 Some((_, total)) => *total += count,
-                None => task_requirements.push((job.requirements.clone(), count)),
+                None => demand.push((job.requirements.clone(), count)),
             }
         }
-        task_requirements
+        demand
     }
 }
 
-/// Decides what is asked of and about a machine that has come up.
+/// Checks the heartbeats of a machine that has come up. Probes the machine if a heartbeat
+/// is overdue, and lists it as silent if peers should be asked about it.
 fn check_heartbeat(
     rules: &PhaseRules,
     machine: &mut Machine,
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -1,4 +1,4 @@
-//! Work that has to give way to waiting work of a higher rank.
+//! Preemption: stops running tasks to make room for waiting jobs of a higher rank.
 
 use super::Core;
 use super::placing::{Unplaced, has_image};
@@ -8,23 +8,24 @@
 use dapplecroft_wire::users::Priority;
 use std::time::{Duration, Instant};
 
-/// Most tasks stopped at a time.
+/// Maximum number of tasks preempted in one pass.
 const MAX_PREEMPTED_TASKS: usize = 40;
-/// What a task that saves is given beyond the time that it needs.
+/// Grace time that a preempted task gets on top of the expected time to save its checkpoint.
 const CHECKPOINT_SAVE_MARGIN: Duration = Duration::from_secs(1);
-/// Pause between two looks for work to displace, which go over all machines.
+/// Minimum time between two preemption passes; each pass scans all machines.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A machine with work that may have to give way.
+/// A machine that runs tasks which may be preempted.
 struct OccupiedMachine {
     shard: u32,
     slot: Slot,
+    /// The tasks booked on the machine, in the order of `residents`.
     tasks: Vec<TaskId>,
     residents: Vec<Resident>,
 }
 
 impl OccupiedMachine {
-    /// How many tasks fit once all that is leaving has left.
+    /// Number of tasks that fit once the tasks that are already being stopped have ended.
     fn tasks_that_fit(&self, requirements: &TaskRequirements) -> i64 {
         let leaving: Resources =
             self.residents.iter().filter(|r| r.leaving).map(|r| r.requirements.resources).sum();
@@ -32,44 +33,46 @@
     }
 }
 
-/// What room is to be made for.
+/// The waiting tasks to make room for, and the limits on what may be stopped for them.
 struct PreemptionRequest<'a> {
-    /// What each waiting task needs.
+    /// Requirements of each waiting task.
     requirements: &'a TaskRequirements,
-    /// What entitles it to displace others.
+    /// Rank and quota standing of the waiting job, which decide what it may preempt.
     claim: Claim,
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     wanted_tasks: i64,
-    /// Most tasks that may be stopped.
+    /// Maximum number of tasks to stop.
     max_preempted: usize,
-    /// No task that loses more is stopped.
+    /// Tasks that would lose more machine time than this are not stopped.
     max_loss: Duration,
 }
 
-/// What is stopped to make room.
+/// The tasks to stop so that waiting tasks fit.
 #[derive(Default)]
 struct PreemptionPlan {
     tasks: Vec<TaskId>,
-    /// Machine time that is lost.
+    /// Machine time that the stopped tasks lose in total.
     lost_time: Duration,
 }
 
-/// A machine on which room can be made.
+/// A machine on which a waiting task fits if some tasks are stopped. Options are
+/// ordered by cost first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionOption {
-    /// Machine time that is lost, how long the waiting task has to wait for its
-    /// room, and how long its image takes there.
+    /// Sum of the machine time lost, the wait until the stopped tasks have saved
+    /// their checkpoints, and the time to fetch the waiting task's image.
     cost: Duration,
-    /// Index of the machine.
+    /// Index into the list of candidate machines.
     machine: usize,
-    /// Machine time that is lost.
+    /// Machine time that the stopped tasks lose.
     lost_time: Duration,
-    /// Indices of its residents that are stopped.
+    /// Indices of the machine's residents to stop.
     victims: Vec<usize>,
 }
 
-/// Chooses what is stopped on some machines so that the wanted tasks fit, where
-/// the least time is lost, theirs until they run included. What is leaving anyway counts as room that will be there.
+/// Chooses the tasks to stop so that the wanted tasks fit, taking the cheapest
+/// machines first; the cost includes the delay until a waiting task can run. Room
+/// held by tasks that are already being stopped counts as free and is used first.
 fn plan_preemption(
     machines: &mut [&mut OccupiedMachine],
     request: &PreemptionRequest<'_>,
@@ -112,7 +115,8 @@
 }
 
 impl Core {
-    /// A machine of an own shard as drains and displacement see it.
+    /// Describes a machine as the scheduler's drain and preemption planners need it.
+    /// It is open for new tasks only in a shard whose lease this controller holds.
     pub(super) fn slot(&self, machine: &Machine, now: Instant) -> Slot {
         let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
         Slot {
@@ -126,7 +130,9 @@
         }
     }
 
-    /// The tasks booked on a machine.
+    /// The tasks booked on a machine, without those whose room is free already. `slot`
+    /// is the machine's index in the caller's list; tasks older than `max_movable_age`
+    /// are marked as not movable.
     pub(super) fn residents(
         &self,
         machine: &Machine,
@@ -148,7 +154,8 @@
                 movable: placed.committed && progress.age <= max_movable_age && !job.is_service(),
                 leaving: placed.stop.is_some(),
                 rank: self.effective_rank(job),
-                // A replica gives way to a higher rank alone.
+                // A service replica is preempted only by a higher rank, not because
+                // its team is over quota.
                 over_quota: !job.is_service()
                     && self.teams.get(&job.spec.team).is_some_and(|b| b.over_quota()),
             };
@@ -157,14 +164,14 @@
         residents
     }
 
-    /// Stops work that has to give way to waiting work, where the least
-    /// machine time is lost. What is leaving anyway counts as room that will be there.
+    /// Preempts tasks in the leased shards for waiting jobs of a priority above normal,
+    /// choosing those that lose the least machine time.
     pub(super) fn preempt(&mut self, unplaced: &[Unplaced], now: Instant) {
         let is_urgent = |u: &Unplaced| {
             !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
-        // Among ordinary work a guarantee is served first, but stops nothing:
-        // work that is stopped for it waits in its turn, and so on.
+        // Among jobs of normal or lower priority, a guaranteed quota decides the order
+        // but preempts nothing: the preempted job would wait and preempt others in turn.
         let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| is_urgent(u)).collect();
         let checked_recently =
             self.last_preemption.is_some_and(|at| now.saturating_duration_since(at) < PREEMPTION_INTERVAL);
@@ -192,15 +199,16 @@
             let Some(job) = self.open_job(&unplaced.job) else { continue };
             let within_quota = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
             let claim = Claim { rank: job.rank(), within_quota };
-            // Replicas serve for long: what they need gives way however old.
+            // Service replicas run for long, so tasks are preempted for them however
+            // much work those tasks lose.
             let max_loss = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
             let image_fetch_time =
                 |machine: &OccupiedMachine| self.image_fetch_time(&machine.slot.machine, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
             for (&shard, &wanted_tasks) in &unplaced.here {
-                // What waits in a shard can use room in that shard alone: room
-                // made elsewhere would be filled by others and made again.
+                // A task allocated to a shard can only use room in that shard. Room made
+                // in another shard would go to other tasks, and be made again and again.
                 let mut shard_machines: Vec<&mut OccupiedMachine> =
                     machines.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
                 let request = PreemptionRequest {
@@ -216,7 +224,10 @@
                 stopped.extend(preemption.tasks);
             }
             if !stopped.is_empty() {
-                tracing::info!(for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost, "tasks give way");
+                tracing::info!(
+                    for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost,
+                    "preempting tasks for a waiting job"
+                );
             }
             for task in stopped {
                 self.stop_committed_task(&task, Stop::Preempted, now);
@@ -224,7 +235,8 @@
         }
     }
 
-    /// How long the image of a job's tasks takes on a machine.
+    /// Estimated time to fetch the job's image onto a machine; zero if the machine has
+    /// or is fetching the image, or the fetch rate is unknown.
     fn image_fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
         if has_image(machine, &job.requirements) != ImagePresence::No {
@@ -235,7 +247,8 @@
         Duration::try_from_secs_f64(seconds).unwrap_or_default()
     }
 
-    /// Asks for the end of a task that is recorded on a machine.
+    /// Requests the stop of a task whose placement is committed. A placement that is
+    /// not committed yet is left alone.
     pub(super) fn stop_committed_task(&mut self, task: &TaskId, why: Stop, now: Instant) {
         let placed = self.open_job(&task.job).and_then(|job| job.placed.get(&task.index));
         if placed.is_some_and(|p| p.committed) {
@@ -243,8 +256,8 @@
         }
     }
 
-    /// Asks for a task's end, with time to save if that is worth it and takes no
-    /// longer than `time_left`.
+    /// Requests the stop of a task. The task gets time to save a checkpoint if that is
+    /// worthwhile and takes no longer than `time_left`.
     pub(super) fn request_task_stop(&mut self, task: &TaskId, why: Stop, time_left: Duration, now: Instant) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
         let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop.is_none()) else { return };
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -1,4 +1,5 @@
-//! The cloud: machine types, lists, rentals, releases, and silent machines.
+//! Background tasks that talk to the cloud (machine types, machine lists, rentals and releases)
+//! and check on silent machines.
 
 use crate::core::{GroupUpdate, MAX_CONSULTED_MACHINES};
 use crate::node::{Node, now};
@@ -12,15 +13,17 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
+/// Maximum time between two runs of the fleet step.
 const FLEET_STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause before a failed request is repeated, and between runs of the cloud loop.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 const CATALOG_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 const LIST_REFRESH_INTERVAL: Duration = Duration::from_secs(4);
-/// How long a node that was cut from its workers stays out of elections.
+/// How long a controller that was cut off from its workers stays out of leader elections.
 const ELECTION_ABSTENTION: Duration = Duration::from_secs(15);
 
 impl Node {
-    /// Works off the difference between the wanted fleet and the known one.
+    /// Runs the fleet step at regular intervals and when woken, and carries out its actions.
     pub(crate) async fn fleet_loop(self: Arc<Self>) {
         loop {
             let _ = timeout(FLEET_STEP_INTERVAL, self.wake_fleet.notified()).await;
@@ -48,7 +51,7 @@
                     node.consulting.store(false, Ordering::Relaxed);
                 });
             }
-            // Several reasons to look again make one look.
+            // Wake-ups that arrive in quick succession cause only one step.
             sleep(Duration::from_millis(100)).await;
         }
     }
@@ -57,8 +60,9 @@
         self.with(|core| core.role.leadership.is_some())
     }
 
-    /// Repeats a request under its name until its outcome is certain. If this
-    /// process loses its role before, what was rented turns up in the list.
+    /// Repeats a rent request under the same name until its outcome is certain. If this
+    /// process loses the leadership before that, the next leader finds the rented machines in
+    /// the cloud's list.
     async fn rent(&self, request: RentRequest) {
         while self.leads() {
             match self.cloud.rent(&request).await {
@@ -69,7 +73,7 @@
                     return self.with(|core| core.rent_completed(&request, &[], now()));
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
-                    tracing::debug!(error, "rental not answered");
+                    tracing::debug!(error, "rent request failed; retrying");
                     sleep(RETRY_DELAY).await;
                 }
             }
@@ -77,13 +81,15 @@
         self.with(|core| core.rent_abandoned(&request));
     }
 
+    /// Repeats a release request until the cloud has confirmed it or this process no longer
+    /// leads.
     async fn release(&self, ids: Vec<Arc<str>>) {
         let names: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
         while self.leads() {
             match self.cloud.release(&names).await {
                 Outcome::Done(()) => return self.with(|core| core.release_completed(&ids, now())),
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
-                    tracing::debug!(error, "release not answered");
+                    tracing::debug!(error, "release request failed; retrying");
                     sleep(RETRY_DELAY).await;
                 }
             }
@@ -91,6 +97,8 @@
         self.with(|core| core.release_failed(&ids));
     }
 
+    /// Commits the update of a group record. After a conflict the failed keys are read again,
+    /// and a later fleet step plans the update anew.
     async fn commit_group_update(&self, group: GroupUpdate) {
         match self.committer.commit(group.update.clone()).await {
             UpdateResult::Committed(revision) => {
@@ -106,6 +114,7 @@
         self.with(|core| core.group_written(&group.name));
     }
 
+    /// Asks a worker for its status and applies the answer like a heartbeat.
     async fn probe(&self, id: Arc<str>, address: String) {
         let report = self.ask_status(&address).await;
         self.with(|core| match report {
@@ -117,13 +126,13 @@
         });
     }
 
-    /// Asks the other nodes about silent machines. If they reach what this node
-    /// does not, this node is cut off: it gives up its role and releases
-    /// nothing. Only what nobody reaches is given up.
+    /// Asks the peers whether they reach the silent machines. If they reach machines that
+    /// this node does not, this node is cut off: it steps down and releases nothing. Only
+    /// machines that no peer reaches are given up.
     ///
-    /// A few are asked about at a time, others the next time; whether this node
-    /// is cut off is told by them and by how many are quiet at all, long before
-    /// each has been probed.
+    /// Each call asks about at most [`MAX_CONSULTED_MACHINES`] machines, the next call about
+    /// others. That sample and the number of silent machines show whether this node is cut
+    /// off, long before each silent machine has been probed.
     async fn consult_peers(&self, mut silent: Vec<(Arc<str>, String)>, silent_count: usize) {
         let turn = self.consulted.fetch_add(MAX_CONSULTED_MACHINES, Ordering::Relaxed);
         let begin = turn % silent.len().max(1);
@@ -133,7 +142,7 @@
             silent.iter().map(|(_, a)| a.clone()).filter(|a| !a.is_empty()).collect();
         let mut reached = std::collections::HashSet::new();
         let mut answers = 0;
-        // All at once: every moment counts for what ran there.
+        // All peers are asked at once: the tasks of the silent machines wait for the answer.
         let mut probes = JoinSet::new();
         for peer in &self.settings.peers {
             let (peers, peer, addresses) = (self.peers.clone(), peer.clone(), addresses.clone());
@@ -151,7 +160,7 @@
                 all,
                 asked = silent.len(),
                 reached = reached.len(),
-                "others reach the workers that this node does not"
+                "peers reach the workers that this node cannot reach; stepping down"
             );
             let lease = self.with(|core| {
                 core.step_down("cut off from the workers", now());
@@ -164,25 +173,26 @@
             return;
         }
         if answers == 0 && mostly_silent {
-            tracing::info!(quiet = silent_count, all, "most machines are silent and nobody can be asked");
+            tracing::info!(quiet = silent_count, all, "most machines are silent and no peer has answered");
             sleep(RETRY_DELAY * 2).await;
             return;
         }
         let given_up: Vec<Arc<str>> =
             silent.into_iter().filter(|(_, a)| !reached.contains(a)).map(|(id, _)| id).collect();
         if !given_up.is_empty() {
-            tracing::info!(machines = ?given_up, "silent machines are given up");
+            tracing::info!(machines = ?given_up, "giving up silent machines that no peer reaches");
             self.with(|core| core.mark_lost(&given_up));
         }
     }
 
-    /// Keeps the machine types and the list of machines up to date.
+    /// Keeps the catalog of machine types and the cloud's list of machines up to date.
     pub(crate) async fn cloud_loop(self: Arc<Self>) {
         let mut catalog_at = now();
         let mut list_at = now();
         loop {
             let known = self.with(|core| core.catalog.is_some());
-            // Others only need the types, and have them from the records.
+            // Controllers that do not lead need only the machine types, and read those from
+            // the records. They ask the cloud only while they know none.
             if (self.leads() || !known) && now() >= catalog_at {
                 let ok = self.refresh_catalog().await;
                 catalog_at = now() + if ok { CATALOG_REFRESH_INTERVAL } else { RETRY_DELAY * 2 };
@@ -197,12 +207,15 @@
         }
     }
 
+    /// Reads the catalog from the cloud and stores it in the records. Returns `false` if that
+    /// has to be repeated soon.
     async fn refresh_catalog(&self) -> bool {
         let catalog: Catalog = match self.cloud.catalog().await {
             Outcome::Done(catalog) if !catalog.machine_types.is_empty() => catalog,
             _ => return false,
         };
-        // Kept so that a restart during an outage of the cloud still knows.
+        // The catalog is stored so that a controller that restarts during a cloud outage
+        // still has it.
         let updates = self.with(|core| {
             let behind = core.take_catalog(catalog.clone());
             if behind { core.catalog_updates(&catalog) } else { Vec::new() }
