--- a/crates/dapplecroft-controller/examples/fleet_cost.rs
+++ b/crates/dapplecroft-controller/examples/fleet_cost.rs
@@ -51,7 +51,7 @@
     let before = resident_bytes();
     let begun = Instant::now();
     let mut fresh = Core::new(settings, Options::default(), "fresh".into());
-    fresh.load(items, revision, begun);
+    fresh.load_snapshot(items, revision, begun);
     println!("a fresh controller reads them in {:?}", begun.elapsed());
     println!("and holds them in about {} KiB", resident_bytes().saturating_sub(before) / KIB);
 
@@ -60,7 +60,7 @@
         let now = tokio::time::Instant::now().into_std();
         let (shards, open) = node.with(|core| {
             let summary = core.summary(now);
-            (summary.shards, summary.open_machines)
+            (summary.shards, summary.schedulable_machines)
         });
         let begun = Instant::now();
         node.with(|core| core.fleet_step(now));
--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -142,7 +142,7 @@
                     (f.machine.as_str().into(), resources)
                 })
                 .collect();
-            self.hints.insert(segment_id, Hint { version: current, at: now, freed });
+            self.capacity_hints.insert(segment_id, Hint { version: current, at: now, freed });
             self.wakeups.place = true;
         }
     }
@@ -154,7 +154,7 @@
             let current = self.segments.get(id).map_or(0, |l| l.version);
             now.saturating_duration_since(hint.at) < HINT_LASTS && hint.version == current
         };
-        self.hints.range(of).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
+        self.capacity_hints.range(of).filter(|(id, hint)| fresh(id, hint)).map(|(_, hint)| hint).collect()
     }
 
     /// Whether a shard has a holder that is up.
@@ -165,7 +165,7 @@
     /// Sets room aside for what other holders have been given and have not
     /// placed yet.
     pub(super) fn reserve_backlog(&self, round: &mut Round, now: Instant) {
-        for id in &self.waiting {
+        for id in &self.waiting_jobs {
             let Some(job) = self.open_job(id) else { continue };
             for (shard, waiting) in &job.waiting {
                 let count = i64::from(waiting.len());
@@ -322,8 +322,8 @@
             }
             return false;
         }
-        self.rederive(id);
-        self.mark_job(id);
+        self.refresh_job(id);
+        self.queue_job_commit(id);
         let Some(job) = self.open_job(id) else { return false };
         if !self.is_holder(shard) {
             self.reserve(id, job, shard, i64::from(count), round, now);
@@ -461,8 +461,8 @@
                 let own = job.revoking.entry(shard).or_default();
                 *own = own.union(&ranges);
             }
-            self.rederive(id);
-            self.mark_job(id);
+            self.refresh_job(id);
+            self.queue_job_commit(id);
         }
     }
 }
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::ShardLease;
-use crate::core::testing::{core, job_record, proposed};
+use crate::core::testing::{core, job_record, proposed_placement};
 use crate::jobs::Job;
 use crate::records::{SegmentRecord, Span};
 use dapplecroft_wire::workers::ExitReason;
@@ -11,7 +11,7 @@
 // kept the task from being allocated elsewhere, and on a quiet shard nothing ever came
 // to it again.
 #[test]
-fn what_is_taken_back_while_its_part_is_on_its_way_can_be_allocated_elsewhere() {
+fn task_revoked_during_a_segment_commit_can_be_allocated_elsewhere() {
     for end in [CommitOutcome::NotCommitted, CommitOutcome::Committed(13)] {
         let now = Instant::now();
         let mut core = core();
@@ -19,19 +19,25 @@
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 1]]}))), 5, now);
         core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
         let segment = SegmentId::new(0, 0);
-        let placed = proposed("i-1", segment, 1, now);
+        let placed = proposed_placement("i-1", segment, 1, now);
         let task = TaskId { job: "run-1".into(), index: 1 };
         let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
         open.placed.insert(1, placed.clone());
-        core.book(&task, &placed.machine, 0, now);
+        core.add_task_to_machine(&task, &placed.machine, 0, now);
         let target = CommitTarget::Segment(segment);
-        core.commits.begin(target.clone(), 7);
+        core.commit_queue.mark_in_flight(target.clone(), 7);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 0]]}))), 12, now);
         assert!(core.open_job("run-1").unwrap().placed.contains_key(&1), "it may be in the unit");
         let update = AtomicUpdate::default();
-        let update =
-            PendingCommit { target, update, urgent: false, number: 7, proposals: Vec::new(), absorbed: None };
-        core.commit_ended(&update, end, now);
+        let commit = PendingCommit {
+            target,
+            update,
+            urgent: false,
+            sequence_number: 7,
+            proposals: Vec::new(),
+            merged_segment: None,
+        };
+        core.finish_commit(&commit, end, now);
         let job = core.open_job("run-1").unwrap();
         assert!(job.placed.is_empty() && job.unallocated.contains(1), "{end:?}");
         assert!(core.machines["i-1"].tasks.is_empty());
@@ -42,7 +48,7 @@
 // it, without an answer and carried out late, would have found it as it was before,
 // not there, and brought back tasks that had ended or moved meanwhile.
 #[test]
-fn a_part_that_was_taken_in_never_looks_as_if_it_had_not_begun() {
+fn merged_segment_record_is_emptied_and_never_deleted() {
     let now = Instant::now();
     let mut core = core();
     core.apply("dc/format", Some(json!({"layout": 2})), 1, now);
@@ -68,11 +74,11 @@
     core.learn_parts(0);
     // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
-    let update = core.next_commit(true, false, now).unwrap();
-    assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), Some(other)));
-    let left = update.update.changes.iter().find(|c| c.key() == other.key()).unwrap();
+    let commit = core.next_commit(true, false, now).unwrap();
+    assert_eq!((&commit.target, commit.merged_segment), (&CommitTarget::Segment(one), Some(other)));
+    let left = commit.update.changes.iter().find(|c| c.key() == other.key()).unwrap();
     assert!(matches!(left, Change::Set { .. }), "{left:?}");
-    core.commit_ended(&update, CommitOutcome::Committed(9), now);
+    core.finish_commit(&commit, CommitOutcome::Committed(9), now);
     assert_eq!(core.version(&other.key()), 9);
     assert_eq!(core.open_job("run-2").unwrap().placed[&0].segment, one);
     assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
@@ -80,15 +86,15 @@
     // the version that it has.
     assert!(!core.segment_numbers(0).contains(&1));
     core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
-    let update = core.next_commit(true, false, now).unwrap();
-    assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), None));
-    core.commit_ended(&update, CommitOutcome::Committed(10), now);
+    let commit = core.next_commit(true, false, now).unwrap();
+    assert_eq!((&commit.target, commit.merged_segment), (&CommitTarget::Segment(one), None));
+    core.finish_commit(&commit, CommitOutcome::Committed(10), now);
     core.machines.get_mut("i-2").unwrap().segment = Some(1);
     core.apply(&one.key(), Some(json!({})), 11, now);
     let Some(Job::Open(open)) = core.jobs.get_mut("run-2") else { panic!("not open") };
-    let placed = proposed("i-2", other, 2, now);
+    let placed = proposed_placement("i-2", other, 2, now);
     open.placed.insert(1, placed);
-    core.book(&TaskId { job: "run-2".into(), index: 1 }, &"i-2".into(), 0, now);
+    core.add_task_to_machine(&TaskId { job: "run-2".into(), index: 1 }, &"i-2".into(), 0, now);
     let (update, proposals) = core.segment_update(other).unwrap();
     assert_eq!(proposals.len(), 1);
     assert!(
@@ -121,7 +127,7 @@
     // Another shard is leased, so this process goes on committing.
     core.role.leased_shards.insert(1, ShardLease { epoch: 1, version: 1 });
     let next = NextTarget { target: CommitTarget::Segment(one), urgent: false };
-    assert!(core.pending_commit(next, now).is_none());
-    assert_eq!(core.commits.backlog(), 0, "nothing is queued again");
+    assert!(core.build_commit(next, now).is_none());
+    assert_eq!(core.commit_queue.backlog(), 0, "nothing is queued again");
     assert!(!core.absorbs(other));
 }
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -13,28 +13,28 @@
 
 /// While changes are scarce, a segment without urgent work has its turn at most so
 /// often.
-const SEGMENT_TURN: Duration = Duration::from_millis(1500);
+const SEGMENT_COMMIT_INTERVAL: Duration = Duration::from_millis(1500);
 /// Each allocation outdates what holders are about to commit of the same job, so
 /// while changes are scarce a job has its turn less often than a segment.
-const JOB_TURN: Duration = Duration::from_secs(3);
+const JOB_COMMIT_INTERVAL: Duration = Duration::from_secs(3);
 /// The same for a job of urgent work.
-const URGENT_JOB_TURN: Duration = Duration::from_millis(700);
+const URGENT_JOB_COMMIT_INTERVAL: Duration = Duration::from_millis(700);
 /// What is waiting in each segment is counted anew so often.
-const PRIORITIES_VALID_FOR: Duration = Duration::from_millis(150);
+const SEGMENT_PRIORITIES_TTL: Duration = Duration::from_millis(150);
 /// How much more urgent work counts among what waits. Work that is not urgent
 /// counts less, but a large allocation of it still goes before a few urgent
 /// tasks: they would keep it back for ever.
-const URGENT_FACTOR: f64 = 8.0;
+const URGENT_SCORE_FACTOR: f64 = 8.0;
 /// How much more replicas of services count than other tasks.
-const REPLICA_FACTOR: f64 = 1000.0;
+const SERVICE_SCORE_FACTOR: f64 = 1000.0;
 /// Bounds on how long a job counts as having waited, in seconds.
 const JOB_WAIT_RANGE_S: (f64, f64) = (0.2, 10.0);
 /// What was never sent counts as sent so many seconds ago.
-const NEVER_SENT_S: f64 = 10.0;
+const NEVER_SENT_AGE_S: f64 = 10.0;
 /// Least time that a proposed task counts as having waited, in seconds.
-const LEAST_TASK_WAIT_S: f64 = 0.2;
+const MIN_TASK_WAIT_S: f64 = 0.2;
 /// Score of a subject whose turn has not come.
-const NOT_YET: f64 = -1.0;
+const SCORE_NOT_DUE: f64 = -1.0;
 
 /// How much each segment has waiting to be committed.
 #[derive(Debug, Default)]
@@ -45,10 +45,10 @@
 
 impl SegmentPriorities {
     fn is_outdated(&self, now: Instant) -> bool {
-        self.computed_at.is_none_or(|at| now.saturating_duration_since(at) >= PRIORITIES_VALID_FOR)
+        self.computed_at.is_none_or(|at| now.saturating_duration_since(at) >= SEGMENT_PRIORITIES_TTL)
     }
 
-    fn of(&self, segment: &SegmentId) -> f64 {
+    fn get(&self, segment: &SegmentId) -> f64 {
         self.by_segment.get(segment).copied().unwrap_or(0.0)
     }
 }
@@ -56,13 +56,13 @@
 impl Core {
     /// Takes the next subject to commit while changes are scarce.
     pub(super) fn take_highest_priority(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
-        if self.commits.priorities.is_outdated(now) {
+        if self.commit_queue.priorities.is_outdated(now) {
             let by_segment = self.compute_segment_priorities(now);
-            self.commits.priorities = SegmentPriorities { computed_at: Some(now), by_segment };
+            self.commit_queue.priorities = SegmentPriorities { computed_at: Some(now), by_segment };
         }
         let jobs = &self.jobs;
         let score = |queue: &CommitQueue, target: &CommitTarget, urgent: bool| {
-            let factor = if urgent { URGENT_FACTOR } else { 1.0 };
+            let factor = if urgent { URGENT_SCORE_FACTOR } else { 1.0 };
             let job = match target {
                 CommitTarget::Job(id) => match jobs.get(id) {
                     Some(Job::Open(job)) => Some(&**job),
@@ -72,7 +72,7 @@
             };
             priority(queue, target, job, urgent, now) * factor
         };
-        self.commits.next_scarce(only_urgent, score, now)
+        self.commit_queue.next_by_score(only_urgent, score, now)
     }
 
     /// Processors that are proposed in each segment, by how long they have waited.
@@ -84,7 +84,7 @@
                 let Some(placed) = job.placed.get(&task.index).filter(|p| !p.committed) else { continue };
                 let waited = now.saturating_duration_since(placed.since).as_secs_f64();
                 *priorities.entry(placed.segment).or_default() +=
-                    task_priority(job) * waited.max(LEAST_TASK_WAIT_S);
+                    task_priority(job) * waited.max(MIN_TASK_WAIT_S);
             }
         }
         priorities
@@ -101,27 +101,27 @@
     now: Instant,
 ) -> f64 {
     let sent = queue.sent_at(target).map(|at| now.saturating_duration_since(at).as_secs_f64());
-    let since_sent = sent.unwrap_or(NEVER_SENT_S);
-    if !urgent && since_sent < turn(target, job).as_secs_f64() {
-        return NOT_YET;
+    let since_sent = sent.unwrap_or(NEVER_SENT_AGE_S);
+    if !urgent && since_sent < min_commit_interval(target, job).as_secs_f64() {
+        return SCORE_NOT_DUE;
     }
     match target {
-        CommitTarget::Segment(segment) => queue.priorities.of(segment),
+        CommitTarget::Segment(segment) => queue.priorities.get(segment),
         CommitTarget::Job(_) => {
-            let (least, most) = JOB_WAIT_RANGE_S;
-            job.map_or(0.0, |job| job_priority(job) * since_sent.clamp(least, most))
+            let (min_wait, max_wait) = JOB_WAIT_RANGE_S;
+            job.map_or(0.0, |job| job_priority(job) * since_sent.clamp(min_wait, max_wait))
         }
         CommitTarget::ObsoleteKey(_) => 0.0,
     }
 }
 
 /// How long a subject that is not urgent waits for its next turn.
-fn turn(target: &CommitTarget, job: Option<&OpenJob>) -> Duration {
+fn min_commit_interval(target: &CommitTarget, job: Option<&OpenJob>) -> Duration {
     match target {
-        CommitTarget::Segment(_) | CommitTarget::ObsoleteKey(_) => SEGMENT_TURN,
+        CommitTarget::Segment(_) | CommitTarget::ObsoleteKey(_) => SEGMENT_COMMIT_INTERVAL,
         CommitTarget::Job(_) => match job {
-            Some(job) if job.spec.priority < Priority::Normal => URGENT_JOB_TURN,
-            _ => JOB_TURN,
+            Some(job) if job.spec.priority < Priority::Normal => URGENT_JOB_COMMIT_INTERVAL,
+            _ => JOB_COMMIT_INTERVAL,
         },
     }
 }
@@ -130,12 +130,12 @@
 /// before all else.
 fn task_priority(job: &OpenJob) -> f64 {
     let cpus = job.requirements.resources.cpus.max(1) as f64;
-    if job.is_service() { cpus * REPLICA_FACTOR } else { cpus }
+    if job.is_service() { cpus * SERVICE_SCORE_FACTOR } else { cpus }
 }
 
 fn job_priority(job: &OpenJob) -> f64 {
     let allocating: u32 = job.allocating.values().map(Ranges::len).sum();
     // Its end frees quota, and somebody waits for it.
-    let over = job.done.len() == job.record.tasks;
-    task_priority(job) * f64::from(allocating + if over { job.record.tasks } else { 0 })
+    let finished = job.done.len() == job.record.tasks;
+    task_priority(job) * f64::from(allocating + if finished { job.record.tasks } else { 0 })
 }
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -9,10 +9,10 @@
 
 /// Ends of tasks that leave their job unfinished wait this long for others to
 /// share a change with, while changes are scarce.
-const DEFERRED_ENDS_DELAY: Duration = Duration::from_secs(3);
+const DEFERRED_EXITS_DELAY: Duration = Duration::from_secs(3);
 /// They wait longer for allocations and placements, but not for ever: a worker
 /// lists its tasks until their ends are committed.
-const DEFERRED_ENDS_MAX_DELAY: Duration = Duration::from_secs(8);
+const DEFERRED_EXITS_MAX_DELAY: Duration = Duration::from_secs(8);
 
 /// Subjects without duplicates, first in, first out.
 #[derive(Debug, Default)]
@@ -34,18 +34,18 @@
 
     /// The position and score of the subject with the highest score, of equal
     /// ones the first; none whose score is below 0.
-    fn best(&self, score: impl Fn(&CommitTarget) -> f64) -> Option<(usize, f64)> {
+    fn highest_score(&self, score: impl Fn(&CommitTarget) -> f64) -> Option<(usize, f64)> {
         let mut best: Option<(usize, f64)> = None;
         for (position, target) in self.order.iter().enumerate() {
-            let own = score(target);
-            if own >= 0.0 && best.is_none_or(|(_, highest)| own > highest) {
-                best = Some((position, own));
+            let value = score(target);
+            if value >= 0.0 && best.is_none_or(|(_, highest)| value > highest) {
+                best = Some((position, value));
             }
         }
         best
     }
 
-    fn take(&mut self, position: usize) -> Option<CommitTarget> {
+    fn remove_at(&mut self, position: usize) -> Option<CommitTarget> {
         let target = self.order.remove(position)?;
         self.members.remove(&target);
         Some(target)
@@ -82,31 +82,31 @@
 #[derive(Debug, Default)]
 pub(super) struct CommitQueue {
     /// What ends jobs.
-    job_ends: TargetQueue,
+    job_completions: TargetQueue,
     /// Jobs with allocations, and segments with placements, of urgent work.
     urgent: TargetQueue,
     /// Those of other work.
     normal: TargetQueue,
     /// Segments with nothing but ends of tasks to commit, since when.
-    deferred_ends: VecDeque<(Instant, SegmentId)>,
+    deferred_exits: VecDeque<(Instant, SegmentId)>,
     /// When something of a subject was last sent to be committed.
     sent_at: HashMap<CommitTarget, Instant>,
     /// Units in flight, by number.
     in_flight: HashMap<CommitTarget, u64>,
     /// Subjects that have more to commit once their unit has ended.
-    recheck: HashSet<CommitTarget>,
+    requeue: HashSet<CommitTarget>,
     /// Subjects that wait for the end of another one's unit.
     blocked: HashMap<CommitTarget, HashSet<CommitTarget>>,
     /// Number of the last unit.
-    last_commit: u64,
+    last_sequence_number: u64,
     /// How much each segment has waiting to be committed.
     pub priorities: SegmentPriorities,
 }
 
 impl CommitQueue {
     /// Queues what ends a job: it goes before all else.
-    pub fn push_job_end(&mut self, target: CommitTarget) {
-        self.job_ends.push(target);
+    pub fn push_job_completion(&mut self, target: CommitTarget) {
+        self.job_completions.push(target);
     }
 
     /// Queues allocations or placements.
@@ -115,21 +115,21 @@
     }
 
     /// Queues ends of tasks, which wait for others to share a change with.
-    pub fn defer_end(&mut self, segment: SegmentId, now: Instant) {
-        if !self.deferred_ends.iter().any(|(_, s)| *s == segment) {
-            self.deferred_ends.push_back((now, segment));
+    pub fn defer_exit(&mut self, segment: SegmentId, now: Instant) {
+        if !self.deferred_exits.iter().any(|(_, s)| *s == segment) {
+            self.deferred_exits.push_back((now, segment));
         }
     }
 
     /// Deferred ends of one segment are recorded in another from now on.
-    pub fn move_deferred_ends(&mut self, from: SegmentId, to: SegmentId, now: Instant) {
-        self.deferred_ends.retain(|(_, segment)| *segment != from);
-        self.deferred_ends.push_back((now, to));
+    pub fn move_deferred_exits(&mut self, from: SegmentId, to: SegmentId, now: Instant) {
+        self.deferred_exits.retain(|(_, segment)| *segment != from);
+        self.deferred_exits.push_back((now, to));
     }
 
     /// Drops the deferred ends of a shard that is no longer leased.
-    pub fn drop_deferred_ends_of(&mut self, shard: u32) {
-        self.deferred_ends.retain(|(_, segment)| segment.shard != shard);
+    pub fn drop_deferred_exits(&mut self, shard: u32) {
+        self.deferred_exits.retain(|(_, segment)| segment.shard != shard);
     }
 
     /// How many subjects have allocations or placements that wait.
@@ -138,8 +138,8 @@
     }
 
     /// Whether anything waits that is not urgent.
-    pub fn has_deferrable(&self) -> bool {
-        !self.deferred_ends.is_empty() || self.normal.len() > 0
+    pub fn has_non_urgent(&self) -> bool {
+        !self.deferred_exits.is_empty() || self.normal.len() > 0
     }
 
     /// When something of a subject was last sent.
@@ -153,39 +153,39 @@
     }
 
     /// Takes the next subject while changes are plenty: first come, first served.
-    pub fn next_relaxed(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
-        if let Some(target) = self.job_ends.pop().or_else(|| self.urgent.pop()) {
+    pub fn next_in_order(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
+        if let Some(target) = self.job_completions.pop().or_else(|| self.urgent.pop()) {
             return Some(NextTarget::urgent(target));
         }
         if only_urgent {
             return None;
         }
         let target = self
-            .take_deferred_end(DEFERRED_ENDS_MAX_DELAY, now)
+            .take_deferred_exit(DEFERRED_EXITS_MAX_DELAY, now)
             .or_else(|| self.normal.pop())
-            .or_else(|| self.take_deferred_end(Duration::ZERO, now));
+            .or_else(|| self.take_deferred_exit(Duration::ZERO, now));
         target.map(NextTarget::normal)
     }
 
     /// Takes the next subject while changes are scarce: the one with the highest
     /// score. The score is told whether the subject is queued as urgent.
-    pub fn next_scarce(
+    pub fn next_by_score(
         &mut self,
         only_urgent: bool,
         score: impl Fn(&CommitQueue, &CommitTarget, bool) -> f64,
         now: Instant,
     ) -> Option<NextTarget> {
-        if let Some(target) = self.job_ends.pop() {
+        if let Some(target) = self.job_completions.pop() {
             return Some(NextTarget::urgent(target));
         }
-        if !only_urgent && let Some(target) = self.take_deferred_end(DEFERRED_ENDS_MAX_DELAY, now) {
+        if !only_urgent && let Some(target) = self.take_deferred_exit(DEFERRED_EXITS_MAX_DELAY, now) {
             return Some(NextTarget::normal(target));
         }
         let highest = self.take_highest(only_urgent, score);
         if highest.is_some() || only_urgent {
             return highest;
         }
-        self.take_deferred_end(DEFERRED_ENDS_DELAY, now).map(NextTarget::normal)
+        self.take_deferred_exit(DEFERRED_EXITS_DELAY, now).map(NextTarget::normal)
     }
 
     fn take_highest(
@@ -193,23 +193,23 @@
         only_urgent: bool,
         score: impl Fn(&CommitQueue, &CommitTarget, bool) -> f64,
     ) -> Option<NextTarget> {
-        let urgent = self.urgent.best(|target| score(self, target, true));
-        let normal = self.normal.best(|target| score(self, target, false)).filter(|_| !only_urgent);
+        let urgent = self.urgent.highest_score(|target| score(self, target, true));
+        let normal = self.normal.highest_score(|target| score(self, target, false)).filter(|_| !only_urgent);
         match (urgent, normal) {
             (Some((position, highest)), other) if other.is_none_or(|(_, score)| score <= highest) => {
-                self.urgent.take(position).map(NextTarget::urgent)
+                self.urgent.remove_at(position).map(NextTarget::urgent)
             }
-            (_, Some((position, _))) => self.normal.take(position).map(NextTarget::normal),
+            (_, Some((position, _))) => self.normal.remove_at(position).map(NextTarget::normal),
             (_, None) => None,
         }
     }
 
-    fn take_deferred_end(&mut self, least: Duration, now: Instant) -> Option<CommitTarget> {
-        let (since, segment) = *self.deferred_ends.front()?;
-        if now.saturating_duration_since(since) < least {
+    fn take_deferred_exit(&mut self, min_delay: Duration, now: Instant) -> Option<CommitTarget> {
+        let (since, segment) = *self.deferred_exits.front()?;
+        if now.saturating_duration_since(since) < min_delay {
             return None;
         }
-        self.deferred_ends.pop_front();
+        self.deferred_exits.pop_front();
         Some(CommitTarget::Segment(segment))
     }
 
@@ -226,41 +226,41 @@
     }
 
     /// A number for a new unit.
-    pub fn next_number(&mut self) -> u64 {
-        self.last_commit += 1;
-        self.last_commit
+    pub fn next_sequence_number(&mut self) -> u64 {
+        self.last_sequence_number += 1;
+        self.last_sequence_number
     }
 
     /// Notes that a unit is in flight that changes a subject.
-    pub fn begin(&mut self, target: CommitTarget, number: u64) {
-        self.in_flight.insert(target, number);
+    pub fn mark_in_flight(&mut self, target: CommitTarget, sequence_number: u64) {
+        self.in_flight.insert(target, sequence_number);
     }
 
     /// Notes when a subject's own unit was sent.
-    pub fn note_sent(&mut self, target: CommitTarget, now: Instant) {
+    pub fn record_sent(&mut self, target: CommitTarget, now: Instant) {
         self.sent_at.insert(target, now);
     }
 
     /// Notes the end of a unit, unless a later one of the subject is in flight.
-    pub fn end(&mut self, target: &CommitTarget, number: u64) {
-        if self.in_flight.get(target) == Some(&number) {
+    pub fn clear_in_flight(&mut self, target: &CommitTarget, sequence_number: u64) {
+        if self.in_flight.get(target) == Some(&sequence_number) {
             self.in_flight.remove(target);
         }
     }
 
     /// Notes that a subject that another unit changed too is free again.
-    pub fn end_absorbed(&mut self, target: &CommitTarget) {
+    pub fn clear_merged_in_flight(&mut self, target: &CommitTarget) {
         self.in_flight.remove(target);
     }
 
     /// Looks at a subject again once its unit in flight has ended.
-    pub fn recheck_later(&mut self, target: CommitTarget) {
-        self.recheck.insert(target);
+    pub fn requeue_after_commit(&mut self, target: CommitTarget) {
+        self.requeue.insert(target);
     }
 
     /// Whether a subject was to be looked at again; it no longer is.
-    pub fn take_recheck(&mut self, target: &CommitTarget) -> bool {
-        self.recheck.remove(target)
+    pub fn take_requeue(&mut self, target: &CommitTarget) -> bool {
+        self.requeue.remove(target)
     }
 
     /// Holds a subject back until another one's unit has ended.
@@ -276,7 +276,7 @@
             self.urgent.push(target);
             released = true;
         }
-        if self.recheck.remove(blocker) {
+        if self.requeue.remove(blocker) {
             self.urgent.push(blocker.clone());
             released = true;
         }
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -85,7 +85,7 @@
             Key::AdmissionEpoch(host) => self.apply_epoch(key, host, value, version),
             Key::Grants(page) => self.apply_grants(key, page, value, version),
             Key::Reservations => {
-                let record = self.read::<ReservationsRecord>(key, value);
+                let record = self.parse_record::<ReservationsRecord>(key, value);
                 self.with_credit(|credit| credit.ledger.apply_reservations(record, version));
             }
             _ => {}
@@ -93,7 +93,7 @@
     }
 
     fn apply_policy(&mut self, key: &str, value: Option<Value>, version: u64) {
-        let Some(policy) = self.read::<PolicyRecord>(key, value) else { return };
+        let Some(policy) = self.parse_record::<PolicyRecord>(key, value) else { return };
         // Known also where admission is off.
         self.admission_in_force = policy.in_force;
         self.wakeups.role = true;
@@ -101,7 +101,7 @@
     }
 
     fn apply_epoch(&mut self, key: &str, host: &str, value: Option<Value>, version: u64) {
-        let Some(record) = self.read::<EpochRecord>(key, value) else { return };
+        let Some(record) = self.parse_record::<EpochRecord>(key, value) else { return };
         let own = host == self.settings.host_name;
         self.with_credit(|credit| {
             if own {
@@ -113,7 +113,7 @@
     }
 
     fn apply_grants(&mut self, key: &str, page: u32, value: Option<Value>, version: u64) {
-        let record = self.read::<GrantPage>(key, value);
+        let record = self.parse_record::<GrantPage>(key, value);
         self.with_credit(|credit| match record {
             Some(record) => credit.ledger.apply_page(page, Some(record), version),
             None => credit.ledger.note_unreadable_page(version),
--- a/crates/dapplecroft-controller/src/core/credit/status.rs
+++ b/crates/dapplecroft-controller/src/core/credit/status.rs
@@ -14,7 +14,7 @@
     ) -> AdmissionReply {
         let leads = self.grants_credit(now);
         let in_force = self.admission_in_force;
-        let unreadable = self.unreadable;
+        let unreadable = self.unreadable_records;
         let Some(credit) = &self.credit else { return AdmissionReply::default() };
         let ledger = &credit.ledger;
         let policy = credit.policy();
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -28,7 +28,7 @@
 impl Core {
     /// The next step of repacking: a change of a drain's record, if any.
     pub fn drain_step(&mut self, now: Instant) -> Option<AtomicUpdate> {
-        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.writing {
+        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.drain_state.writing {
             return None;
         }
         let begun = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
@@ -36,27 +36,28 @@
             let (record, version) = (record.clone(), *version);
             return self.continue_drain(shard, &record, version, now);
         }
-        if self.draining.looked.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL) {
+        if self.drain_state.looked.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL)
+        {
             return None;
         }
-        self.draining.looked = Some(now);
+        self.drain_state.looked = Some(now);
         self.note_shares(now);
         let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_every;
-        if self.draining.last.is_some_and(recent) {
+        if self.drain_state.last.is_some_and(recent) {
             return None;
         }
         // One shard at a look, in turn, beginning with the first.
-        let turn = self.draining.turn;
+        let turn = self.drain_state.turn;
         let held = &self.role.leased_shards;
         let shard = held.range(turn..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
-        self.draining.turn = shard + 1;
+        self.drain_state.turn = shard + 1;
         let record = self.new_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
         if stored_size(&value) > self.limits().value {
             // So many tasks are not moved at a time.
             return None;
         }
-        self.draining.last = Some(now);
+        self.drain_state.last = Some(now);
         tracing::info!(
             machine = record.machine,
             for_job = record.for_job,
@@ -65,13 +66,13 @@
         );
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version: 0 }];
-        self.draining.writing = true;
+        self.drain_state.writing = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Notes the end of a write of a drain's record.
     pub fn drain_written(&mut self) {
-        self.draining.writing = false;
+        self.drain_state.writing = false;
     }
 
     fn shard_condition(&self, shard: u32) -> Option<Condition> {
@@ -90,21 +91,21 @@
             .map(|m| m.booked.share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
-        let shares = &mut self.draining.shares;
+        let shares = &mut self.drain_state.shares;
         shares.retain(|(at, _)| now.saturating_duration_since(*at) <= window);
         shares.push_back((now, highest));
     }
 
     fn cap(&self, now: Instant) -> f64 {
         let whole = self
-            .draining
+            .drain_state
             .shares
             .front()
             .is_none_or(|(at, _)| now.saturating_duration_since(*at) < self.options.drain_window / 2);
         if whole {
             return 1.0;
         }
-        self.draining.shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
+        self.drain_state.shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
     }
 
     /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
@@ -119,7 +120,7 @@
                 && team.is_some_and(|t| t.allocates(&job.requirements.resources));
             ready && (job.waiting_in(shard) > 0 || may_be_allocated)
         };
-        let waiting = self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?)));
+        let waiting = self.waiting_jobs.iter().filter_map(|id| Some((id, self.open_job(id)?)));
         waiting
             .filter(|(_, job)| may_start(job))
             .filter(|(id, job)| self.candidates(id, job, shard, &Default::default(), now).is_empty())
@@ -175,10 +176,10 @@
         version: u64,
         now: Instant,
     ) -> Option<AtomicUpdate> {
-        let begun = match self.draining.seen {
+        let begun = match self.drain_state.seen {
             Some((seen, at)) if seen == version => at,
             _ => {
-                self.draining.seen = Some((version, now));
+                self.drain_state.seen = Some((version, now));
                 now
             }
         };
@@ -198,14 +199,14 @@
         }
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
-        let waits = self.waiting.contains(record.for_job.as_str());
+        let waits = self.waiting_jobs.contains(record.for_job.as_str());
         let long = now.saturating_duration_since(begun) > self.options.drain_every * 2;
         if (left || (emptied && waits)) && !long {
             return None;
         }
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version }];
-        self.draining.writing = true;
+        self.drain_state.writing = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -78,7 +78,7 @@
     }
 
     pub(in crate::core) fn leader_condition(&self) -> Option<Condition> {
-        let version = self.role.leadership?;
+        let version = self.role.leader_key_version?;
         Some(Condition { key: records::LEADER.into(), version })
     }
 
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -93,7 +93,7 @@
             return Vec::new();
         };
         let mut waiting: Vec<(&Arc<str>, &OpenJob)> =
-            self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?))).collect();
+            self.waiting_jobs.iter().filter_map(|id| Some((id, self.open_job(id)?))).collect();
         waiting.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
         let mut rooms = self.coming();
         let offers = self.offers(now);
@@ -123,7 +123,7 @@
         let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
         let headroom =
             self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
-        let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
+        let in_flight = self.commit_queue.is_in_flight(&CommitTarget::Job(id.clone()));
         plain && headroom && !in_flight && job.is_untouched(self.applied_revision)
     }
 
@@ -193,7 +193,7 @@
 
     /// The watermark for a cell: all transfers to it with a lower epoch are over.
     pub fn watermark_for(&mut self, cell: &str) -> Option<Epoch> {
-        let term = self.role.leadership?;
+        let term = self.role.leader_key_version?;
         // An offer is settled once the record that it is bound to has changed.
         let versions: Vec<Arc<str>> = self
             .federation
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -1,5 +1,5 @@
 use crate::core::Core;
-use crate::core::testing::{core, job_record, proposed};
+use crate::core::testing::{core, job_record, proposed_placement};
 use crate::jobs::Job;
 use crate::records::SegmentId;
 use dapplecroft_federation::settings::{Federation, RawFederation, RawPeer};
@@ -22,10 +22,10 @@
     };
     let mut core = core();
     core.options.federation = Some(Federation::check(&raw).unwrap());
-    core.format = 2;
-    core.role.leadership = Some(1);
+    core.active_layout = 2;
+    core.role.leader_key_version = Some(1);
     core.apply("dc/j/run-1", Some(visiting(allocated)), 5, Instant::now());
-    core.caught_up(10);
+    core.advance_applied_revision(10);
     core
 }
 
@@ -47,7 +47,7 @@
     assert!(job.revoking.contains_key(&0) && job.not_before.is_some_and(|at| at > later));
     core.apply("dc/j/run-1", Some(visiting(json!({}))), 12, later);
     assert!(core.return_updates(9, later).is_empty(), "what was placed before may not be known yet");
-    core.caught_up(12);
+    core.advance_applied_revision(12);
     let updates = core.return_updates(9, later);
     assert_eq!(updates.len(), 1);
     let bound = updates[0].conditions.iter().any(|c| c.key == "dc/j/run-1" && c.version == 12);
@@ -59,7 +59,7 @@
     let later = Instant::now() + Duration::from_secs(100);
     let mut core = visited(json!({}));
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
-    open.placed.insert(0, proposed("i-1", SegmentId::new(0, 0), 1, later));
+    open.placed.insert(0, proposed_placement("i-1", SegmentId::new(0, 0), 1, later));
     core.prepare_returns(later);
     assert!(core.return_updates(9, later).is_empty());
 }
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -197,7 +197,7 @@
     }
 
     fn backlog_cpus(&self) -> i64 {
-        self.unplaced.iter().map(|demand| demand.requirements.resources.cpus * demand.count).sum()
+        self.unplaced_demand.iter().map(|demand| demand.requirements.resources.cpus * demand.count).sum()
     }
 
     /// Whether this cell wants to take a job of another one: it could run here, nothing
@@ -286,15 +286,15 @@
     /// known that nothing was placed.
     pub fn prepare_returns(&mut self, now: Instant) {
         for id in self.overdue_visits(now) {
-            let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
+            let in_flight = self.commit_queue.is_in_flight(&CommitTarget::Job(id.clone()));
             let Some(job) = self.open_job_mut(&id) else { continue };
             job.not_before = job.not_before.max(Some(now + RETURN_HOLD));
             if in_flight || !job.allocating.is_empty() || job.record.allocated.is_empty() {
                 continue;
             }
             job.revoking = job.record.allocated.clone();
-            self.rederive(&id);
-            self.mark_job(&id);
+            self.refresh_job(&id);
+            self.queue_job_commit(&id);
         }
     }
 
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -251,15 +251,15 @@
     }
 
     fn rentals(&mut self, actions: &mut FleetActions, now: Instant) {
-        let Some(leadership) = self.role.leadership else { return };
+        let Some(leadership) = self.role.leader_key_version else { return };
         let most = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_RENTING);
-        if (self.unplaced.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
+        if (self.unplaced_demand.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
             return;
         }
         let thrift = self.options.thrift;
         let offers = self.offers(now);
         let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
-        let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
+        let mut plan = plan_scale_out(&self.unplaced_demand, self.coming(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_rental(&offers));
         }
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -3,7 +3,7 @@
 //! released.
 
 use super::layout::to_value;
-use super::{Core, Group, reindex};
+use super::{Core, Group, update_free_cpu_index};
 use crate::machines::Machine;
 use crate::records::{self, GroupRecord, MemberRecord, stored_size};
 use dapplecroft_state::AtomicUpdate;
@@ -89,7 +89,7 @@
         let records = if self.is_mixed() { vec![record] } else { record.split(self.limits().value) };
         for (n, record) in records.into_iter().enumerate() {
             let name = if n == 0 { name.to_string() } else { format!("{name}.{n}") };
-            let group = Group { record, version: 0, writing: false, addresses_unrecorded: false };
+            let group = Group { record, version: 0, write_in_flight: false, addresses_unrecorded: false };
             self.groups.insert(name.into(), group);
         }
         self.wakeups.fleet = true;
@@ -114,7 +114,7 @@
     fn move_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER.into(), version: self.role.leader_key_version? },
             Condition { key: key.clone(), version: group.version },
         ];
         let mut left = group.record.clone();
@@ -141,10 +141,10 @@
     /// the release was answered.
     pub(super) fn settle_departed(&mut self, now: Instant) {
         let applied_revision = self.applied_revision;
-        let departed = std::mem::take(&mut self.departed);
+        let departed = std::mem::take(&mut self.departed_machines);
         let (known, later): (Vec<Departed>, Vec<Departed>) =
             departed.into_iter().partition(|departed| departed.revision <= applied_revision);
-        self.departed = later;
+        self.departed_machines = later;
         for Departed { machine: id, group, .. } in known {
             let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
             let here = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
@@ -256,7 +256,7 @@
         let large: Vec<Arc<str>> = self
             .groups
             .iter()
-            .filter(|(_, g)| !self.is_mixed() && g.version == 0 && !g.writing)
+            .filter(|(_, g)| !self.is_mixed() && g.version == 0 && !g.write_in_flight)
             .filter(|(_, g)| g.record.most_bytes() > limit && g.record.machines.len() > 1)
             .map(|(name, _)| name.clone())
             .collect();
@@ -279,9 +279,9 @@
         given_up: &BTreeSet<Arc<str>>,
         addresses: bool,
     ) -> Vec<Arc<str>> {
-        let leads = self.role.leadership.is_some();
+        let leads = self.role.leader_key_version.is_some();
         let order = |name: &Arc<str>, group: &Group| match () {
-            () if group.writing => None,
+            () if group.write_in_flight => None,
             // What ran on released machines waits for it elsewhere.
             () if released.contains(name) => Some(GroupOrder::Released),
             () if group.version == 0 => Some(GroupOrder::New),
@@ -313,7 +313,7 @@
                 }
             }
         }
-        if self.role.leadership.is_some() {
+        if self.role.leader_key_version.is_some() {
             record.machines.retain(|id, _| !released.contains(id.as_str()));
         }
         if !self.is_mixed() {
@@ -329,7 +329,7 @@
         let mut conditions = vec![Condition { key: key.clone(), version: group.version }];
         let by_leader = group.version == 0 || record.machines.len() < group.record.machines.len();
         if by_leader {
-            match self.role.leadership {
+            match self.role.leader_key_version {
                 Some(version) => conditions.push(Condition { key: records::LEADER.into(), version }),
                 None if group.version == 0 => return GroupWrite::Forget,
                 None => return GroupWrite::NotAllowed,
@@ -348,20 +348,20 @@
 
     fn begin_group_write(&mut self, name: &Arc<str>, update: AtomicUpdate) -> GroupUpdate {
         if let Some(group) = self.groups.get_mut(name) {
-            group.writing = true;
+            group.write_in_flight = true;
         }
         GroupUpdate { name: name.clone(), update }
     }
 
     /// How many records of groups are about to be committed.
     pub fn groups_on_way(&self) -> usize {
-        self.groups.values().filter(|g| g.writing).count()
+        self.groups.values().filter(|g| g.write_in_flight).count()
     }
 
     /// Notes the end of a write; what was not made is worked out again.
     pub fn group_written(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
-            group.writing = false;
+            group.write_in_flight = false;
             group.addresses_unrecorded = true;
         }
         self.wakeups.fleet = true;
@@ -369,7 +369,7 @@
 
     /// Takes in machines that no record names, as leader.
     pub(super) fn adopt(&mut self, found: Vec<Machine>) {
-        let Some(term) = self.role.leadership else { return };
+        let Some(term) = self.role.leader_key_version else { return };
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         let mut groups: BTreeMap<(u32, String, String, bool), Vec<Machine>> = BTreeMap::new();
         for machine in found {
@@ -407,7 +407,7 @@
                 machine: id.as_str().into(),
                 group: name.clone(),
             };
-            self.departed.extend(left.map(departed));
+            self.departed_machines.extend(left.map(departed));
         }
         if let Some(record) = record {
             let mut addresses_unrecorded = false;
@@ -435,8 +435,11 @@
                     _ => {}
                 }
             }
-            let writing = old.is_some_and(|g| g.writing);
-            self.groups.insert(name.clone(), Group { record, version, writing, addresses_unrecorded });
+            let writing = old.is_some_and(|g| g.write_in_flight);
+            self.groups.insert(
+                name.clone(),
+                Group { record, version, write_in_flight: writing, addresses_unrecorded },
+            );
             self.size_machines();
         }
         self.settle_departed(now);
@@ -470,7 +473,7 @@
             if machine.capacity != *size {
                 let before = machine.room().cpus;
                 machine.capacity = *size;
-                reindex(&mut self.machines_by_free_cpus, machine, before);
+                update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -22,7 +22,7 @@
 impl Core {
     /// Whether some member may still be of the first version.
     pub fn is_mixed(&self) -> bool {
-        self.format < LAYOUT
+        self.active_layout < LAYOUT
     }
 
     /// What the state service takes. Once the layout allows it, all is kept
@@ -51,19 +51,20 @@
     pub(super) fn apply_format(&mut self, layout: u32, now: Instant) {
         if layout > LAYOUT {
             // Nothing that this process would do now could be right.
-            self.ended = Some(format!("the records have layout {layout}, this program knows {LAYOUT}"));
-            self.wakeups.end = true;
+            self.shutdown_reason =
+                Some(format!("the records have layout {layout}, this program knows {LAYOUT}"));
+            self.wakeups.shutdown = true;
             return;
         }
-        if layout <= self.format {
+        if layout <= self.active_layout {
             return;
         }
-        self.format = layout;
+        self.active_layout = layout;
         tracing::info!(layout, "all members know the new layout of the records: it is in force");
         let held: Vec<u32> = self.role.leased_shards.keys().copied().collect();
         held.into_iter().for_each(|shard| self.plan_migration(shard, now));
         self.wakeups.role = true;
-        self.wakeups.flush = true;
+        self.wakeups.commit = true;
         self.wakeups.fleet = true;
     }
 
@@ -81,7 +82,7 @@
 
     /// The transaction of the switch, once this leader may make it.
     pub fn switch_transaction(&self) -> Option<Transaction> {
-        let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
+        let leadership = self.role.leader_key_version.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
         let all = members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT));
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -188,7 +188,7 @@
     /// they have been idle.
     fn wanted_requirements(&self) -> WantedRequirements {
         let mut task_requirements: WantedRequirements = Vec::new();
-        for job in self.waiting.iter().filter_map(|id| self.open_job(id)) {
+        for job in self.waiting_jobs.iter().filter_map(|id| self.open_job(id)) {
             let headroom =
                 self.teams.get(&job.spec.team).map_or(0, |b| b.headroom(&job.requirements.resources));
             let allocated: i64 = job.waiting.values().map(|r| i64::from(r.len())).sum();
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -31,7 +31,7 @@
         if self.is_mixed() || !self.segments.contains_key(&whole) {
             return;
         }
-        self.inherited.retain(|id, _| id.shard != shard);
+        self.inherited_results.retain(|id, _| id.shard != shard);
         let Some(old) = self.segments.get(&whole).map(|l| l.record.clone()) else { return };
         let (done, tries) = self.unmoved(shard, &old);
         let mut segments: Vec<SegmentId> = Vec::new();
@@ -61,14 +61,14 @@
             let known = self.segment_numbers(shard);
             let fits = |n: &u32| {
                 let id = SegmentId::new(shard, *n);
-                let has = self.segments.get(&id).map_or(0, |l| l.weight);
-                has + self.pending.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
+                let has = self.segments.get(&id).map_or(0, |l| l.max_size_bytes);
+                has + self.proposed_bytes.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
             };
             let number = known.iter().copied().find(fits).or_else(|| (0..).find(|n| !known.contains(n)));
             let Some(number) = number else { return };
             let id = SegmentId::new(shard, number);
-            *self.pending.entry(id).or_default() += weight;
-            let segment = self.inherited.entry(id).or_default();
+            *self.proposed_bytes.entry(id).or_default() += weight;
+            let segment = self.inherited_results.entry(id).or_default();
             for (job, done) in piece.done {
                 let all = segment.done.entry(job).or_default();
                 *all = all.union(&done);
@@ -85,8 +85,8 @@
             segments = segments.len(),
             "what runs in a block moves over to segments"
         );
-        segments.into_iter().for_each(|segment| self.mark_segment(segment, false));
-        self.mark_segment(whole, false);
+        segments.into_iter().for_each(|segment| self.queue_segment_commit(segment, false));
+        self.queue_segment_commit(whole, false);
     }
 
     /// What of an old record's completed tasks and last attempts no segment has yet.
@@ -143,9 +143,9 @@
             return;
         }
         if self.is_moved(shard) {
-            self.mark_segment(whole, false);
-        } else if !self.commits.is_shard_in_flight(shard) {
-            let planned = self.inherited.keys().any(|id| id.shard == shard);
+            self.queue_segment_commit(whole, false);
+        } else if !self.commit_queue.is_shard_in_flight(shard) {
+            let planned = self.inherited_results.keys().any(|id| id.shard == shard);
             if !planned && self.machines.values().all(|m| m.shard != shard || m.segment.is_some()) {
                 self.plan_migration(shard, now);
             }
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -60,20 +60,20 @@
 #[derive(Debug, Default)]
 pub struct Role {
     /// The lease on which its keys hang.
-    pub lease: Option<u64>,
+    pub lease_id: Option<u64>,
     /// Version of the leader's key, if this process wrote it.
-    pub leadership: Option<u64>,
+    pub leader_key_version: Option<u64>,
     /// The shards that this process holds.
     pub leased_shards: BTreeMap<u32, ShardLease>,
     /// When a request was sent that confirmed its role, once the copy of the
     /// records had caught up with that confirmation.
-    pub contact: Option<Instant>,
+    pub last_confirmation_sent: Option<Instant>,
     /// Takes no role before: it was cut off from its workers.
-    pub abstains: Option<Instant>,
+    pub abstains_until: Option<Instant>,
     /// Counts how often it was given up: a confirmation that was asked for
     /// before says nothing of what was taken up since.
     generation: u64,
-    pending: VecDeque<(Instant, u64)>,
+    unapplied_confirmations: VecDeque<(Instant, u64)>,
 }
 
 /// What loops have to be woken for.
@@ -82,7 +82,7 @@
     /// Something may be placed now.
     pub place: bool,
     /// Jobs have changes to commit.
-    pub flush: bool,
+    pub commit: bool,
     /// Machines have direct commands to receive.
     pub command: BTreeSet<Arc<str>>,
     /// The leader's key or a shard changed.
@@ -92,7 +92,7 @@
     /// A job is away, or its user wants it cancelled there.
     pub federation: bool,
     /// This process must end.
-    pub end: bool,
+    pub shutdown: bool,
 }
 
 /// A group of machines, as recorded.
@@ -103,14 +103,14 @@
     /// Its version; 0 while it is not committed.
     pub version: u64,
     /// Whether a write of it is on its way.
-    pub writing: bool,
+    pub write_in_flight: bool,
     /// Whether a member's address is known and not in the record.
     pub addresses_unrecorded: bool,
 }
 
 /// How things stand on a node.
 #[derive(Debug, Default, Clone)]
-pub struct Summary {
+pub struct NodeSummary {
     /// Whether it leads.
     pub leads: bool,
     /// Shards that it holds.
@@ -118,21 +118,21 @@
     /// Machines in them.
     pub machines: usize,
     /// Those that take work.
-    pub open_machines: usize,
+    pub schedulable_machines: usize,
     /// Tasks booked on them.
-    pub placed: usize,
+    pub placed_tasks: usize,
     /// Tasks that wait in them.
-    pub waiting: u32,
+    pub waiting_tasks: u32,
     /// Jobs that are not over, anywhere.
-    pub jobs: usize,
+    pub open_jobs: usize,
     /// Tasks that no shard has.
-    pub unallocated: u32,
+    pub unallocated_tasks: u32,
     /// Records of what runs in its shards, and their bytes.
     pub segments: usize,
     /// How many bytes they take together.
-    pub bytes: usize,
+    pub segment_bytes: usize,
     /// Processors that are free on machines that take work, in percent.
-    pub free_percent: i64,
+    pub free_cpu_percent: i64,
     /// What the processors of all its machines are used for.
     pub usage: CapacityUsage,
     /// The layout of the records in force.
@@ -147,9 +147,9 @@
     /// Its version.
     pub version: u64,
     /// How many bytes it takes.
-    pub size: usize,
+    pub size_bytes: usize,
     /// How many it may come to take by ends of what it has.
-    pub weight: usize,
+    pub max_size_bytes: usize,
 }
 
 impl Segment {
@@ -170,55 +170,55 @@
     /// Whether the records have been read.
     pub loaded: bool,
     /// The layout of the records that is in force, as their record says.
-    pub format: u32,
+    pub active_layout: u32,
     /// The layouts that controllers were once seen to know.
     pub known_layouts: BTreeMap<String, u32>,
     /// Why this process must end.
-    pub ended: Option<String>,
+    pub shutdown_reason: Option<String>,
     /// Records that could not be read.
-    pub unreadable: u64,
+    pub unreadable_records: u64,
     /// Revision up to which changes are known.
     pub applied_revision: u64,
-    versions: HashMap<String, u64, RandomState>,
-    dropped: HashMap<String, u64>,
+    record_versions: HashMap<String, u64, RandomState>,
+    deleted_versions: HashMap<String, u64>,
     /// Jobs.
     pub jobs: HashMap<Arc<str>, Job, RandomState>,
     /// Jobs that are not final.
-    pub open: BTreeSet<Arc<str>>,
+    pub open_jobs: BTreeSet<Arc<str>>,
     /// Jobs that have waiting tasks.
-    pub waiting: BTreeSet<Arc<str>>,
+    pub waiting_jobs: BTreeSet<Arc<str>>,
     /// What waits to be committed.
-    commits: CommitQueue,
+    commit_queue: CommitQueue,
     /// Work that came lately.
     arrivals: idle_reserve::Arrivals,
     /// Jobs that were withdrawn, or of which something was taken back, and about
     /// which something earlier may not be known yet.
-    unsettled: BTreeSet<Arc<str>>,
+    unsettled_jobs: BTreeSet<Arc<str>>,
     /// Machines, in an order that does not hang on chance.
     pub machines: IndexMap<Arc<str>, Machine, RandomState>,
     /// Machines of each shard by what is free of their processors, so that a
     /// task looks only at those where it may fit.
     machines_by_free_cpus: BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     /// Room that other holders have told of.
-    hints: BTreeMap<SegmentId, allocation::Hint>,
+    capacity_hints: BTreeMap<SegmentId, allocation::Hint>,
     /// What runs in each shard, by its records.
     pub segments: BTreeMap<SegmentId, Segment>,
     /// What proposals add to the weight of segments.
-    pending: BTreeMap<SegmentId, usize>,
+    proposed_bytes: BTreeMap<SegmentId, usize>,
     /// Segments that others are about to take in.
-    absorbing: BTreeSet<SegmentId>,
+    merging_segments: BTreeSet<SegmentId>,
     /// What was proposed last, and where.
-    weighed: Option<(SegmentId, TaskId)>,
+    last_sized_proposal: Option<(SegmentId, TaskId)>,
     /// What segments take over from records of the first layout.
-    inherited: BTreeMap<SegmentId, migration::Inherited>,
+    inherited_results: BTreeMap<SegmentId, migration::Inherited>,
     /// Completed tasks in records of their own, by job.
     completed_records: HashMap<Arc<str>, BTreeMap<u32, Ranges>>,
     /// Keys that say nothing any more.
     obsolete_keys: BTreeSet<String>,
     /// Machines that left a group's record, until the copy has caught up with that.
-    departed: Vec<groups::Departed>,
+    departed_machines: Vec<groups::Departed>,
     /// Segments of the machine types: of how many, and which.
-    catalog_segments: BTreeMap<u32, record_replica::CatalogSegment>,
+    catalog_pages: BTreeMap<u32, record_replica::CatalogPage>,
     /// Groups of machines.
     pub groups: BTreeMap<Arc<str>, Group>,
     /// Teams.
@@ -242,11 +242,11 @@
     /// Machines whose release was answered, and when.
     pub released_machines: HashMap<Arc<str>, Instant>,
     /// Tasks that found no place in the last round.
-    pub unplaced: Vec<Demand>,
+    pub unplaced_demand: Vec<Demand>,
     /// Loops to wake.
     pub wakeups: Wakeups,
     fleet: fleet::FleetState,
-    draining: drain::DrainState,
+    drain_state: drain::DrainState,
     last_preemption: Option<Instant>,
     /// What is known of hand-overs to and from other cells.
     pub(crate) federation: federation::FederationState,
@@ -270,31 +270,31 @@
             options,
             identity,
             loaded: false,
-            format: 1,
+            active_layout: 1,
             known_layouts: BTreeMap::new(),
-            ended: None,
-            unreadable: 0,
+            shutdown_reason: None,
+            unreadable_records: 0,
             applied_revision: 0,
-            versions: HashMap::default(),
-            dropped: HashMap::new(),
+            record_versions: HashMap::default(),
+            deleted_versions: HashMap::new(),
             jobs: HashMap::default(),
-            open: BTreeSet::new(),
-            waiting: BTreeSet::new(),
-            commits: CommitQueue::default(),
+            open_jobs: BTreeSet::new(),
+            waiting_jobs: BTreeSet::new(),
+            commit_queue: CommitQueue::default(),
             arrivals: idle_reserve::Arrivals::default(),
             segments: BTreeMap::new(),
-            pending: BTreeMap::new(),
-            absorbing: BTreeSet::new(),
-            weighed: None,
-            inherited: BTreeMap::new(),
+            proposed_bytes: BTreeMap::new(),
+            merging_segments: BTreeSet::new(),
+            last_sized_proposal: None,
+            inherited_results: BTreeMap::new(),
             completed_records: HashMap::new(),
             obsolete_keys: BTreeSet::new(),
-            departed: Vec::new(),
-            catalog_segments: BTreeMap::new(),
-            unsettled: BTreeSet::new(),
+            departed_machines: Vec::new(),
+            catalog_pages: BTreeMap::new(),
+            unsettled_jobs: BTreeSet::new(),
             machines: IndexMap::default(),
             machines_by_free_cpus: BTreeMap::new(),
-            hints: BTreeMap::new(),
+            capacity_hints: BTreeMap::new(),
             groups: BTreeMap::new(),
             teams,
             leader: None,
@@ -306,10 +306,10 @@
             role: Role::default(),
             unexpected_tasks: HashMap::new(),
             released_machines: HashMap::new(),
-            unplaced: Vec::new(),
+            unplaced_demand: Vec::new(),
             wakeups: Wakeups::default(),
             fleet: fleet::FleetState::default(),
-            draining: drain::DrainState::default(),
+            drain_state: drain::DrainState::default(),
             last_preemption: None,
             federation: federation::FederationState::default(),
             credit,
@@ -319,7 +319,7 @@
     }
 
     /// Counts a task on a machine.
-    fn book(&mut self, task: &TaskId, machine: &Arc<str>, shard: u32, now: Instant) {
+    fn add_task_to_machine(&mut self, task: &TaskId, machine: &Arc<str>, shard: u32, now: Instant) {
         let Some(job) = self.open_job(&task.job) else { return };
         let (resources, image) = (job.requirements.resources, job.requirements.image.clone());
         // A placement can name a machine that was released since.
@@ -332,19 +332,19 @@
             if let Some(image) = image {
                 machine.note_image(image, false);
             }
-            reindex(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
         }
     }
 
     /// Counts a task out again.
-    fn unbook(&mut self, task: &TaskId, placed: &Placed, resources: Resources) {
+    fn remove_task_from_machine(&mut self, task: &TaskId, placed: &Placed, resources: Resources) {
         if let Some(machine) = self.machines.get_mut(&placed.machine)
             && machine.tasks.remove(task)
             && !placed.freed
         {
             let before = machine.room().cpus;
             machine.booked -= resources;
-            reindex(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
         }
         self.wakeups.place = true;
     }
@@ -352,7 +352,7 @@
     /// Frees the room of a task that has left its machine by proof. The record
     /// of its end is on its way; what is placed in that room is committed with
     /// it or after it, since both are in the same record.
-    fn free(&mut self, task: &TaskId) {
+    fn free_exited_task(&mut self, task: &TaskId) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
         let resources = job.requirements.resources;
         let Some(placed) = job.placed.get_mut(&task.index).filter(|p| !p.freed) else { return };
@@ -360,13 +360,13 @@
         if let Some(machine) = self.machines.get_mut(&placed.machine) {
             let before = machine.room().cpus;
             machine.booked -= resources;
-            reindex(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
         }
         self.wakeups.place = true;
     }
 
     /// Brings what is derived from a job's records up to date.
-    fn rederive(&mut self, id: &Arc<str>) {
+    fn refresh_job(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         job.derive();
         // A withdrawal, or what was taken back from a shard, can be known before
@@ -382,21 +382,21 @@
         job.counted = counts;
         let (team, resources) = (job.spec.team.clone(), job.requirements.resources);
         self.teams.book(&team, resources.times(change));
-        self.refresh_waiting(id);
+        self.refresh_waiting_job(id);
     }
 
-    fn refresh_waiting(&mut self, id: &Arc<str>) {
+    fn refresh_waiting_job(&mut self, id: &Arc<str>) {
         let waits = matches!(self.jobs.get(id), Some(Job::Open(j)) if j.is_open() && j.waits());
         if waits {
-            self.waiting.insert(id.clone());
+            self.waiting_jobs.insert(id.clone());
         } else {
-            self.waiting.remove(id);
+            self.waiting_jobs.remove(id);
         }
     }
 
     /// How many jobs have allocations or placements that wait to be committed.
-    pub fn backed_up(&self) -> usize {
-        self.commits.backlog()
+    pub fn commit_backlog(&self) -> usize {
+        self.commit_queue.backlog()
     }
 
     /// A job that is not over.
@@ -415,79 +415,84 @@
     }
 
     /// Takes back all proposed placements of a job that are not on their way.
-    fn drop_proposals(&mut self, id: &Arc<str>) {
-        self.drop_if(id, |_, _, _| true);
+    fn withdraw_proposals(&mut self, id: &Arc<str>) {
+        self.withdraw_proposals_if(id, |_, _, _| true);
     }
 
     /// Takes back proposals for tasks that the leader has taken back since from
     /// the shard: the record that they would be bound to no longer allows them.
-    fn drop_unallocated(&mut self, id: &Arc<str>) {
-        self.drop_if(id, |job, index, p| !job.allocates(p.segment.shard, index));
+    fn withdraw_unallocated_proposals(&mut self, id: &Arc<str>) {
+        self.withdraw_proposals_if(id, |job, index, p| !job.allocates(p.segment.shard, index));
     }
 
     /// Takes back proposed placements. Those in a shard with a unit on its way
     /// may be in it: they are settled with it.
-    fn drop_if(&mut self, id: &Arc<str>, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
+    fn withdraw_proposals_if(
+        &mut self,
+        id: &Arc<str>,
+        should_withdraw: impl Fn(&OpenJob, u32, &Placed) -> bool,
+    ) {
         let Some(job) = self.open_job(id) else { return };
-        let void: Vec<(u32, Placed)> = job
+        let withdrawn: Vec<(u32, Placed)> = job
             .placed
             .iter()
-            .filter(|(index, p)| !p.committed && void(job, **index, p))
-            .filter(|(_, p)| !self.commits.is_in_flight(&CommitTarget::Segment(p.segment)))
+            .filter(|(index, p)| !p.committed && should_withdraw(job, **index, p))
+            .filter(|(_, p)| !self.commit_queue.is_in_flight(&CommitTarget::Segment(p.segment)))
             .map(|(i, p)| (*i, p.clone()))
             .collect();
-        if void.is_empty() {
+        if withdrawn.is_empty() {
             return;
         }
-        for (index, placed) in void {
-            self.withdraw_proposal(&TaskId { job: id.clone(), index }, &placed);
+        for (index, placed) in withdrawn {
+            self.remove_proposal(&TaskId { job: id.clone(), index }, &placed);
         }
-        self.rederive(id);
+        self.refresh_job(id);
     }
 
     /// Takes back a proposed placement; the caller derives the job anew.
-    fn withdraw_proposal(&mut self, task: &TaskId, placed: &Placed) {
+    fn remove_proposal(&mut self, task: &TaskId, placed: &Placed) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
         if job.placed.get(&task.index).is_none_or(|p| p.committed || p.attempt != placed.attempt) {
             return;
         }
         job.placed.remove(&task.index);
         let resources = job.requirements.resources;
-        self.unbook(task, placed, resources);
+        self.remove_task_from_machine(task, placed, resources);
     }
 
     /// How things stand, for the log.
-    pub fn summary(&self, now: Instant) -> Summary {
+    pub fn summary(&self, now: Instant) -> NodeSummary {
         let silence = self.silence();
-        let mut summary = Summary {
+        let mut summary = NodeSummary {
             leads: self.leads(now),
             shards: self.role.leased_shards.len(),
-            jobs: self.open.len(),
-            ..Summary::default()
+            open_jobs: self.open_jobs.len(),
+            ..NodeSummary::default()
         };
         summary.usage = self.capacity_usage(now);
         let (mut free, mut all) = (0, 0);
         for machine in self.machines.values() {
             let Some(shard_lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             summary.machines += 1;
-            summary.placed += machine.tasks.len();
+            summary.placed_tasks += machine.tasks.len();
             if machine.open(shard_lease.epoch, silence, now) {
-                summary.open_machines += 1;
+                summary.schedulable_machines += 1;
                 free += machine.room().cpus;
                 all += machine.capacity.cpus;
             }
         }
-        summary.free_percent = (free * 100).checked_div(all).unwrap_or(0);
-        let own = self.segments.iter().filter(|(id, load)| self.is_holder(id.shard) && !load.is_empty());
-        for (_, load) in own {
+        summary.free_cpu_percent = (free * 100).checked_div(all).unwrap_or(0);
+        let own =
+            self.segments.iter().filter(|(id, segment)| self.is_holder(id.shard) && !segment.is_empty());
+        for (_, segment) in own {
             summary.segments += 1;
-            summary.bytes += load.size;
+            summary.segment_bytes += segment.size_bytes;
         }
-        summary.layout = self.format;
-        for job in self.open.iter().filter_map(|id| self.open_job(id)) {
-            summary.unallocated += job.unallocated.len();
+        summary.layout = self.active_layout;
+        for job in self.open_jobs.iter().filter_map(|id| self.open_job(id)) {
+            summary.unallocated_tasks += job.unallocated.len();
             let own = job.waiting.iter().filter(|(b, _)| self.is_holder(**b));
-            summary.waiting += own.map(|(_, r)| r.len()).sum::<u32>();
+            summary.waiting_tasks += own.map(|(_, r)| r.len()).sum::<u32>();
         }
         summary
     }
@@ -499,7 +504,7 @@
 }
 
 /// Moves a machine within the index of free processors.
-fn reindex(
+fn update_free_cpu_index(
     machines_by_free_cpus: &mut BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     machine: &Machine,
     before: i64,
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use super::fleet::MachineKind;
 use super::layout::to_value;
-use super::record_replica::CatalogSegment;
+use super::record_replica::CatalogPage;
 use crate::machines::MachinePhase;
 use crate::records::{self, stored_size};
 use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
@@ -30,7 +30,7 @@
             c
         };
         let changed = self.catalog.as_ref().is_none_or(|old| plain(old) != plain(&catalog));
-        let recorded = match self.recorded_types() {
+        let recorded = match self.recorded_catalog() {
             Some(_) => true,
             None => self.version(records::CATALOG) > 0,
         };
@@ -53,7 +53,7 @@
         }
         let segments = catalog_segments(&catalog.machine_types, self.limits().value);
         let numbered = (0..).zip(segments);
-        let changed = numbered.filter(|(number, segment)| self.catalog_segments.get(number) != Some(segment));
+        let changed = numbered.filter(|(number, segment)| self.catalog_pages.get(number) != Some(segment));
         changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
@@ -115,7 +115,7 @@
 
     /// Machines on which replicas of services are.
     pub(super) fn replica_machines(&self) -> BTreeSet<Arc<str>> {
-        let jobs = self.open.iter().filter_map(|id| self.open_job(id)).filter(|j| j.is_service());
+        let jobs = self.open_jobs.iter().filter_map(|id| self.open_job(id)).filter(|j| j.is_service());
         jobs.flat_map(|j| j.placed.values().filter(|p| p.committed).map(|p| p.machine.clone())).collect()
     }
 
@@ -160,9 +160,9 @@
 
 /// Splits machine types into records that each fit a value of `limit` bytes. A
 /// type that fits none by itself is left out.
-fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogSegment> {
+fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogPage> {
     let fits = |machine_types: &[MachineType]| {
-        let segment = CatalogSegment { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
+        let segment = CatalogPage { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
         stored_size(&to_value(&segment)) <= limit
     };
     let mut segments: Vec<Vec<MachineType>> = Vec::new();
@@ -175,7 +175,7 @@
         }
     }
     let total = segments.len() as u32;
-    segments.into_iter().map(|machine_types| CatalogSegment { total, machine_types }).collect()
+    segments.into_iter().map(|machine_types| CatalogPage { total, machine_types }).collect()
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-controller/src/core/offers/tests.rs
+++ b/crates/dapplecroft-controller/src/core/offers/tests.rs
@@ -8,7 +8,7 @@
 // Versions before and after a change of the code's names read each other's records.
 #[test]
 fn stored_names_of_machine_types_stay_as_they_are() {
-    let segment = CatalogSegment { total: 1, machine_types: vec![machine_type("m")] };
+    let segment = CatalogPage { total: 1, machine_types: vec![machine_type("m")] };
     let value = to_value(&segment);
     assert_eq!((&value["of"], &value["hulls"][0]["name"]), (&json!(1), &json!("m")));
     let catalog = to_value(&Catalog { machine_types: vec![machine_type("m")] });
@@ -18,7 +18,7 @@
 #[test]
 fn machine_types_are_split_so_that_each_record_fits_a_value() {
     let types: Vec<MachineType> = (0..9).map(|n| machine_type(&format!("type-{n}"))).collect();
-    let one = stored_size(&to_value(&CatalogSegment { total: 1000, machine_types: types[..1].to_vec() }));
+    let one = stored_size(&to_value(&CatalogPage { total: 1000, machine_types: types[..1].to_vec() }));
     let segments = catalog_segments(&types, one * 2 + 20);
     assert!(segments.len() > 3 && segments.iter().all(|s| s.total as usize == segments.len()));
     let all: Vec<MachineType> = segments.iter().flat_map(|s| s.machine_types.clone()).collect();
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -123,7 +123,7 @@
             if !unplaced.is_empty() {
                 self.wakeups.fleet = true;
             }
-            self.unplaced = unplaced
+            self.unplaced_demand = unplaced
                 .into_iter()
                 .filter(|u| u.count > 0)
                 .filter_map(|u| {
@@ -280,7 +280,7 @@
         let placed = before - waiting.len();
         if placed > 0 {
             round.left = round.left.saturating_sub(placed);
-            self.rederive(id);
+            self.refresh_job(id);
         }
     }
 
@@ -384,8 +384,8 @@
                 freed: false,
             },
         );
-        self.book(task, machine, segment_id.shard, now);
-        self.mark_segment(segment_id, urgent);
+        self.add_task_to_machine(task, machine, segment_id.shard, now);
+        self.queue_segment_commit(segment_id, urgent);
         true
     }
 }
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -19,7 +19,7 @@
 
 /// Some of the machine types, and in how many records all of them are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct CatalogSegment {
+pub(super) struct CatalogPage {
     /// How many records there are.
     #[serde(rename = "of")]
     pub total: u32,
@@ -29,14 +29,14 @@
 }
 
 /// Unreadable records are told of one by one up to so many.
-const TOLD: u64 = 50;
+const MAX_LOGGED_UNREADABLE: u64 = 50;
 
 impl Core {
     /// Takes over a full reading of the records.
-    pub fn load(&mut self, items: Vec<Item>, revision: u64, now: Instant) {
+    pub fn load_snapshot(&mut self, items: Vec<Item>, revision: u64, now: Instant) {
         let present: HashSet<&str> = items.iter().map(|i| i.key.as_str()).collect();
         let vanished: Vec<String> = self
-            .versions
+            .record_versions
             .iter()
             .filter(|(key, version)| **version <= revision && !present.contains(key.as_str()))
             .map(|(key, _)| key.clone())
@@ -49,32 +49,32 @@
             self.apply(&item.key, Some(item.value), item.version, now);
         }
         self.loaded = true;
-        self.caught_up(revision);
+        self.advance_applied_revision(revision);
     }
 
     /// Notes that all changes up to a revision are known.
-    pub fn caught_up(&mut self, revision: u64) {
+    pub fn advance_applied_revision(&mut self, revision: u64) {
         self.applied_revision = self.applied_revision.max(revision);
         let applied_revision = self.applied_revision;
-        self.dropped.retain(|_, at| *at > applied_revision);
+        self.deleted_versions.retain(|_, at| *at > applied_revision);
         self.note_applied_revision(applied_revision);
-        while let Some(&(sent, at)) = self.role.pending.front() {
+        while let Some(&(sent, at)) = self.role.unapplied_confirmations.front() {
             if at > applied_revision {
                 break;
             }
-            self.role.contact = self.role.contact.max(Some(sent));
-            self.role.pending.pop_front();
+            self.role.last_confirmation_sent = self.role.last_confirmation_sent.max(Some(sent));
+            self.role.unapplied_confirmations.pop_front();
         }
         let settled: Vec<Arc<str>> = self
-            .unsettled
+            .unsettled_jobs
             .iter()
             .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= applied_revision))
             .cloned()
             .collect();
         for id in settled {
-            self.unsettled.remove(&id);
-            self.rederive(&id);
-            self.finish_if_over(&id);
+            self.unsettled_jobs.remove(&id);
+            self.refresh_job(&id);
+            self.commit_if_finished(&id);
         }
         self.settle_departed(Instant::now());
         // What was leased to this process may be known well enough by now.
@@ -82,18 +82,18 @@
         let leased = self.shards.iter().any(|(n, (b, version))| {
             b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
         });
-        if leased || self.role.leadership.is_some_and(waits) && !self.fleet.ready() {
+        if leased || self.role.leader_key_version.is_some_and(waits) && !self.fleet.ready() {
             self.wakeups.role = true;
         }
     }
 
     /// The known version of a key; 0 if it is not known to exist.
     pub fn version(&self, key: &str) -> u64 {
-        self.versions.get(key).copied().unwrap_or(0)
+        self.record_versions.get(key).copied().unwrap_or(0)
     }
 
     /// Takes over what a watch brought, up to a revision.
-    pub fn follow(&mut self, followed: Followed, now: Instant) {
+    pub fn apply_watch(&mut self, followed: Followed, now: Instant) {
         // Changes come in no order, and perhaps only the last one of each key:
         // what others refer to goes first, so that nothing refers to a job or a
         // machine that is not known yet.
@@ -114,24 +114,24 @@
                 (None, None) => {}
             }
         }
-        self.caught_up(followed.revision);
+        self.advance_applied_revision(followed.revision);
     }
 
     /// Takes over one change. Changes arrive from the watch, from own commits
     /// and from single readings, so one that is not newer is ignored.
     pub fn apply(&mut self, key: &str, value: Option<Value>, version: u64, now: Instant) {
-        if !self.note_version(key, value.is_some(), version) {
+        if !self.advance_version(key, value.is_some(), version) {
             return;
         }
         match Key::parse(key) {
             Some(Key::Format) => {
-                if let Some(record) = self.read::<LayoutRecord>(key, value) {
+                if let Some(record) = self.parse_record::<LayoutRecord>(key, value) {
                     self.apply_format(record.layout, now);
                 }
             }
             Some(Key::Mark(host)) => {
-                if let Some(record) = self.read::<LayoutRecord>(key, value) {
-                    self.apply_mark(host, record);
+                if let Some(record) = self.parse_record::<LayoutRecord>(key, value) {
+                    self.apply_known_layout(host, record);
                 }
             }
             Some(parsed @ (Key::Refusal(..) | Key::Watermark(_))) => self.apply_transfer(key, parsed, value),
@@ -140,7 +140,7 @@
             ) => self.apply_credit_record(key, parsed, value, version),
             Some(Key::Job(id)) => self.apply_job_value(key, id, value, version, now),
             Some(Key::CompletedTasks(id, part)) => {
-                let record = self.read::<CompletedTasksRecord>(key, value);
+                let record = self.parse_record::<CompletedTasksRecord>(key, value);
                 self.apply_completed_tasks(id, part, record);
             }
             Some(Key::Segment(id)) => {
@@ -151,36 +151,36 @@
             }
             Some(Key::Group(name)) => {
                 let dropped = value.is_none();
-                let record = value.and_then(|v| self.readable(key, legacy::read_group(v)));
+                let record = value.and_then(|v| self.log_if_unreadable(key, legacy::read_group(v)));
                 if dropped || record.is_some() {
                     self.apply_group(name, record, version, now);
                 }
             }
             Some(Key::Leader) => {
-                let record = self.read(key, value);
+                let record = self.parse_record(key, value);
                 self.apply_leader(record, version, now);
             }
             Some(Key::Shard(shard)) => {
-                let record = self.read(key, value);
+                let record = self.parse_record(key, value);
                 self.apply_shard(shard, record, version, now);
             }
             Some(Key::Live(host)) => {
-                let record = self.read(key, value);
-                self.apply_live(host, record, now);
+                let record = self.parse_record(key, value);
+                self.apply_live_controller(host, record, now);
             }
             Some(Key::Catalog(None)) => {
-                if let Some(catalog) = self.read::<Catalog>(key, value)
-                    && self.catalog_segments.is_empty()
+                if let Some(catalog) = self.parse_record::<Catalog>(key, value)
+                    && self.catalog_pages.is_empty()
                 {
-                    self.know_types(catalog);
+                    self.set_machine_types(catalog);
                 }
             }
             Some(Key::Catalog(Some(number))) => {
-                let record = self.read(key, value);
-                self.apply_catalog_segment(number, record);
+                let record = self.parse_record(key, value);
+                self.apply_catalog_page(number, record);
             }
             Some(Key::Drain(shard)) => {
-                match self.read(key, value) {
+                match self.parse_record(key, value) {
                     Some(record) => self.drains.insert(shard, (record, version)),
                     None => self.drains.remove(&shard),
                 };
@@ -190,24 +190,24 @@
     }
 
     /// Notes the version of a key; `false`: as much or more is known already.
-    fn note_version(&mut self, key: &str, exists: bool, version: u64) -> bool {
-        let known = self.version(key).max(self.dropped.get(key).copied().unwrap_or(0));
+    fn advance_version(&mut self, key: &str, exists: bool, version: u64) -> bool {
+        let known = self.version(key).max(self.deleted_versions.get(key).copied().unwrap_or(0));
         if version <= known {
             return false;
         }
         if exists {
-            self.dropped.remove(key);
-            self.versions.insert(key.to_string(), version);
+            self.deleted_versions.remove(key);
+            self.record_versions.insert(key.to_string(), version);
         } else {
-            self.versions.remove(key);
+            self.record_versions.remove(key);
             if version > self.applied_revision {
-                self.dropped.insert(key.to_string(), version);
+                self.deleted_versions.insert(key.to_string(), version);
             }
         }
         true
     }
 
-    fn apply_mark(&mut self, host: &str, record: LayoutRecord) {
+    fn apply_known_layout(&mut self, host: &str, record: LayoutRecord) {
         let known = self.known_layouts.entry(host.to_string()).or_default();
         *known = record.layout.max(*known);
         self.wakeups.role = true;
@@ -217,15 +217,15 @@
     fn read_segment(&mut self, id: SegmentId, key: &str, value: Option<Value>) -> Option<SegmentRecord> {
         match value {
             None => Some(SegmentRecord::default()),
-            Some(value) if id.segment.is_none() => self.readable(key, legacy::read_segment(value)),
-            Some(value) => self.read(key, Some(value)),
+            Some(value) if id.segment.is_none() => self.log_if_unreadable(key, legacy::read_segment(value)),
+            Some(value) => self.parse_record(key, Some(value)),
         }
     }
 
     fn apply_leader(&mut self, record: Option<LeaderRecord>, version: u64, now: Instant) {
         self.leader = record.map(|r| (r, version));
         self.wakeups.role = true;
-        if self.role.leadership.is_some_and(|own| own != version) {
+        if self.role.leader_key_version.is_some_and(|own| own != version) {
             self.resign("the leader's key changed", now);
         }
     }
@@ -241,7 +241,7 @@
         }
     }
 
-    fn apply_live(&mut self, host: &str, record: Option<LiveRecord>, now: Instant) {
+    fn apply_live_controller(&mut self, host: &str, record: Option<LiveRecord>, now: Instant) {
         self.wakeups.role = true;
         let Some(record) = record else {
             self.live_controllers.remove(host);
@@ -255,31 +255,31 @@
         self.live_controllers.insert(host.to_string(), record);
     }
 
-    fn apply_catalog_segment(&mut self, number: u32, record: Option<CatalogSegment>) {
+    fn apply_catalog_page(&mut self, number: u32, record: Option<CatalogPage>) {
         match record {
-            Some(record) => self.catalog_segments.insert(number, record),
-            None => self.catalog_segments.remove(&number),
+            Some(record) => self.catalog_pages.insert(number, record),
+            None => self.catalog_pages.remove(&number),
         };
-        if let Some(catalog) = self.recorded_types() {
-            self.know_types(catalog);
+        if let Some(catalog) = self.recorded_catalog() {
+            self.set_machine_types(catalog);
         }
     }
 
     /// A leader has the types from the cloud, with the present prices.
-    fn know_types(&mut self, catalog: Catalog) {
-        if self.role.leadership.is_none() || self.catalog.is_none() {
+    fn set_machine_types(&mut self, catalog: Catalog) {
+        if self.role.leader_key_version.is_none() || self.catalog.is_none() {
             self.catalog = Some(catalog);
             self.size_machines();
         }
     }
 
     /// The machine types as their records say, once all of those are known.
-    pub(super) fn recorded_types(&self) -> Option<Catalog> {
-        let total = self.catalog_segments.get(&0)?.total;
+    pub(super) fn recorded_catalog(&self) -> Option<Catalog> {
+        let total = self.catalog_pages.get(&0)?.total;
         let mut machine_types = Vec::new();
         for number in 0..total {
-            let segment = self.catalog_segments.get(&number).filter(|segment| segment.total == total)?;
-            machine_types.extend(segment.machine_types.iter().cloned());
+            let page = self.catalog_pages.get(&number).filter(|page| page.total == total)?;
+            machine_types.extend(page.machine_types.iter().cloned());
         }
         Some(Catalog { machine_types })
     }
@@ -303,7 +303,7 @@
         let known = self.completed_records.get(&id).cloned().unwrap_or_default();
         if let Some(job) = self.open_job_mut(&id) {
             job.completed_records = known;
-            self.rederive(&id);
+            self.refresh_job(&id);
         }
     }
 
@@ -311,11 +311,11 @@
     fn apply_transfer(&mut self, key: &str, parsed: Key, value: Option<Value>) {
         match parsed {
             Key::Refusal(cell, incarnation, job) => {
-                let record = self.read(key, value);
+                let record = self.parse_record(key, value);
                 self.federation.apply_refusal(cell, incarnation, job, record);
             }
             Key::Watermark(cell) => {
-                let record = self.read(key, value);
+                let record = self.parse_record(key, value);
                 self.federation.apply_watermark(cell, record);
             }
             _ => {}
@@ -324,15 +324,15 @@
 
     fn apply_job_value(&mut self, key: &str, id: &str, value: Option<Value>, version: u64, now: Instant) {
         let Some(value) = value else {
-            return self.apply_dropped_job(id);
+            return self.apply_deleted_job(id);
         };
-        if let Some(record) = self.readable(key, legacy::read_job(value)) {
+        if let Some(record) = self.log_if_unreadable(key, legacy::read_job(value)) {
             self.apply_job(id, record, version, now);
         }
     }
 
     /// Only jobs of other cells are ever dropped: given back, or long over.
-    fn apply_dropped_job(&mut self, id: &str) {
+    fn apply_deleted_job(&mut self, id: &str) {
         let id: Arc<str> = id.into();
         self.forget_job(&id);
         self.jobs.remove(&id);
@@ -368,7 +368,7 @@
                 }
                 if !job.revoking.is_empty() {
                     job.revoked = version;
-                    self.unsettled.insert(id.clone());
+                    self.unsettled_jobs.insert(id.clone());
                 }
                 for (shard, revoked) in &mut job.revoking {
                     let still = record.allocated.get(shard).cloned().unwrap_or_default();
@@ -383,24 +383,24 @@
                 let Some(job) = OpenJob::new(record, version, now) else { return };
                 let mut job = job;
                 job.completed_records = self.completed_records.get(&id).cloned().unwrap_or_default();
-                self.open.insert(id.clone());
+                self.open_jobs.insert(id.clone());
                 self.jobs.insert(id.clone(), Job::Open(Box::new(job)));
                 self.note_arrival(&id, now);
                 self.reapply_segments(&id, now);
             }
         }
         self.wakeups.place = true;
-        self.stop_withdrawn(&id);
-        self.rederive(&id);
-        self.drop_unallocated(&id);
+        self.stop_cancelled_job(&id);
+        self.refresh_job(&id);
+        self.withdraw_unallocated_proposals(&id);
         // What was proposed on this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
             let urgent = job.spec.priority < Priority::Normal;
             let own: BTreeSet<SegmentId> =
                 job.placed.values().filter(|p| !p.committed).map(|p| p.segment).collect();
-            own.into_iter().for_each(|segment| self.mark_segment(segment, urgent));
+            own.into_iter().for_each(|segment| self.queue_segment_commit(segment, urgent));
         }
-        self.finish_if_over(&id);
+        self.commit_if_finished(&id);
     }
 
     /// A job that is away takes no part in anything here.
@@ -420,7 +420,7 @@
     }
 
     /// Asks for the end of all tasks of a withdrawn job.
-    fn stop_withdrawn(&mut self, id: &Arc<str>) {
+    fn stop_cancelled_job(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         if job.is_open() {
             return;
@@ -432,14 +432,14 @@
         job.allocating.clear();
         job.revoking.clear();
         if job.version > self.applied_revision {
-            self.unsettled.insert(id.clone());
+            self.unsettled_jobs.insert(id.clone());
         }
-        self.drop_proposals(id);
+        self.withdraw_proposals(id);
     }
 
     /// The leader ends jobs; while there is none, whoever acts at all does.
-    pub(super) fn finish_if_over(&mut self, id: &Arc<str>) {
-        if self.role.leadership.is_none() && (self.leader.is_some() || !self.has_role()) {
+    pub(super) fn commit_if_finished(&mut self, id: &Arc<str>) {
+        if self.role.leader_key_version.is_none() && (self.leader.is_some() || !self.has_role()) {
             return;
         }
         let Some(job) = self.open_job(id) else { return };
@@ -449,7 +449,7 @@
             !job.placed.values().any(|p| p.committed)
         };
         if over {
-            self.mark_job(id);
+            self.queue_job_commit(id);
         }
     }
 
@@ -459,7 +459,7 @@
             let (team, counted) = (job.spec.team.clone(), job.counted);
             let placed: Vec<(u32, Placed)> = job.placed.iter().map(|(i, p)| (*i, p.clone())).collect();
             for (index, placed) in placed {
-                self.unbook(&TaskId { job: id.clone(), index }, &placed, resources);
+                self.remove_task_from_machine(&TaskId { job: id.clone(), index }, &placed, resources);
             }
             self.teams.book(&team, resources.times(-counted));
             self.jobs.remove(id);
@@ -467,23 +467,23 @@
         let completed_records = self.completed_records.remove(id).unwrap_or_default();
         self.obsolete_keys
             .extend(completed_records.keys().map(|part| crate::records::completed_tasks_key(id, *part)));
-        self.commits.forget_sent(&CommitTarget::Job(id.clone()));
-        self.open.remove(id);
-        self.waiting.remove(id);
+        self.commit_queue.forget_sent(&CommitTarget::Job(id.clone()));
+        self.open_jobs.remove(id);
+        self.waiting_jobs.remove(id);
     }
 
-    pub(super) fn read<T: DeserializeOwned>(&mut self, key: &str, value: Option<Value>) -> Option<T> {
-        self.readable(key, serde_json::from_value(value?))
+    pub(super) fn parse_record<T: DeserializeOwned>(&mut self, key: &str, value: Option<Value>) -> Option<T> {
+        self.log_if_unreadable(key, serde_json::from_value(value?))
     }
 
     /// A record that can't be read is left as it is, told of and counted.
-    fn readable<T>(&mut self, key: &str, read: Result<T, serde_json::Error>) -> Option<T> {
+    fn log_if_unreadable<T>(&mut self, key: &str, read: Result<T, serde_json::Error>) -> Option<T> {
         match read {
             Ok(record) => Some(record),
             Err(error) => {
-                self.unreadable += 1;
-                if self.unreadable <= TOLD {
-                    tracing::error!(key, %error, all = self.unreadable, "a record cannot be read");
+                self.unreadable_records += 1;
+                if self.unreadable_records <= MAX_LOGGED_UNREADABLE {
+                    tracing::error!(key, %error, all = self.unreadable_records, "a record cannot be read");
                 }
                 None
             }
--- a/crates/dapplecroft-controller/src/core/record_replica/tests.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::testing::{core, job_record, proposed};
+use crate::core::testing::{core, job_record, proposed_placement};
 use dapplecroft_wire::state::Logged;
 use serde_json::json;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_runs_is_known_whichever_record_is_read_first() {
+fn running_tasks_are_known_whichever_record_arrives_first() {
     let now = Instant::now();
     let mut one = core();
     one.apply("dc/p/0", Some(segment()), 9, now);
@@ -35,17 +35,17 @@
         version,
     };
     let log = vec![set("dc/p/0", segment(), 9), set("dc/j/run-1", job(), 10)];
-    two.follow(Followed { revision: 10, log }, now);
+    two.apply_watch(Followed { revision: 10, log }, now);
     assert_known(&two);
 }
 
 #[test]
-fn a_placement_has_the_session_of_its_record_whoever_proposed_the_same() {
+fn committed_placement_takes_its_session_from_the_record() {
     let now = Instant::now();
     let mut core = core();
     core.apply("dc/j/run-1", Some(job()), 5, now);
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
-    open.placed.insert(1, proposed("i-1", SegmentId::whole(0), 1, now));
+    open.placed.insert(1, proposed_placement("i-1", SegmentId::whole(0), 1, now));
     core.apply("dc/p/0", Some(json!({"j": ["run-1"], "m": {"i-1": [[0, 1, 1, 1, 2]]}})), 9, now);
     let placed = &core.open_job("run-1").unwrap().placed[&1];
     assert_eq!((placed.committed, placed.session), (true, 2));
@@ -54,7 +54,7 @@
 // After a cut, ten tasks ran twice: a shard's newest record was read by
 // itself after a conflict, then the watch caught up with older ones.
 #[test]
-fn an_older_record_of_another_shard_hides_no_task_that_a_newer_one_has() {
+fn older_record_of_another_shard_does_not_hide_a_moved_task() {
     let now = Instant::now();
     let mut core = core();
     let mut allocated = job();
@@ -65,23 +65,23 @@
     let set =
         |data: Value, version| Logged { set: Some("dc/p/0".into()), drop: None, data: Some(data), version };
     let there = json!({"j": ["run-1"], "m": {"i-1": [[0, 0, 0]]}});
-    core.follow(Followed { revision: 150, log: vec![set(there, 150)] }, now);
+    core.apply_watch(Followed { revision: 150, log: vec![set(there, 150)] }, now);
     let at =
         |core: &Core| core.open_job("run-1").unwrap().placed.get(&0).map(|p| (p.segment.shard, p.attempt));
     assert_eq!(at(&core), Some((8, 2)));
     assert!(core.machines.get("i-1").is_none_or(|m| m.tasks.is_empty()));
     let gone = json!({"t": {"run-1": {"0": 1}}});
-    core.follow(Followed { revision: 220, log: vec![set(gone, 190)] }, now);
+    core.apply_watch(Followed { revision: 220, log: vec![set(gone, 190)] }, now);
     assert_eq!(at(&core), Some((8, 2)));
     assert_eq!(core.open_job("run-1").unwrap().waiting_in(8), 0);
     assert_eq!(core.machines["i-8"].tasks.len(), 1);
 }
 
 #[test]
-fn a_withdrawn_job_stays_counted_until_all_that_came_before_is_known() {
+fn cancelled_job_keeps_its_quota_usage_until_earlier_changes_are_applied() {
     let now = Instant::now();
     let mut core = core();
-    core.follow(Followed { revision: 5, log: Vec::new() }, now);
+    core.apply_watch(Followed { revision: 5, log: Vec::new() }, now);
     core.apply("dc/j/run-1", Some(job()), 5, now);
     let used = |core: &Core| core.teams.get("t").map_or(0, |b| b.used.cpus);
     assert_eq!(used(&core), 4000);
@@ -91,7 +91,7 @@
     core.apply("dc/j/run-1", Some(withdrawn), 12, now);
     assert_eq!(used(&core), 4000);
     let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
-    core.follow(Followed { revision: 12, log }, now);
+    core.apply_watch(Followed { revision: 12, log }, now);
     assert_eq!(used(&core), 2000);
 }
 
@@ -99,10 +99,10 @@
 // node that had read the job by itself, and not that placement yet, made the
 // withdrawn job final: its task still ran, and counted against no team.
 #[test]
-fn a_withdrawal_is_final_only_once_all_that_came_before_is_known() {
+fn cancelled_job_becomes_final_only_after_earlier_changes_are_applied() {
     let now = Instant::now();
     let mut core = core();
-    core.follow(Followed { revision: 5, log: Vec::new() }, now);
+    core.apply_watch(Followed { revision: 5, log: Vec::new() }, now);
     core.apply("dc/j/run-1", Some(job()), 5, now);
     let mut taken_back = job();
     taken_back["to"] = json!({});
@@ -110,24 +110,24 @@
     let is_final = |core: &Core| core.withdrawal("run-1").unwrap().0.spec.is_none();
     assert!(!is_final(&core), "a placement at 9 may not be known yet");
     let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
-    core.follow(Followed { revision: 12, log }, now);
+    core.apply_watch(Followed { revision: 12, log }, now);
     assert!(!core.open_job("run-1").unwrap().placed.is_empty() && !is_final(&core));
     // The same without that placement.
     let mut core = self::core();
     core.apply("dc/j/run-1", Some(taken_back), 12, now);
-    core.follow(Followed { revision: 12, log: Vec::new() }, now);
+    core.apply_watch(Followed { revision: 12, log: Vec::new() }, now);
     assert!(is_final(&core));
 }
 
 // What the leader took back from a shard was free for other jobs of the team at
 // once, although it may have been placed there just before.
 #[test]
-fn what_is_taken_back_stays_counted_until_all_that_came_before_is_known() {
+fn revoked_allocation_keeps_its_quota_usage_until_earlier_changes_are_applied() {
     let now = Instant::now();
     let used = |core: &Core| core.teams.get("t").map_or(0, |b| b.used.cpus);
     for placed in [false, true] {
         let mut core = core();
-        core.follow(Followed { revision: 5, log: Vec::new() }, now);
+        core.apply_watch(Followed { revision: 5, log: Vec::new() }, now);
         core.apply("dc/j/run-1", Some(job()), 5, now);
         let before = used(&core);
         let all = core.open_job("run-1").unwrap().record.allocated.clone();
@@ -139,7 +139,7 @@
         assert_eq!(used(&core), before, "not proven yet");
         let set = Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 };
         let log = if placed { vec![set] } else { Vec::new() };
-        core.follow(Followed { revision: 12, log }, now);
+        core.apply_watch(Followed { revision: 12, log }, now);
         let runs = core.open_job("run-1").unwrap().placed.len() as i64;
         assert_eq!((runs > 0, used(&core)), (placed, runs * 1000));
     }
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -26,16 +26,17 @@
     /// holder in contact has heard of every cancellation before it.
     pub fn confirmed(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
-            self.role.contact = self.role.contact.max(Some(sent));
-        } else if self.role.pending.len() < 64 {
-            self.role.pending.push_back((sent, revision));
+            self.role.last_confirmation_sent = self.role.last_confirmation_sent.max(Some(sent));
+        } else if self.role.unapplied_confirmations.len() < 64 {
+            self.role.unapplied_confirmations.push_back((sent, revision));
         }
     }
 
     /// The conditions that confirm this process's role: the leader's key and
     /// its shards are unchanged.
     pub fn role_conditions(&self) -> Vec<Condition> {
-        let leader = self.role.leadership.map(|version| Condition { key: records::LEADER.into(), version });
+        let leader =
+            self.role.leader_key_version.map(|version| Condition { key: records::LEADER.into(), version });
         let shards = self.role.leased_shards.iter();
         leader
             .into_iter()
@@ -59,7 +60,7 @@
 
     /// Takes note of having become leader.
     pub fn lead(&mut self, version: u64) {
-        self.role.leadership = Some(version);
+        self.role.leader_key_version = Some(version);
         self.federation.begin_term();
         self.fleet = fleet::FleetState::default();
         self.groups.retain(|_, g| g.version > 0);
@@ -70,13 +71,13 @@
     /// known: nothing of theirs can be committed any more, since every such
     /// commit names their key's version.
     pub fn begin_to_lead(&mut self, now: Instant) {
-        let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
+        let ready = self.role.leader_key_version.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.ready() {
             self.fleet.begin(now);
             self.begin_granting();
-            let open: Vec<Arc<str>> = self.open.iter().cloned().collect();
+            let open: Vec<Arc<str>> = self.open_jobs.iter().cloned().collect();
             for id in open {
-                self.finish_if_over(&id);
+                self.commit_if_finished(&id);
             }
             self.wakeups.place = true;
             self.wakeups.fleet = true;
@@ -86,26 +87,26 @@
     /// Gives up leadership. Shards stay with their holder: the next leader
     /// finds them in their records.
     pub fn resign(&mut self, why: &str, _now: Instant) {
-        if self.role.leadership.take().is_some() {
+        if self.role.leader_key_version.take().is_some() {
             tracing::info!(why, "no longer leader");
         }
         self.wakeups.role = true;
         // Allocations that are on their way are settled by their commits, which
         // name the leader's key; the others are void.
-        let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
+        let jobs: Vec<Arc<str>> = self.open_jobs.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let decided = !(job.allocating.is_empty() && job.revoking.is_empty());
-            if decided && !self.commits.is_in_flight(&CommitTarget::Job(id.clone())) {
+            if decided && !self.commit_queue.is_in_flight(&CommitTarget::Job(id.clone())) {
                 job.allocating.clear();
                 job.revoking.clear();
-                self.rederive(&id);
-                self.drop_unallocated(&id);
+                self.refresh_job(&id);
+                self.withdraw_unallocated_proposals(&id);
             }
         }
         self.fleet = fleet::FleetState::default();
         self.groups.retain(|_, g| g.version > 0);
-        self.unplaced.clear();
+        self.unplaced_demand.clear();
     }
 
     /// Gives up everything that hangs on this process's lease.
@@ -119,8 +120,8 @@
     }
 
     fn forget_contact(&mut self) {
-        self.role.contact = None;
-        self.role.pending.clear();
+        self.role.last_confirmation_sent = None;
+        self.role.unapplied_confirmations.clear();
         self.role.generation += 1;
     }
 
@@ -133,7 +134,7 @@
 
     /// How long ago the request was sent that last confirmed this process's role.
     pub fn contact_age(&self, now: Instant) -> Option<Duration> {
-        self.role.contact.map(|at| now.saturating_duration_since(at))
+        self.role.last_confirmation_sent.map(|at| now.saturating_duration_since(at))
     }
 
     /// Whether this process may act under its leases now.
@@ -143,7 +144,7 @@
 
     /// Whether this process leads, knows what its predecessors did, and may act.
     pub fn leads(&self, now: Instant) -> bool {
-        self.role.leadership.is_some() && self.fleet.ready() && self.in_contact(now)
+        self.role.leader_key_version.is_some() && self.fleet.ready() && self.in_contact(now)
     }
 
     /// The leader's node, if it is another one and up.
@@ -155,7 +156,7 @@
 
     /// Whether this process is leader or holder.
     pub fn has_role(&self) -> bool {
-        self.role.leadership.is_some() || !self.role.leased_shards.is_empty()
+        self.role.leader_key_version.is_some() || !self.role.leased_shards.is_empty()
     }
 
     /// This node's part of the state service's writes: users write at every
@@ -166,19 +167,19 @@
         let all: usize = sizes.values().sum();
         let own: usize = self.role.leased_shards.keys().filter_map(|b| sizes.get(b)).sum();
         let machines = match all {
-            0 => f64::from(u8::from(self.role.leadership.is_some())),
+            0 => f64::from(u8::from(self.role.leader_key_version.is_some())),
             _ => own as f64 / all as f64,
         };
         // Many small tasks take more changes than a few large ones.
         let bytes = |mine: bool| -> usize {
             let of = self.segments.iter().filter(|(id, _)| !mine || self.is_holder(id.shard));
-            of.map(|(_, l)| l.size).sum()
+            of.map(|(_, l)| l.size_bytes).sum()
         };
         let held = match bytes(false) {
             0 => machines,
             all => (machines + bytes(true) as f64 / all as f64) / 2.0,
         };
-        0.24 / nodes + 0.22 * f64::from(u8::from(self.role.leadership.is_some())) + 0.54 * held
+        0.24 / nodes + 0.22 * f64::from(u8::from(self.role.leader_key_version.is_some())) + 0.54 * held
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -47,14 +47,14 @@
         }
         if size > 0 {
             let weight = super::segments::weight(&record);
-            self.segments.insert(id, Segment { record, version, size, weight });
+            self.segments.insert(id, Segment { record, version, size_bytes: size, max_size_bytes: weight });
         }
         if self.is_holder(id.shard) && id.segment.is_some() && !self.absorbs(id) {
             self.follow_segment(id);
         }
         for job in &jobs {
-            self.rederive(job);
-            self.finish_if_over(job);
+            self.refresh_job(job);
+            self.commit_if_finished(job);
         }
         self.wakeups.place = true;
     }
@@ -128,7 +128,7 @@
             job.placed.remove(&task.index);
             job.exits.remove(&task.index);
             let resources = job.requirements.resources;
-            self.unbook(&task, &placed, resources);
+            self.remove_task_from_machine(&task, &placed, resources);
             jobs.insert(task.job);
         }
         jobs
@@ -205,9 +205,9 @@
         let resources = job.requirements.resources;
         // A proposal of this process may have lost against the record.
         if let Some(lost) = job.placed.insert(task.index, placed) {
-            self.unbook(&task, &lost, resources);
+            self.remove_task_from_machine(&task, &lost, resources);
         }
-        self.book(&task, &machine, id.shard, now);
+        self.add_task_to_machine(&task, &machine, id.shard, now);
         true
     }
 
@@ -260,7 +260,7 @@
             .collect();
         for segment in known {
             if let Some(load) = self.segments.remove(&segment) {
-                self.apply_segment(segment, load.record, load.size, load.version, now);
+                self.apply_segment(segment, load.record, load.size_bytes, load.version, now);
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -122,8 +122,8 @@
 
     /// What a segment weighs with all that is proposed in it.
     fn segment_weight(&self, id: &SegmentId) -> usize {
-        let pending = self.pending.get(id).copied().unwrap_or(0);
-        self.segments.get(id).map_or(0, |l| l.weight) + pending
+        let pending = self.proposed_bytes.get(id).copied().unwrap_or(0);
+        self.segments.get(id).map_or(0, |l| l.max_size_bytes) + pending
     }
 
     /// Whether a segment has no room for another task of a job.
@@ -158,7 +158,7 @@
             known.iter().copied().find(|n| self.segment_weight(&SegmentId::new(shard, *n)) + own <= most);
         let number = open.or_else(|| (0..).find(|n| !known.contains(n)))?;
         let segment = SegmentId::new(shard, number);
-        *self.pending.entry(segment).or_default() += own;
+        *self.proposed_bytes.entry(segment).or_default() += own;
         self.machines.get_mut(id)?.segment = Some(number);
         Some(segment)
     }
@@ -166,8 +166,8 @@
     /// What machines of a shard usually weigh.
     fn usual_weight(&self, shard: u32) -> usize {
         let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
-        let used =
-            segments.map(|(_, l)| (l.weight, l.record.machines.values().filter(|s| !s.is_empty()).count()));
+        let used = segments
+            .map(|(_, l)| (l.max_size_bytes, l.record.machines.values().filter(|s| !s.is_empty()).count()));
         let (weight, machines) = used.fold((0, 0), |(w, m), (own, n)| (w + own, m + n));
         weight.checked_div(machines).unwrap_or(USUAL).max(USUAL / 3)
     }
@@ -203,40 +203,41 @@
             .range(of)
             .filter(|(_, load)| !load.is_empty())
             .map(|(other, _)| *other)
-            .filter(|other| *other != id && !self.commits.is_in_flight(&CommitTarget::Segment(*other)))
+            .filter(|other| *other != id && !self.commit_queue.is_in_flight(&CommitTarget::Segment(*other)))
             .min_by_key(|other| self.segment_weight(other))?;
         if self.limits().changes < 2 || own + self.segment_weight(&lightest) > most {
             return None;
         }
         let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
-        self.inherited.insert(id, super::migration::Inherited { done: record.done, tries: record.tries });
+        self.inherited_results
+            .insert(id, super::migration::Inherited { done: record.done, tries: record.tries });
         let moved = |m: &&mut Machine| m.shard == id.shard && m.segment == lightest.segment;
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
         }
         self.rehome(id.shard);
-        self.pending.remove(&lightest);
-        self.absorbing.insert(lightest);
+        self.proposed_bytes.remove(&lightest);
+        self.merging_segments.insert(lightest);
         Some(lightest)
     }
 
     /// Whether a segment is being taken in by another just now.
     pub(super) fn absorbs(&self, id: SegmentId) -> bool {
-        self.absorbing.contains(&id)
+        self.merging_segments.contains(&id)
     }
 
     /// Ends of a segment that another has taken in are recorded there.
     pub(super) fn absorbed(&mut self, other: SegmentId, by: SegmentId, now: Instant) {
-        self.absorbing.remove(&other);
-        self.commits.move_deferred_ends(other, by, now);
-        self.wakeups.flush = true;
+        self.merging_segments.remove(&other);
+        self.commit_queue.move_deferred_exits(other, by, now);
+        self.wakeups.commit = true;
     }
 
     /// The same if it was not made after all: what a record says of its machines
     /// counts.
     pub(super) fn restore(&mut self, other: SegmentId, by: SegmentId) {
-        self.inherited.remove(&by);
-        self.absorbing.remove(&other);
+        self.inherited_results.remove(&by);
+        self.merging_segments.remove(&other);
         let Some(record) = self.segments.get(&other).map(|l| l.record.machines.clone()) else { return };
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
@@ -244,7 +245,7 @@
             }
         }
         self.rehome(other.shard);
-        self.mark_segment(other, false);
+        self.queue_segment_commit(other, false);
     }
 
     /// As holder, puts machines into the segment whose record has just been found to
@@ -280,7 +281,7 @@
             let segment_id = SegmentId { shard, segment };
             if p.segment != segment_id && segment.is_some() {
                 p.segment = segment_id;
-                self.mark_segment(segment_id, false);
+                self.queue_segment_commit(segment_id, false);
             }
         }
     }
@@ -305,7 +306,7 @@
                 return;
             };
             let full = self.segment_weight(&id);
-            self.pending.insert(id, full.max(limit));
+            self.proposed_bytes.insert(id, full.max(limit));
             if let Some(machine) = self.machines.get_mut(&machine) {
                 machine.segment = None;
             }
@@ -320,7 +321,7 @@
                     p.segment = other;
                 }
             }
-            self.mark_segment(other, false);
+            self.queue_segment_commit(other, false);
         }
     }
 
@@ -336,7 +337,7 @@
                 sum += machine_weight(&machine.id) + self.weight_of(machine, |_| true);
             }
         }
-        if let Some(more) = self.inherited.get(&id) {
+        if let Some(more) = self.inherited_results.get(&id) {
             let own = SegmentRecord {
                 done: more.done.clone(),
                 tries: more.tries.clone(),
@@ -345,9 +346,9 @@
             sum += weight(&own);
         }
         if sum > 0 {
-            self.pending.insert(id, sum);
+            self.proposed_bytes.insert(id, sum);
         } else {
-            self.pending.remove(&id);
+            self.proposed_bytes.remove(&id);
         }
     }
 
@@ -356,7 +357,7 @@
         let of = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
         let used = self.segments.range(of.clone()).filter(|(_, load)| !load.is_empty());
         let recorded = used.filter_map(|(id, _)| id.segment);
-        recorded.chain(self.pending.range(of).filter_map(|(id, _)| id.segment)).collect()
+        recorded.chain(self.proposed_bytes.range(of).filter_map(|(id, _)| id.segment)).collect()
     }
 
     /// Counts a proposal in; returns whether its segment has room for it.
@@ -365,12 +366,13 @@
             return true;
         }
         let joins = |t: &TaskId| t.job == task.job && t.index + 1 == task.index;
-        let own = task_weight(self.weighed.as_ref().is_some_and(|(p, t)| *p == segment && joins(t)));
+        let own =
+            task_weight(self.last_sized_proposal.as_ref().is_some_and(|(p, t)| *p == segment && joins(t)));
         if self.segment_weight(&segment) + own > (self.limits().value as f64 * FULL) as usize {
             return false;
         }
-        *self.pending.entry(segment).or_default() += own;
-        self.weighed = Some((segment, task.clone()));
+        *self.proposed_bytes.entry(segment).or_default() += own;
+        self.last_sized_proposal = Some((segment, task.clone()));
         true
     }
 
@@ -384,7 +386,7 @@
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.segment = segments.get(&machine.id).copied();
         }
-        self.pending.retain(|id, _| id.shard != shard);
-        self.absorbing.retain(|id| id.shard != shard);
+        self.proposed_bytes.retain(|id, _| id.shard != shard);
+        self.merging_segments.retain(|id| id.shard != shard);
     }
 }
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -93,7 +93,7 @@
     /// earlier unfinished ones.
     pub(super) fn guaranteed(&self) -> HashMap<Arc<str>, bool> {
         let mut by_age: Vec<(&Arc<str>, &OpenJob)> = self
-            .open
+            .open_jobs
             .iter()
             .filter_map(|id| self.open_job(id).map(|j| (id, j)))
             .filter(|(_, j)| j.is_open())
@@ -139,7 +139,7 @@
     pub(super) fn serving_order(&self, wall_clock_s: f64, now: Instant) -> Vec<(ServingKey, Arc<str>)> {
         let guaranteed = self.guaranteed();
         let mut order: Vec<(ServingKey, Arc<str>)> = self
-            .waiting
+            .waiting_jobs
             .iter()
             .filter_map(|id| {
                 let job = self.open_job(id)?;
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -284,10 +284,10 @@
             }
             _ => {}
         }
-        self.free(task);
+        self.free_exited_task(task);
         // What runs where a record of the first layout says so ends in a segment.
         let segment = if segment_id.segment.is_some() { Some(segment_id) } else { self.assign_segment(id) };
-        self.note_end(&task.job, segment.unwrap_or(segment_id), now);
+        self.queue_exit_commit(&task.job, segment.unwrap_or(segment_id), now);
     }
 
     /// Ends everything on a machine whose release was answered: it is gone.
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::ShardLease;
-use crate::core::testing::{core, job_record, proposed};
+use crate::core::testing::{core, job_record, proposed_placement};
 use crate::jobs::Placed;
 use crate::records::SegmentId;
 use dapplecroft_wire::workers::TaskStatus;
@@ -16,11 +16,11 @@
         committed: true,
         stop: Some(stop),
         grace: Duration::from_secs(3),
-        ..proposed("i-1", SegmentId::new(0, 0), 1, now)
+        ..proposed_placement("i-1", SegmentId::new(0, 0), 1, now)
     };
     let Some(Job::Open(job)) = core.jobs.get_mut("run-1") else { panic!("not open") };
     job.placed.insert(0, placed);
-    core.book(&task, &"i-1".into(), 0, now);
+    core.add_task_to_machine(&task, &"i-1".into(), 0, now);
     let machine = core.machines.get_mut("i-1").unwrap();
     machine.session = 1;
     machine.seen_token = machine.token(1);
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -1,7 +1,7 @@
 //! Leases of machine shards: which the leader gives to whom, and what a holder
 //! does when it gains or loses one.
 
-use super::{Core, reindex};
+use super::{Core, update_free_cpu_index};
 use crate::jobs::Job;
 use crate::records::{self, ShardRecord};
 use dapplecroft_wire::state::{Change, Condition, Transaction};
@@ -54,7 +54,7 @@
     /// the most to the least loaded if that evens them out. The leader's own
     /// work grows with the number of shards, so it holds fewer of many.
     pub fn wanted_leases(&self, now: Instant) -> Vec<LeaseGrant> {
-        let Some(leadership) = self.role.leadership.filter(|l| *l <= self.applied_revision) else {
+        let Some(leadership) = self.role.leader_key_version.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
         };
         let numbers = self.shard_numbers();
@@ -135,7 +135,7 @@
 
     /// The transaction that gives leases, as many as one holds.
     pub fn lease_transaction(&self, leases: &[LeaseGrant]) -> Option<Transaction> {
-        let leadership = self.role.leadership?;
+        let leadership = self.role.leader_key_version?;
         let mut conditions = vec![Condition { key: records::LEADER.into(), version: leadership }];
         let mut changes = Vec::new();
         for lease in leases.iter().take(self.limits().changes) {
@@ -152,7 +152,7 @@
     /// is known then, and nothing of theirs can be committed any more, since
     /// every such commit names the shard's version.
     pub fn take_leased_shards(&mut self, now: Instant) {
-        if self.role.lease.is_none() {
+        if self.role.lease_id.is_none() {
             // It has just stepped down: the leader sees nobody behind these shards.
             return;
         }
@@ -197,7 +197,7 @@
         }
         self.plan_migration(shard, now);
         self.wakeups.place = true;
-        self.wakeups.flush = true;
+        self.wakeups.commit = true;
         self.wakeups.fleet = true;
     }
 
@@ -209,7 +209,7 @@
             return;
         }
         tracing::info!(block = shard, why, "block lost");
-        let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
+        let jobs: Vec<Arc<str>> = self.open_jobs.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let resources = job.requirements.resources;
@@ -218,16 +218,16 @@
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
                     let before = machine.room().cpus;
                     machine.booked += resources;
-                    reindex(&mut self.machines_by_free_cpus, machine, before);
+                    update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
                 }
             }
             let placed = &job.placed;
             job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
         }
-        self.drop_proposals_in(shard);
-        self.commits.drop_deferred_ends_of(shard);
-        self.inherited.retain(|id, _| id.shard != shard);
-        self.pending.retain(|id, _| id.shard != shard);
+        self.withdraw_shard_proposals(shard);
+        self.commit_queue.drop_deferred_exits(shard);
+        self.inherited_results.retain(|id, _| id.shard != shard);
+        self.proposed_bytes.retain(|id, _| id.shard != shard);
         let machines = &self.machines;
         self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.shard != shard));
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -29,7 +29,7 @@
 }
 
 /// A task that is proposed for a machine in a segment.
-pub(super) fn proposed(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placed {
+pub(super) fn proposed_placement(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placed {
     Placed {
         attempt,
         machine: machine.into(),
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -27,7 +27,7 @@
     fn carried(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
         let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
-        let inherited = self.inherited.get(&id).map(|i| (&i.done, &i.tries));
+        let inherited = self.inherited_results.get(&id).map(|i| (&i.done, &i.tries));
         for (done, tries) in old.into_iter().chain(inherited) {
             for (job_id, ranges) in done {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
@@ -206,7 +206,7 @@
 
     /// What is to be committed of a job: allocations, what is taken back, its end.
     pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
-        let leadership = self.role.leadership.filter(|_| self.fleet.ready());
+        let leadership = self.role.leader_key_version.filter(|_| self.fleet.ready());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
         let mut record = if job.is_open() && job.done.len() == job.record.tasks {
@@ -295,7 +295,7 @@
     pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
         let version = self.version(key);
         let conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER.into(), version: self.role.leader_key_version? },
             Condition { key: key.into(), version },
         ];
         let changes = vec![Change::Drop { key: key.into() }];
@@ -305,7 +305,8 @@
     /// Whether a shard's one record of the first layout has no room for more.
     pub(super) fn is_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * SPARE;
-        self.is_mixed() && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
+        self.is_mixed()
+            && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size_bytes as f64 > limit)
     }
 }
 
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -55,7 +55,7 @@
     /// Renews the lease, or gets one with this node's liveness key on it.
     async fn touch(&self) -> bool {
         let sent = now();
-        let Some(lease) = self.with(|core| core.role.lease) else {
+        let Some(lease) = self.with(|core| core.role.lease_id) else {
             return self.enter().await;
         };
         let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm());
@@ -75,7 +75,7 @@
             Outcome::Done(false) => {
                 tracing::info!("lease ended");
                 self.with(|core| {
-                    core.role.lease = None;
+                    core.role.lease_id = None;
                     core.step_down("lease ended", now());
                 });
                 false
@@ -88,7 +88,7 @@
     }
 
     async fn enter(&self) -> bool {
-        if self.with(|core| core.role.abstains.is_some_and(|until| now() < until)) {
+        if self.with(|core| core.role.abstains_until.is_some_and(|until| now() < until)) {
             return false;
         }
         let host = &self.settings.host_name;
@@ -121,7 +121,7 @@
         let Outcome::Done(Verdicts::Committed(revision)) = outcome else { return false };
         *lock(&self.touched) = Some(now());
         self.with(|core| {
-            core.role.lease = Some(lease);
+            core.role.lease_id = Some(lease);
             core.apply_changes(&transaction.changes, revision, now());
         });
         self.wake_role.notify_one();
@@ -132,7 +132,7 @@
     /// makes the switch to it once all members have left theirs.
     async fn settle_layout(&self) {
         for step in [Core::mark_transaction, Core::switch_transaction] {
-            let ready = |core: &mut Core| core.role.lease.and_then(|_| step(core));
+            let ready = |core: &mut Core| core.role.lease_id.and_then(|_| step(core));
             let Some(transaction) = self.with(ready) else { continue };
             match self.state.transact(&transaction, true).await {
                 Outcome::Done(Verdicts::Committed(revision)) => {
@@ -153,11 +153,11 @@
     /// Stands for election if there is no leader.
     async fn stand(&self, random: &mut StdRng) {
         let vacant = |core: &mut Core| {
-            (core.leader.is_none() && core.role.lease.is_some()).then_some(core.role.lease).flatten()
+            (core.leader.is_none() && core.role.lease_id.is_some()).then_some(core.role.lease_id).flatten()
         };
         let own = self.with(|core| {
             let (leader, version) = core.leader.as_ref()?;
-            let unused = core.role.leadership.is_none() && core.role.lease.is_some();
+            let unused = core.role.leader_key_version.is_none() && core.role.lease_id.is_some();
             (unused && leader.identity == core.identity).then_some(*version)
         });
         if let Some(version) = own {
@@ -209,7 +209,7 @@
             let before = (core.role.leased_shards.len(), core.leads(now()));
             core.begin_to_lead(now());
             core.take_leased_shards(now());
-            core.role.contact.is_none() && core.has_role()
+            core.role.last_confirmation_sent.is_none() && core.has_role()
                 || before != (core.role.leased_shards.len(), core.leads(now()))
         });
         if changed {
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -54,7 +54,7 @@
     }
 
     fn leads(&self) -> bool {
-        self.with(|core| core.role.leadership.is_some())
+        self.with(|core| core.role.leader_key_version.is_some())
     }
 
     /// Repeats a request under its name until its outcome is certain. If this
@@ -155,8 +155,8 @@
             );
             let lease = self.with(|core| {
                 core.step_down("cut off from the workers", now());
-                core.role.abstains = Some(now() + ABSTAIN);
-                core.role.lease.take()
+                core.role.abstains_until = Some(now() + ABSTAIN);
+                core.role.lease_id.take()
             });
             if let Some(lease) = lease {
                 let _ = self.state.revoke(lease).await;
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/follow.rs
@@ -26,7 +26,7 @@
                 match self.state.follow(PREFIX, from, WATCH).await {
                     Outcome::Done(Watched::Changes(followed)) => {
                         let some = !followed.log.is_empty();
-                        self.with(|core| core.follow(followed, now()));
+                        self.with(|core| core.apply_watch(followed, now()));
                         if some {
                             sleep(self.follow_gap()).await;
                         }
@@ -50,7 +50,7 @@
         match self.state.list(PREFIX).await {
             Outcome::Done((items, revision)) => {
                 let count = items.len();
-                self.with(|core| core.load(items, revision, now()));
+                self.with(|core| core.load_snapshot(items, revision, now()));
                 tracing::info!(records = count, revision, "records read");
                 self.wake_role.notify_one();
                 self.wake_heartbeat.notify_one();
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -42,7 +42,7 @@
             // this node's alone, and other holders have nothing to do.
             let scarce = self.state.write_room() < 0.3;
             let recent = began.saturating_duration_since(last) < LONGEST_WAIT;
-            if scarce && recent && self.with(|core| core.backed_up()) > 4 * self.committer.enough() {
+            if scarce && recent && self.with(|core| core.commit_backlog()) > 4 * self.committer.enough() {
                 sleep(LONGEST_ROUND / 4).await;
                 self.wake_place.notify_one();
                 continue;
@@ -92,7 +92,7 @@
                 });
                 let _ = joined.await;
             }
-            let lazy = self.with(|core| core.has_deferrable());
+            let lazy = self.with(|core| core.has_non_urgent());
             let pause = if lazy { LAZY_TICK } else { TICK };
             tokio::select! {
                 () = self.wake_flush.notified() => {}
@@ -115,7 +115,7 @@
             };
             match result {
                 UpdateResult::Committed(revision) => {
-                    self.with(|core| core.commit_ended(&update, CommitOutcome::Committed(revision), now()));
+                    self.with(|core| core.finish_commit(&update, CommitOutcome::Committed(revision), now()));
                     return;
                 }
                 UpdateResult::Conflict(failed) => {
@@ -139,7 +139,7 @@
             sleep(pause).await;
             pause = (pause * 2).min(Duration::from_secs(1));
         }
-        self.with(|core| core.commit_ended(&update, CommitOutcome::NotCommitted, now()));
+        self.with(|core| core.finish_commit(&update, CommitOutcome::NotCommitted, now()));
     }
 
     /// Says every half minute how things stand on this node.
@@ -151,15 +151,15 @@
                 leads = s.leads,
                 blocks = s.shards,
                 machines = s.machines,
-                open = s.open_machines,
-                jobs = s.jobs,
-                unallocated = s.unallocated,
-                waiting = s.waiting,
-                placed = s.placed,
-                free_percent = s.free_percent,
+                open = s.schedulable_machines,
+                jobs = s.open_jobs,
+                unallocated = s.unallocated_tasks,
+                waiting = s.waiting_tasks,
+                placed = s.placed_tasks,
+                free_percent = s.free_cpu_percent,
                 usage = ?s.usage,
                 segments = s.segments,
-                bytes = s.bytes,
+                bytes = s.segment_bytes,
                 layout = s.layout,
                 changes_waiting = self.committer.waiting(),
                 write_room = format!("{:.2}", self.state.write_room()),
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -224,7 +224,7 @@
         if wakeups.place {
             self.wake_place.notify_one();
         }
-        if wakeups.flush {
+        if wakeups.commit {
             self.wake_flush.notify_one();
         }
         if wakeups.role {
@@ -237,7 +237,7 @@
         if wakeups.federation {
             self.wake_federation.notify_waiters();
         }
-        if wakeups.end {
+        if wakeups.shutdown {
             self.wake_end.notify_one();
         }
         if !wakeups.command.is_empty() {
@@ -260,7 +260,7 @@
 
     /// Why this process must end, if it must.
     pub fn ended(&self) -> Option<String> {
-        self.with(|core| core.ended.clone())
+        self.with(|core| core.shutdown_reason.clone())
     }
 
     /// Ends all work at once, as the end of the process would.
--- a/crates/dapplecroft-controller/tests/stories/combined_faults.rs
+++ b/crates/dapplecroft-controller/tests/stories/combined_faults.rs
@@ -325,7 +325,7 @@
             c.kill_node(leader);
             c.start_node(leader);
         }
-        most = (0..3).map(|n| c.node(n).with(|core| core.backed_up())).max().max(Some(most)).unwrap();
+        most = (0..3).map(|n| c.node(n).with(|core| core.commit_backlog())).max().max(Some(most)).unwrap();
         pause(0.25 - began.elapsed().as_secs_f64().min(0.24)).await;
     }
     assert!(slowest < Duration::from_secs(3), "{slowest:?}");
--- a/crates/dapplecroft-controller/tests/stories/large_fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/large_fleet.rs
@@ -25,7 +25,7 @@
 /// Every machine is in exactly one live controller's shards and takes work there.
 fn all_machines_are_open(c: &Cluster) -> bool {
     let now = Instant::now().into_std();
-    let open = |n: usize| c.node(n).with(|core| core.summary(now).open_machines);
+    let open = |n: usize| c.node(n).with(|core| core.summary(now).schedulable_machines);
     (0..c.nodes).filter(|n| c.is_up(*n)).map(open).sum::<usize>() == MACHINES
 }
 
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -135,7 +135,9 @@
     (0..3).for_each(|n| c.start_node(n));
     pause(10.0).await;
     let open: usize = (0..3)
-        .map(|n| c.node(n).with(|core| core.summary(tokio::time::Instant::now().into_std()).open_machines))
+        .map(|n| {
+            c.node(n).with(|core| core.summary(tokio::time::Instant::now().into_std()).schedulable_machines)
+        })
         .sum();
     assert!(open >= 590, "{open} machines take work after 10 s");
     c.until_stage("run-1", "done").await;
