--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -1,5 +1,5 @@
-//! What has to be committed, as units that are made whole or not at all: of a
-//! job by the leader, of a shard by its holder.
+//! Builds commits and applies their outcomes. Each commit is one atomic update: of a job's record
+//! by the leader, or of a segment's record by the shard's holder.
 
 use super::Core;
 use super::commit_queue::NextTarget;
@@ -12,50 +12,52 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A proposal that found no room in its shard's record for so long is decided
-/// again.
+/// A proposed placement that did not fit into its segment's record for this long is withdrawn, so
+/// that the task can be placed elsewhere.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Whose records a unit changes.
+/// Job, segment or key whose records a commit changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum CommitTarget {
-    /// A job's.
+    /// The record of a job.
     Job(Arc<str>),
-    /// A shard's, or a segment's of it.
+    /// The record of one segment of a shard, or the shard's single record of the first layout.
     Segment(SegmentId),
-    /// A record that says nothing any more.
+    /// An obsolete record, which the commit deletes.
     ObsoleteKey(String),
 }
 
-/// A unit of changes.
+/// A commit that has been built and not finished.
 #[derive(Debug, Clone)]
 pub struct PendingCommit {
-    /// What it is about.
+    /// Job, segment or key whose records the commit changes.
     pub target: CommitTarget,
-    /// The unit.
+    /// Conditions and changes of the commit.
     pub update: AtomicUpdate,
-    /// Whether urgent work or the end of a job waits for it.
+    /// Whether urgent work or the completion of a job waits for this commit.
     pub urgent: bool,
+    /// Number of the commit, by which its end is told from that of a later commit of the target.
     sequence_number: u64,
+    /// Proposed placements that the commit contains.
     proposals: Vec<(TaskId, Placed)>,
-    /// A segment that is emptied with it, since another takes it in.
+    /// Segment that this commit merges into its target: its record is emptied by the same update.
     merged_segment: Option<SegmentId>,
 }
 
-/// How a unit ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Made, at this revision.
+    /// The update was committed at this revision.
     Committed(u64),
-    /// Not made, and never will be.
+    /// The update was not committed and never will be.
     NotCommitted,
 }
 
 impl Core {
-    /// The next unit to commit, of anything that has none in flight. What ends
-    /// jobs goes first, then allocations and placements. Ends of other tasks wait
-    /// for company, unless changes are plenty (`ample_budget`). While they are scarce,
-    /// what has the highest priority goes first.
+    /// Builds the next commit, for a target that has no commit in flight. Commits that complete
+    /// jobs go first, then allocations and placements. While the write budget is scarce
+    /// (`ample_budget` is false), these are ordered by priority, and exits of tasks that do not
+    /// complete their job wait for others, so that one commit covers several.
     pub fn next_commit(
         &mut self,
         ample_budget: bool,
@@ -89,9 +91,10 @@
         Some(NextTarget { target: CommitTarget::ObsoleteKey(key), urgent: false })
     }
 
-    /// Whether a subject has to wait for the end of a unit in flight; it is
-    /// looked at again then. What a record of the first layout has may be moved
-    /// over only once no write of that is in flight, which could come after it.
+    /// Whether a target has to wait for a commit in flight; if so, it is queued again when that
+    /// commit has finished. A segment also waits for commits of the shard's single record of the
+    /// first layout: tasks may be moved from that record to segments only when no write of it is in
+    /// flight, since such a write could take effect after the move.
     fn must_wait(&mut self, target: &CommitTarget) -> bool {
         if let CommitTarget::Segment(id) = target
             && id.segment.is_some()
@@ -109,12 +112,13 @@
         in_flight
     }
 
-    /// What a subject has to commit, if anything.
+    /// Builds the commit of a target, if the target has anything to commit.
     fn build_commit(&mut self, next: NextTarget, now: Instant) -> Option<PendingCommit> {
         let NextTarget { target, urgent } = next;
         let merged_segment = match &target {
-            // Nothing can be committed of a shard that is no longer leased. Taken in
-            // and restored, its segments would queue each other without end.
+            // Segments of a shard that is no longer leased are not merged: nothing can be
+            // committed there, so the merge would be undone, and undoing it queues the other
+            // segment, which would attempt the same merge without end.
             CommitTarget::Segment(id) if self.is_holder(id.shard) => self.split_or_merge_segment(*id),
             _ => None,
         };
@@ -139,8 +143,9 @@
         Some(PendingCommit { target, update, urgent, sequence_number, proposals, merged_segment })
     }
 
-    /// Sends machines elsewhere if a segment would outgrow a value, or takes in
-    /// another segment, which it returns, if both are light.
+    /// While a shard still has its record of the first layout, moves machines out of a segment
+    /// whose record would exceed the size limit of a value. Otherwise merges another segment into
+    /// this one if both are small; returns the other segment.
     fn split_or_merge_segment(&mut self, id: SegmentId) -> Option<SegmentId> {
         if self.segments.contains_key(&SegmentId::whole(id.shard)) {
             self.relieve(id);
@@ -149,37 +154,38 @@
         self.absorb(id)
     }
 
-    /// Adds to a unit that the segment which is taken in has nothing any more.
+    /// Adds to an update that the record of the merged segment becomes empty.
     fn empty_merged_segment(&self, other: SegmentId, update: &mut AtomicUpdate) {
         let version = self.segments.get(&other).map_or(0, |segment| segment.version);
         update.conditions.push(Condition { key: other.key(), version });
-        // Empty rather than gone: a late copy of what began it must not find it as
-        // it was then.
+        // The record is emptied instead of deleted: a delayed copy of the update that created it
+        // has the condition that the key does not exist, and must not find that true again.
         let value = self.segment_value(other, &SegmentRecord::default());
         update.changes.push(Change::Set { key: other.key(), value, lease: None });
     }
 
-    /// Whether something waits for its turn, or for company.
+    /// Whether any commit is queued that is not urgent.
     pub fn has_non_urgent(&self) -> bool {
         self.commit_queue.has_non_urgent()
     }
 
-    /// Asks for a commit of what a job has to commit.
+    /// Queues a commit of a job's allocations, revocations or completion.
     pub(super) fn queue_job_commit(&mut self, id: &Arc<str>) {
         let Some(job) = self.open_job(id) else { return };
-        let over = !job.is_open() || job.done.len() == job.record.tasks;
+        let finished = !job.is_open() || job.done.len() == job.record.tasks;
         let target = CommitTarget::Job(id.clone());
-        if over {
+        if finished {
             self.commit_queue.push_job_completion(target);
         } else {
-            // The first allocation of an urgent job goes at once.
+            // The first allocation of an urgent job does not wait for its turn by priority.
             let urgent = job.spec.priority < Priority::Normal && self.commit_queue.sent_at(&target).is_none();
             self.commit_queue.push(target, urgent);
         }
         self.wakeups.commit = true;
     }
 
-    /// Asks for a commit of what is proposed in a segment, for urgent work or not.
+    /// Queues a commit of the placements proposed in a segment. `urgent`: whether any of them is of
+    /// urgent work.
     pub(super) fn queue_segment_commit(&mut self, segment: SegmentId, urgent: bool) {
         self.commit_queue.push(CommitTarget::Segment(segment), urgent);
         self.wakeups.commit = true;
@@ -192,13 +198,14 @@
         self.obsolete_keys.pop_first()
     }
 
-    /// Notes that an end of one of a job's tasks has to be committed in a shard.
+    /// Queues a commit of the exit of one of a job's tasks, recorded in a segment.
     pub(super) fn queue_exit_commit(&mut self, id: &Arc<str>, segment: SegmentId, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
-        let more = job.exits.values().filter(|e| e.done).count() as u32;
-        // A replica is wanted again as soon as its end is committed.
-        if !job.is_open() || job.is_service() || job.done.len() + more >= job.record.tasks {
-            // With the last one, earlier ends that still wait for company.
+        let uncommitted_done = job.exits.values().filter(|e| e.done).count() as u32;
+        // An exited service replica is replaced as soon as its exit is committed, so this does not
+        // wait.
+        if !job.is_open() || job.is_service() || job.done.len() + uncommitted_done >= job.record.tasks {
+            // When the last task of a job exits, the job's deferred exits are committed as well.
             let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.segment);
             let segments: BTreeSet<SegmentId> = ended.chain([segment]).collect();
             segments
@@ -210,14 +217,15 @@
         self.wakeups.commit = true;
     }
 
-    /// Takes over the end of a unit.
+    /// Applies the outcome of a commit and queues what waited for it.
     pub fn finish_commit(&mut self, commit: &PendingCommit, outcome: CommitOutcome, now: Instant) {
         self.commit_queue.clear_in_flight(&commit.target, commit.sequence_number);
         if let Some(other) = commit.merged_segment {
             let other = CommitTarget::Segment(other);
             self.commit_queue.clear_merged_in_flight(&other);
             if self.commit_queue.take_requeue(&other) {
-                // An end there that can't wait, or what is proposed: it is here now.
+                // Something was queued for the merged segment meanwhile; it is now part of the
+                // target.
                 self.commit_queue.requeue_after_commit(commit.target.clone());
             }
         }
@@ -241,11 +249,11 @@
         if let (Some(other), CommitTarget::Segment(by)) = (commit.merged_segment, &commit.target) {
             self.absorbed(other, *by, now);
         }
-        // A machine can go while a placement on it is in flight.
+        // A machine can be released while a placement on it is being committed.
         let machines = commit.proposals.iter().map(|(_, placed)| placed.machine.clone());
-        let lost: BTreeSet<Arc<str>> =
+        let released: BTreeSet<Arc<str>> =
             machines.filter(|id| self.released_machines.contains_key(id)).collect();
-        for id in lost {
+        for id in released {
             self.machine_gone(&id, now);
         }
     }
@@ -279,17 +287,18 @@
             && let Some(job) = self.open_job_mut(id)
             && !(job.allocating.is_empty() && job.revoking.is_empty())
         {
-            // Decided while this unit was in flight, and gone with the leadership.
+            // These allocations and revocations were decided while the commit was in flight, and
+            // are void since this process is no longer leader.
             job.allocating.clear();
             job.revoking.clear();
             self.refresh_job(id);
         }
         self.withdraw_unallocated_proposals(id);
-        let more = self.open_job(id).is_some_and(|job| {
+        let has_more = self.open_job(id).is_some_and(|job| {
             let decided = !(job.allocating.is_empty() && job.revoking.is_empty());
             decided || job.done.len() == job.record.tasks
         });
-        if more {
+        if has_more {
             self.queue_job_commit(id);
         }
     }
@@ -309,17 +318,18 @@
         self.continue_move(id.shard, now);
     }
 
-    /// Takes back proposals that found no room in their segment's record, and those
-    /// that are allocated no longer: while a unit of the segment was on its way they
-    /// could not be told from what is in it, and nothing else would come to them.
+    /// Withdraws a segment's proposals that did not fit into its record for `PROPOSAL_TIMEOUT`, and
+    /// those whose allocation was revoked. While a commit of the segment was in flight, they could
+    /// not be told apart from the proposals in that commit, and no other event would withdraw them
+    /// later.
     fn withdraw_stale_proposals(&mut self, segment: SegmentId, now: Instant) {
-        let old = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
+        let timed_out = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
         self.withdraw_shard_proposals_if(segment.shard, |job, index, p| {
-            p.segment == segment && (old(p) || !job.allocates(segment.shard, index))
+            p.segment == segment && (timed_out(p) || !job.allocates(segment.shard, index))
         });
     }
 
-    /// Takes back all that is proposed in a shard and not on its way.
+    /// Withdraws all proposals in a shard that are not in a commit in flight.
     pub(super) fn withdraw_shard_proposals(&mut self, shard: u32) {
         self.withdraw_shard_proposals_if(shard, |_, _, _| true);
     }
@@ -350,7 +360,7 @@
         }
     }
 
-    /// Takes over changes that this process has committed.
+    /// Applies changes that this process has committed to the replica of the records.
     pub fn apply_changes(&mut self, changes: &[Change], revision: u64, now: Instant) {
         for change in changes {
             match change {
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -6,10 +6,10 @@
 use dapplecroft_wire::workers::ExitReason;
 use serde_json::json;
 
-// A storm (seed 504): a task was proposed while its segment was being committed, and
-// taken back from the shard meanwhile. Its proposal stayed: it could not be committed,
-// kept the task from being allocated elsewhere, and on a quiet shard nothing ever came
-// to it again.
+// Guards against a proposal that is never withdrawn. The leader revokes a task's allocation while
+// a commit of the segment in which the task is proposed is in flight. The proposal could not be
+// committed any more, kept the task from being allocated elsewhere, and on a quiet shard nothing
+// withdrew it later (storm test, seed 504).
 #[test]
 fn task_revoked_during_a_segment_commit_can_be_allocated_elsewhere() {
     for end in [CommitOutcome::NotCommitted, CommitOutcome::Committed(13)] {
@@ -27,7 +27,10 @@
         let target = CommitTarget::Segment(segment);
         core.commit_queue.mark_in_flight(target.clone(), 7);
         core.apply("dc/j/run-1", Some(job(json!({"0": [[0, 0]]}))), 12, now);
-        assert!(core.open_job("run-1").unwrap().placed.contains_key(&1), "it may be in the unit");
+        assert!(
+            core.open_job("run-1").unwrap().placed.contains_key(&1),
+            "the proposal may be in the commit in flight"
+        );
         let update = AtomicUpdate::default();
         let commit = PendingCommit {
             target,
@@ -44,9 +47,9 @@
     }
 }
 
-// A segment that another takes in was dropped. A copy of the transaction that had begun
-// it, without an answer and carried out late, would have found it as it was before,
-// not there, and brought back tasks that had ended or moved meanwhile.
+// Guards against a delayed copy of the update that created a segment. When a merged segment's
+// record was deleted, such a copy, unanswered and carried out late, found its condition (the key
+// does not exist) true again and brought back tasks that had ended or moved meanwhile.
 #[test]
 fn merged_segment_record_is_emptied_and_never_deleted() {
     let now = Instant::now();
@@ -72,7 +75,6 @@
     core.apply(&other.key(), Some(span("run-2", "i-2", 0)), 5, now);
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     core.learn_parts(0);
-    // A task of the first segment has ended.
     core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
     let commit = core.next_commit(true, false, now).unwrap();
     assert_eq!((&commit.target, commit.merged_segment), (&CommitTarget::Segment(one), Some(other)));
@@ -82,8 +84,8 @@
     assert_eq!(core.version(&other.key()), 9);
     assert_eq!(core.open_job("run-2").unwrap().placed[&0].segment, one);
     assert!(core.copy_faults().is_empty(), "{:?}", core.copy_faults());
-    // Its number is free, it is taken in only once, and what begins it again names
-    // the version that it has.
+    // The merged segment's number is free again, the segment is not merged a second time, and the
+    // update that uses it again has its present version as a condition.
     assert!(!core.segment_numbers(0).contains(&1));
     core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
     let commit = core.next_commit(true, false, now).unwrap();
@@ -104,9 +106,9 @@
     );
 }
 
-// A day took over 400 s of processor time: a segment of a shard that had been lost was
-// still queued. It took another in, had nothing to commit, and queued the other, which
-// did the same, without end.
+// Guards against an endless loop. A segment of a shard whose lease was lost was still queued: it
+// was merged with another segment, had nothing to commit, and undoing the merge queued the other
+// segment, which did the same. One simulated day took over 400 s of CPU time.
 #[test]
 fn segments_of_a_shard_that_is_not_leased_do_not_queue_each_other() {
     let now = Instant::now();
@@ -124,7 +126,7 @@
     let (one, other) = (SegmentId::new(0, 0), SegmentId::new(0, 1));
     core.apply(&one.key(), Some(record("run-1", "i-1")), 4, now);
     core.apply(&other.key(), Some(record("run-2", "i-2")), 5, now);
-    // Another shard is leased, so this process goes on committing.
+    // This process leases another shard, so it still builds commits.
     core.role.leased_shards.insert(1, ShardLease { epoch: 1, version: 1 });
     let next = NextTarget { target: CommitTarget::Segment(one), urgent: false };
     assert!(core.build_commit(next, now).is_none());
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -1,6 +1,6 @@
-//! Which change goes first while changes are scarce: the one for which the most
-//! processors have waited the longest. One change more or less is as many
-//! processors idle.
+//! Order of commits while the state service's write budget is scarce: the commit with the highest
+//! score goes first. The score is the number of CPUs that wait for the commit times how long they
+//! have waited, since those CPUs stay idle for as long as the commit is delayed.
 
 use super::commit_queue::{CommitQueue, NextTarget};
 use super::{CommitTarget, Core};
@@ -11,32 +11,33 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// While changes are scarce, a segment without urgent work has its turn at most so
-/// often.
+/// While the write budget is scarce, a segment without urgent work is committed at most once in
+/// this interval.
 const SEGMENT_COMMIT_INTERVAL: Duration = Duration::from_millis(1500);
-/// Each allocation outdates what holders are about to commit of the same job, so
-/// while changes are scarce a job has its turn less often than a segment.
+/// While the write budget is scarce, a job is committed at most once in this interval. It is longer
+/// than that of segments because each allocation changes the job's record and so invalidates the
+/// commits of that job that shard holders are preparing.
 const JOB_COMMIT_INTERVAL: Duration = Duration::from_secs(3);
-/// The same for a job of urgent work.
+/// Like `JOB_COMMIT_INTERVAL`, for a job that is more urgent than normal.
 const URGENT_JOB_COMMIT_INTERVAL: Duration = Duration::from_millis(700);
-/// What is waiting in each segment is counted anew so often.
+/// How long the computed priorities of segments are used before they are computed again.
 const SEGMENT_PRIORITIES_TTL: Duration = Duration::from_millis(150);
-/// How much more urgent work counts among what waits. Work that is not urgent
-/// counts less, but a large allocation of it still goes before a few urgent
-/// tasks: they would keep it back for ever.
+/// Factor on the score of urgent commits. It is finite so that a large allocation that is not
+/// urgent still goes before a few urgent tasks; otherwise a steady flow of urgent tasks would delay
+/// the allocation for ever.
 const URGENT_SCORE_FACTOR: f64 = 8.0;
-/// How much more replicas of services count than other tasks.
+/// Factor on the score of service replicas, which go before other tasks.
 const SERVICE_SCORE_FACTOR: f64 = 1000.0;
-/// Bounds on how long a job counts as having waited, in seconds.
+/// Lower and upper bound on the waiting time that counts in a job's score, in seconds.
 const JOB_WAIT_RANGE_S: (f64, f64) = (0.2, 10.0);
-/// What was never sent counts as sent so many seconds ago.
+/// A job or segment that was never committed counts as last committed this long ago, in seconds.
 const NEVER_SENT_AGE_S: f64 = 10.0;
-/// Least time that a proposed task counts as having waited, in seconds.
+/// Lower bound on the waiting time that counts for a proposed task, in seconds.
 const MIN_TASK_WAIT_S: f64 = 0.2;
-/// Score of a subject whose turn has not come.
+/// Score of a job or segment whose commit interval has not passed.
 const SCORE_NOT_DUE: f64 = -1.0;
 
-/// How much each segment has waiting to be committed.
+/// Cached priority of each segment: the CPUs proposed in it, weighted by their waiting time.
 #[derive(Debug, Default)]
 pub(super) struct SegmentPriorities {
     computed_at: Option<Instant>,
@@ -54,7 +55,8 @@
 }
 
 impl Core {
-    /// Takes the next subject to commit while changes are scarce.
+    /// Takes the job or segment with the highest priority from the commit queue. Used while the
+    /// write budget is scarce.
     pub(super) fn take_highest_priority(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
         if self.commit_queue.priorities.is_outdated(now) {
             let by_segment = self.compute_segment_priorities(now);
@@ -75,7 +77,8 @@
         self.commit_queue.next_by_score(only_urgent, score, now)
     }
 
-    /// Processors that are proposed in each segment, by how long they have waited.
+    /// Computes the priority of each held segment: the sum over its uncommitted proposals of the
+    /// task's priority times how long the proposal has waited.
     fn compute_segment_priorities(&self, now: Instant) -> HashMap<SegmentId, f64> {
         let mut priorities: HashMap<SegmentId, f64> = HashMap::new();
         for machine in self.machines.values().filter(|m| self.is_holder(m.shard)) {
@@ -91,8 +94,8 @@
     }
 }
 
-/// The priority of a subject; negative if its turn has not come. `job` is the
-/// open job that it is about, if it is about one.
+/// Returns the priority of a commit target, or `SCORE_NOT_DUE` if its commit interval has not
+/// passed. `job` is the open job to which the target refers, if it is one.
 fn priority(
     queue: &CommitQueue,
     target: &CommitTarget,
@@ -115,7 +118,7 @@
     }
 }
 
-/// How long a subject that is not urgent waits for its next turn.
+/// Returns the shortest interval between two commits of a target that is not urgent.
 fn min_commit_interval(target: &CommitTarget, job: Option<&OpenJob>) -> Duration {
     match target {
         CommitTarget::Segment(_) | CommitTarget::ObsoleteKey(_) => SEGMENT_COMMIT_INTERVAL,
@@ -126,16 +129,18 @@
     }
 }
 
-/// What a task of a job counts among what waits: its processors, and replicas
-/// before all else.
+/// Returns the priority of one task of a job: its CPUs, multiplied for service replicas so that
+/// they go before all other tasks.
 fn task_priority(job: &OpenJob) -> f64 {
     let cpus = job.requirements.resources.cpus.max(1) as f64;
     if job.is_service() { cpus * SERVICE_SCORE_FACTOR } else { cpus }
 }
 
+/// Returns the priority of a job's commit: that of the tasks that it allocates or completes.
 fn job_priority(job: &OpenJob) -> f64 {
     let allocating: u32 = job.allocating.values().map(Ranges::len).sum();
-    // Its end frees quota, and somebody waits for it.
+    // A finished job counts with all its tasks: committing its completion frees the team's quota,
+    // and the user waits for it.
     let finished = job.done.len() == job.record.tasks;
     task_priority(job) * f64::from(allocating + if finished { job.record.tasks } else { 0 })
 }
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -1,5 +1,5 @@
-//! What waits to be committed and what is being committed. The queue decides no
-//! more than the order; what a unit contains is worked out when it is taken.
+//! The queue of commits that wait and the set of commits in flight. The queue decides only the
+//! order; the content of a commit is built when its target is taken from the queue.
 
 use super::CommitTarget;
 use super::commit_priority::SegmentPriorities;
@@ -7,14 +7,14 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Ends of tasks that leave their job unfinished wait this long for others to
-/// share a change with, while changes are scarce.
+/// While the write budget is scarce, task exits that do not finish their job wait this long, so
+/// that one commit can cover several exits of a segment.
 const DEFERRED_EXITS_DELAY: Duration = Duration::from_secs(3);
-/// They wait longer for allocations and placements, but not for ever: a worker
-/// lists its tasks until their ends are committed.
+/// Deferred exits give way to allocations and placements for at most this long: a worker lists an
+/// exited task in its heartbeats until the exit is committed.
 const DEFERRED_EXITS_MAX_DELAY: Duration = Duration::from_secs(8);
 
-/// Subjects without duplicates, first in, first out.
+/// A first-in, first-out queue of commit targets without duplicates.
 #[derive(Debug, Default)]
 struct TargetQueue {
     order: VecDeque<CommitTarget>,
@@ -32,8 +32,8 @@
         self.order.len()
     }
 
-    /// The position and score of the subject with the highest score, of equal
-    /// ones the first; none whose score is below 0.
+    /// Returns the position and score of the target with the highest score, the first one among
+    /// equals. Targets with a negative score are skipped.
     fn highest_score(&self, score: impl Fn(&CommitTarget) -> f64) -> Option<(usize, f64)> {
         let mut best: Option<(usize, f64)> = None;
         for (position, target) in self.order.iter().enumerate() {
@@ -58,12 +58,12 @@
     }
 }
 
-/// What is to be committed next.
+/// A target taken from the commit queue, to be committed next.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct NextTarget {
-    /// Whose records change.
+    /// Job, segment or key whose records the commit changes.
     pub target: CommitTarget,
-    /// Whether urgent work or the end of a job waits for it.
+    /// Whether urgent work or the completion of a job waits for this commit.
     pub urgent: bool,
 }
 
@@ -77,82 +77,88 @@
     }
 }
 
-/// The commit queue of one controller. Each subject has at most one unit in
-/// flight; what comes up meanwhile is looked at again when that has ended.
+/// The commit queue of one controller. Each target has at most one commit in flight; a target that
+/// is taken while its commit is in flight is queued again when that commit has finished.
 #[derive(Debug, Default)]
 pub(super) struct CommitQueue {
-    /// What ends jobs.
+    /// Jobs and segments whose commit goes before all others: it completes a job, or contains exits
+    /// of cancelled jobs or service replicas.
     job_completions: TargetQueue,
-    /// Jobs with allocations, and segments with placements, of urgent work.
+    /// Jobs with allocations and segments with placements of urgent work.
     urgent: TargetQueue,
-    /// Those of other work.
+    /// Jobs with allocations and segments with placements of other work.
     normal: TargetQueue,
-    /// Segments with nothing but ends of tasks to commit, since when.
+    /// Segments that have only task exits to commit, and since when.
     deferred_exits: VecDeque<(Instant, SegmentId)>,
-    /// When something of a subject was last sent to be committed.
+    /// When the last commit of each target was sent.
     sent_at: HashMap<CommitTarget, Instant>,
-    /// Units in flight, by number.
+    /// Targets that a commit in flight changes, with the commit's sequence number.
     in_flight: HashMap<CommitTarget, u64>,
-    /// Subjects that have more to commit once their unit has ended.
+    /// Targets to queue again once their commit in flight has finished.
     requeue: HashSet<CommitTarget>,
-    /// Subjects that wait for the end of another one's unit.
+    /// Targets that must wait until the commit of another target has finished, by that other
+    /// target.
     blocked: HashMap<CommitTarget, HashSet<CommitTarget>>,
-    /// Number of the last unit.
+    /// Sequence number of the last commit.
     last_sequence_number: u64,
-    /// How much each segment has waiting to be committed.
+    /// Cached priorities of segments, used while the write budget is scarce.
     pub priorities: SegmentPriorities,
 }
 
 impl CommitQueue {
-    /// Queues what ends a job: it goes before all else.
+    /// Queues a target whose commit goes before all others, since it completes a job or contains
+    /// exits of cancelled jobs or service replicas.
     pub fn push_job_completion(&mut self, target: CommitTarget) {
         self.job_completions.push(target);
     }
 
-    /// Queues allocations or placements.
+    /// Queues a target with allocations or placements.
     pub fn push(&mut self, target: CommitTarget, urgent: bool) {
         if urgent { self.urgent.push(target) } else { self.normal.push(target) }
     }
 
-    /// Queues ends of tasks, which wait for others to share a change with.
+    /// Queues a segment whose task exits may wait, so that one commit can cover several of them.
     pub fn defer_exit(&mut self, segment: SegmentId, now: Instant) {
         if !self.deferred_exits.iter().any(|(_, s)| *s == segment) {
             self.deferred_exits.push_back((now, segment));
         }
     }
 
-    /// Deferred ends of one segment are recorded in another from now on.
+    /// Moves the deferred exits of segment `from` to segment `to`, into which `from` has been
+    /// merged.
     pub fn move_deferred_exits(&mut self, from: SegmentId, to: SegmentId, now: Instant) {
         self.deferred_exits.retain(|(_, segment)| *segment != from);
         self.deferred_exits.push_back((now, to));
     }
 
-    /// Drops the deferred ends of a shard that is no longer leased.
+    /// Drops the deferred exits of a shard that this controller no longer leases.
     pub fn drop_deferred_exits(&mut self, shard: u32) {
         self.deferred_exits.retain(|(_, segment)| segment.shard != shard);
     }
 
-    /// How many subjects have allocations or placements that wait.
+    /// Returns how many targets with allocations or placements are queued.
     pub fn backlog(&self) -> usize {
         self.urgent.len() + self.normal.len()
     }
 
-    /// Whether anything waits that is not urgent.
+    /// Whether any target is queued that is not urgent.
     pub fn has_non_urgent(&self) -> bool {
         !self.deferred_exits.is_empty() || self.normal.len() > 0
     }
 
-    /// When something of a subject was last sent.
+    /// Returns when the last commit of a target was sent.
     pub fn sent_at(&self, target: &CommitTarget) -> Option<Instant> {
         self.sent_at.get(target).copied()
     }
 
-    /// Forgets when a subject was last sent.
+    /// Forgets when the last commit of a target was sent.
     pub fn forget_sent(&mut self, target: &CommitTarget) {
         self.sent_at.remove(target);
     }
 
-    /// Takes the next subject while changes are plenty: first come, first served.
+    /// Takes the next target while the write budget is ample: job completions first, then urgent
+    /// targets, overdue exits, other allocations and placements, and all other exits, each in the
+    /// order of arrival.
     pub fn next_in_order(&mut self, only_urgent: bool, now: Instant) -> Option<NextTarget> {
         if let Some(target) = self.job_completions.pop().or_else(|| self.urgent.pop()) {
             return Some(NextTarget::urgent(target));
@@ -167,8 +173,9 @@
         target.map(NextTarget::normal)
     }
 
-    /// Takes the next subject while changes are scarce: the one with the highest
-    /// score. The score is told whether the subject is queued as urgent.
+    /// Takes the next target while the write budget is scarce: job completions first, then overdue
+    /// exits, then the target with the highest score. The third argument of `score` says whether
+    /// the target is queued as urgent.
     pub fn next_by_score(
         &mut self,
         only_urgent: bool,
@@ -213,63 +220,64 @@
         Some(CommitTarget::Segment(segment))
     }
 
-    /// Whether a unit of a subject is in flight.
+    /// Whether a commit that changes the target is in flight.
     pub fn is_in_flight(&self, target: &CommitTarget) -> bool {
         self.in_flight.contains_key(target)
     }
 
-    /// Whether a unit of any segment of a shard is in flight.
+    /// Whether a commit of any segment of the shard is in flight.
     pub fn is_shard_in_flight(&self, shard: u32) -> bool {
         self.in_flight
             .keys()
             .any(|target| matches!(target, CommitTarget::Segment(segment) if segment.shard == shard))
     }
 
-    /// A number for a new unit.
+    /// Returns the sequence number for a new commit.
     pub fn next_sequence_number(&mut self) -> u64 {
         self.last_sequence_number += 1;
         self.last_sequence_number
     }
 
-    /// Notes that a unit is in flight that changes a subject.
+    /// Notes that the commit with this sequence number, which changes the target, is in flight.
     pub fn mark_in_flight(&mut self, target: CommitTarget, sequence_number: u64) {
         self.in_flight.insert(target, sequence_number);
     }
 
-    /// Notes when a subject's own unit was sent.
+    /// Notes when a commit of the target was sent.
     pub fn record_sent(&mut self, target: CommitTarget, now: Instant) {
         self.sent_at.insert(target, now);
     }
 
-    /// Notes the end of a unit, unless a later one of the subject is in flight.
+    /// Notes that a commit of the target has finished. Does nothing if a later commit of the target
+    /// is in flight.
     pub fn clear_in_flight(&mut self, target: &CommitTarget, sequence_number: u64) {
         if self.in_flight.get(target) == Some(&sequence_number) {
             self.in_flight.remove(target);
         }
     }
 
-    /// Notes that a subject that another unit changed too is free again.
+    /// Notes that the commit which merged the target, a segment, into another segment has finished.
     pub fn clear_merged_in_flight(&mut self, target: &CommitTarget) {
         self.in_flight.remove(target);
     }
 
-    /// Looks at a subject again once its unit in flight has ended.
+    /// Queues the target again once its commit in flight has finished.
     pub fn requeue_after_commit(&mut self, target: CommitTarget) {
         self.requeue.insert(target);
     }
 
-    /// Whether a subject was to be looked at again; it no longer is.
+    /// Returns whether the target was to be queued again after its commit, and cancels that.
     pub fn take_requeue(&mut self, target: &CommitTarget) -> bool {
         self.requeue.remove(target)
     }
 
-    /// Holds a subject back until another one's unit has ended.
+    /// Holds `target` back until the commit of `blocker` has finished.
     pub fn block_on(&mut self, blocker: CommitTarget, target: CommitTarget) {
         self.blocked.entry(blocker).or_default().insert(target);
     }
 
-    /// Queues what waited for the end of a subject's unit; returns whether
-    /// anything did.
+    /// Queues the targets that waited for the commit of `blocker` to finish, and `blocker` itself
+    /// if it was to be queued again. Returns whether any target was queued.
     pub fn release_blocked(&mut self, blocker: &CommitTarget) -> bool {
         let mut released = false;
         for target in self.blocked.remove(blocker).unwrap_or_default() {
--- a/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue/tests.rs
@@ -27,7 +27,8 @@
     assert_eq!(queue.next_by_score(false, flat, later), Some(NextTarget::normal(segment(3))));
 }
 
-// Urgent segments that came and came once kept large allocations back for ever.
+// Guards against starvation: with urgent work always first, urgent segments that were queued again
+// and again kept large allocations of other work waiting for ever.
 #[test]
 fn higher_score_precedes_urgent_work_and_negative_score_is_skipped() {
     let now = Instant::now();
@@ -53,7 +54,7 @@
     assert!(queue.is_in_flight(&segment(1)) && queue.is_shard_in_flight(0) && !queue.is_shard_in_flight(1));
     queue.requeue_after_commit(segment(1));
     queue.block_on(segment(1), segment(2));
-    // The end of an earlier unit ends no later one.
+    // A commit with another sequence number does not clear the one in flight.
     queue.clear_in_flight(&segment(1), sequence_number + 1);
     assert!(queue.is_in_flight(&segment(1)));
     queue.clear_in_flight(&segment(1), sequence_number);
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -1,6 +1,6 @@
-//! What a controller knows and decides, without input or output: the copy of
-//! the records, the workers' sessions, and the difference between what is
-//! wanted and what is. The loops around it carry out what it asks for.
+//! The state and decisions of a controller, without input or output: the replica of the state
+//! service's records, the workers' sessions, and the plans that bring the cluster to the wanted
+//! state. The loops of the node carry out what this module decides.
 
 mod allocation;
 mod capacity_usage;
@@ -56,210 +56,223 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What this process is entitled to.
+/// Role of this process: the leadership and the shard leases that it holds.
 #[derive(Debug, Default)]
 pub struct Role {
-    /// The lease on which its keys hang.
+    /// Lease in the state service to which this process's keys are attached.
     pub lease_id: Option<u64>,
-    /// Version of the leader's key, if this process wrote it.
+    /// Version of the leader's key in the state service, if this process is the leader and wrote
+    /// it.
     pub leader_key_version: Option<u64>,
-    /// The shards that this process holds.
+    /// Shards that this process leases from the leader, by shard number.
     pub leased_shards: BTreeMap<u32, ShardLease>,
-    /// When a request was sent that confirmed its role, once the copy of the
-    /// records had caught up with that confirmation.
+    /// When the last request that confirmed this process's role was sent. A confirmation counts
+    /// only once the replica of the records has applied all changes up to the confirmation's
+    /// revision.
     pub last_confirmation_sent: Option<Instant>,
-    /// Takes no role before: it was cut off from its workers.
+    /// This process takes no role before this time, because it was cut off from the workers that
+    /// other controllers could reach.
     pub abstains_until: Option<Instant>,
-    /// Counts how often it was given up: a confirmation that was asked for
-    /// before says nothing of what was taken up since.
+    /// How often this process has given up its role. A confirmation that was requested in an
+    /// earlier generation says nothing about a role taken since.
     generation: u64,
+    /// Confirmations of the role whose revision is not applied yet: when each was requested, and its
+    /// revision.
     unapplied_confirmations: VecDeque<(Instant, u64)>,
 }
 
-/// What loops have to be woken for.
+/// Which of the node's loops have to be woken.
 #[derive(Debug, Default)]
 pub struct Wakeups {
-    /// Something may be placed now.
+    /// Tasks may have become placeable.
     pub place: bool,
-    /// Jobs have changes to commit.
+    /// Jobs or segments have changes to commit.
     pub commit: bool,
-    /// Machines have direct commands to receive.
+    /// Machines to whose workers a command has to be sent directly.
     pub command: BTreeSet<Arc<str>>,
-    /// The leader's key or a shard changed.
+    /// The leader's key, a shard's lease or the list of live controllers changed.
     pub role: bool,
-    /// The fleet may need a change.
+    /// Machines may have to be rented or released.
     pub fleet: bool,
-    /// A job is away, or its user wants it cancelled there.
+    /// A job has been handed over to another cell, or its user wants it cancelled there.
     pub federation: bool,
-    /// This process must end.
+    /// This process must shut down.
     pub shutdown: bool,
 }
 
-/// A group of machines, as recorded.
+/// A group of machines and its record in the state service.
 #[derive(Debug, Clone)]
 pub struct Group {
     /// The record.
     pub record: GroupRecord,
-    /// Its version; 0 while it is not committed.
+    /// Version of the group's record in the state service; 0 while the record is not committed.
     pub version: u64,
-    /// Whether a write of it is on its way.
+    /// Whether a write of the group's record is in flight.
     pub write_in_flight: bool,
-    /// Whether a member's address is known and not in the record.
+    /// Whether the address of a member machine is known but not in the record yet.
     pub addresses_unrecorded: bool,
 }
 
-/// How things stand on a node.
+/// Summary of a controller's state, for the log.
 #[derive(Debug, Default, Clone)]
 pub struct NodeSummary {
-    /// Whether it leads.
+    /// Whether this controller is the leader.
     pub leads: bool,
-    /// Shards that it holds.
+    /// Number of shards that this controller holds.
     pub shards: usize,
-    /// Machines in them.
+    /// Number of machines in the held shards.
     pub machines: usize,
-    /// Those that take work.
+    /// Number of machines in the held shards that accept tasks.
     pub schedulable_machines: usize,
-    /// Tasks booked on them.
+    /// Number of tasks placed on machines of the held shards, including placements that are not
+    /// committed yet.
     pub placed_tasks: usize,
-    /// Tasks that wait in them.
+    /// Number of tasks that are allocated to the held shards and wait for a machine.
     pub waiting_tasks: u32,
-    /// Jobs that are not over, anywhere.
+    /// Number of jobs in the whole cell that are neither final nor handed over to another cell.
     pub open_jobs: usize,
-    /// Tasks that no shard has.
+    /// Number of tasks that are not allocated to any shard.
     pub unallocated_tasks: u32,
-    /// Records of what runs in its shards, and their bytes.
+    /// Number of non-empty segment records of the held shards.
     pub segments: usize,
-    /// How many bytes they take together.
+    /// Size of these segment records together, in bytes.
     pub segment_bytes: usize,
-    /// Processors that are free on machines that take work, in percent.
+    /// Share of the CPUs of machines that accept tasks which is free, in percent.
     pub free_cpu_percent: i64,
-    /// What the processors of all its machines are used for.
+    /// What the CPUs of all machines in the held shards are used for.
     pub usage: CapacityUsage,
-    /// The layout of the records in force.
+    /// Layout of the records that is in force.
     pub layout: u32,
 }
 
-/// What runs in a shard, as recorded.
+/// A segment: one bounded record of the tasks placed in a shard.
 #[derive(Debug, Clone, Default)]
 pub struct Segment {
     /// The record.
     pub record: SegmentRecord,
-    /// Its version.
+    /// Version of the segment's record in the state service.
     pub version: u64,
-    /// How many bytes it takes.
+    /// Size of the record as stored, in bytes.
     pub size_bytes: usize,
-    /// How many it may come to take by ends of what it has.
+    /// Estimate of the size in bytes to which the record may grow when the tasks in it end, since ends
+    /// split task ranges and add completed ranges.
     pub max_size_bytes: usize,
 }
 
 impl Segment {
-    /// Whether it says nothing: another segment has taken in what it had.
+    /// Whether the record is empty, because another segment has taken over its content.
     fn is_empty(&self) -> bool {
         self.record == SegmentRecord::default()
     }
 }
 
-/// A controller's knowledge and decisions.
+/// The state of one controller, with the functions that decide on it.
 pub struct Core {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub settings: Arc<Settings>,
-    /// The operators' settings.
+    /// Settings of the operators.
     pub options: Options,
-    /// The identity of this process.
+    /// Identity of this process, unique to each start.
     pub identity: String,
-    /// Whether the records have been read.
+    /// Whether the records have been read completely once.
     pub loaded: bool,
-    /// The layout of the records that is in force, as their record says.
+    /// Layout of the records that is in force, according to the layout record in the state service.
     pub active_layout: u32,
-    /// The layouts that controllers were once seen to know.
+    /// Highest layout that each controller is known to support, by host name.
     pub known_layouts: BTreeMap<String, u32>,
-    /// Why this process must end.
+    /// Why this process must shut down, if it must.
     pub shutdown_reason: Option<String>,
-    /// Records that could not be read.
+    /// How many records could not be parsed.
     pub unreadable_records: u64,
-    /// Revision up to which changes are known.
+    /// Applied revision: all changes up to it have been applied to the replica.
     pub applied_revision: u64,
+    /// Version of each key that exists.
     record_versions: HashMap<String, u64, RandomState>,
+    /// Versions at which keys were deleted, as far as they are beyond the applied revision.
     deleted_versions: HashMap<String, u64>,
-    /// Jobs.
+    /// All jobs that the records name, by id.
     pub jobs: HashMap<Arc<str>, Job, RandomState>,
-    /// Jobs that are not final.
+    /// Ids of the jobs that are in `Job::Open`.
     pub open_jobs: BTreeSet<Arc<str>>,
-    /// Jobs that have waiting tasks.
+    /// Ids of the open jobs that have tasks to allocate to a shard or to place on a machine.
     pub waiting_jobs: BTreeSet<Arc<str>>,
-    /// What waits to be committed.
+    /// Jobs, segments and keys that have something to commit, and commits in flight.
     commit_queue: CommitQueue,
-    /// Work that came lately.
+    /// Work that was submitted recently, from which the idle reserve is derived.
     arrivals: idle_reserve::Arrivals,
-    /// Jobs that were withdrawn, or of which something was taken back, and about
-    /// which something earlier may not be known yet.
+    /// Jobs that were cancelled, or whose allocation was partly revoked, by a change beyond the
+    /// applied revision. Placements committed before that change may not be in the replica yet.
     unsettled_jobs: BTreeSet<Arc<str>>,
-    /// Machines, in an order that does not hang on chance.
+    /// Machines by id. The map iterates in an order that does not depend on its hash seed, so that
+    /// decisions can be reproduced.
     pub machines: IndexMap<Arc<str>, Machine, RandomState>,
-    /// Machines of each shard by what is free of their processors, so that a
-    /// task looks only at those where it may fit.
+    /// Machines of each shard, ordered by their free CPUs, so that a task is compared only with
+    /// machines on which it may fit.
     machines_by_free_cpus: BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
-    /// Room that other holders have told of.
+    /// Free capacity that other shard holders have reported, ahead of their records.
     capacity_hints: BTreeMap<SegmentId, allocation::Hint>,
-    /// What runs in each shard, by its records.
+    /// Segment records of all shards: which tasks are placed on which machine.
     pub segments: BTreeMap<SegmentId, Segment>,
-    /// What proposals add to the weight of segments.
+    /// Bytes that proposals not committed yet may add to each segment's record.
     proposed_bytes: BTreeMap<SegmentId, usize>,
-    /// Segments that others are about to take in.
+    /// Segments that are being merged into another one by a commit that has not finished.
     merging_segments: BTreeSet<SegmentId>,
-    /// What was proposed last, and where.
+    /// The last proposal whose size was added to `proposed_bytes`, and its segment. The next task
+    /// of the same job may extend its span and then takes fewer bytes.
     last_sized_proposal: Option<(SegmentId, TaskId)>,
-    /// What segments take over from records of the first layout.
+    /// Completed ranges and attempt numbers that the next commit of a segment takes over, from a
+    /// shard's record of the first layout or from a segment that is merged into it.
     inherited_results: BTreeMap<SegmentId, migration::Inherited>,
-    /// Completed tasks in records of their own, by job.
+    /// Completed tasks that are kept in records of their own, by job and record number.
     completed_records: HashMap<Arc<str>, BTreeMap<u32, Ranges>>,
-    /// Keys that say nothing any more.
+    /// Keys whose records are obsolete and can be deleted.
     obsolete_keys: BTreeSet<String>,
-    /// Machines that left a group's record, until the copy has caught up with that.
+    /// Machines that left a group's record by a change beyond the applied revision.
     departed_machines: Vec<groups::Departed>,
-    /// Segments of the machine types: of how many, and which.
+    /// Records that hold the machine types in pages, by page number.
     catalog_pages: BTreeMap<u32, record_replica::CatalogPage>,
-    /// Groups of machines.
+    /// Groups of machines, by name.
     pub groups: BTreeMap<Arc<str>, Group>,
-    /// Teams.
+    /// Teams with their guaranteed quota, quota limit and usage.
     pub teams: Teams,
-    /// The leader's record and version.
+    /// The leader's record and its version, if there is a leader.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The shards' records and versions.
+    /// Each shard's record and its version.
     pub shards: BTreeMap<u32, (ShardRecord, u64)>,
-    /// Live controllers.
+    /// Records of the live controllers, by host name.
     pub live_controllers: BTreeMap<String, LiveRecord>,
-    /// Since when this process knows each of them.
+    /// Since when this process has known each live controller's present identity.
     pub controller_live_since: BTreeMap<String, Instant>,
-    /// Machine types.
+    /// Machine types that the cloud offers, once known.
     pub catalog: Option<Catalog>,
-    /// The drains under way, by shard.
+    /// Record and version of the drain under way in each shard.
     pub drains: BTreeMap<u32, (DrainRecord, u64)>,
-    /// What this process is entitled to.
+    /// Leadership and shard leases of this process.
     pub role: Role,
-    /// Tasks seen on machines where no record has them.
+    /// Tasks that a worker reports although no record places them on its machine. They must end
+    /// before the same task may run elsewhere.
     pub unexpected_tasks: HashMap<TaskId, Arc<str>>,
-    /// Machines whose release was answered, and when.
+    /// When the cloud confirmed the release of each machine.
     pub released_machines: HashMap<Arc<str>, Instant>,
-    /// Tasks that found no place in the last round.
+    /// Tasks that found no machine in the last placement round, from which scale-out is planned.
     pub unplaced_demand: Vec<Demand>,
-    /// Loops to wake.
+    /// Loops to wake since the last call of `take_wakeups`.
     pub wakeups: Wakeups,
     fleet: fleet::FleetState,
     drain_state: drain::DrainState,
     last_preemption: Option<Instant>,
-    /// What is known of hand-overs to and from other cells.
+    /// State of the hand-overs of jobs to and from other cells.
     pub(crate) federation: federation::FederationState,
-    /// What is known of admission control, where it is on.
+    /// State of admission control, if it is configured.
     credit: Option<credit::CreditState>,
-    /// Whether the policy of admission control demands credit.
+    /// Whether the admission policy in force requires credit for submissions.
     admission_in_force: bool,
-    /// The time of day at the last round, in seconds since 1970.
+    /// Wall-clock time of the last placement round, in seconds since 1970.
     wall_clock_s: f64,
 }
 
 impl Core {
-    /// A core that knows nothing yet.
+    /// Returns a core whose replica of the records is still empty.
     pub fn new(settings: Arc<Settings>, options: Options, identity: String) -> Self {
         let teams = Teams::new(settings.params.teams.iter().map(|t| {
             (t.name.clone(), Resources::new(t.cpus, t.gpus, 0.0), Resources::new(t.cpus_max, t.gpus_max, 0.0))
@@ -318,11 +331,11 @@
         }
     }
 
-    /// Counts a task on a machine.
+    /// Adds a task to a machine and reserves the task's resources there.
     fn add_task_to_machine(&mut self, task: &TaskId, machine: &Arc<str>, shard: u32, now: Instant) {
         let Some(job) = self.open_job(&task.job) else { return };
         let (resources, image) = (job.requirements.resources, job.requirements.image.clone());
-        // A placement can name a machine that was released since.
+        // A placement can name a machine that has been released since.
         let machine =
             self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, shard, now));
         if machine.tasks.insert(task.clone()) {
@@ -336,7 +349,8 @@
         }
     }
 
-    /// Counts a task out again.
+    /// Removes a task from its machine and frees the task's resources, unless `free_exited_task`
+    /// has freed them already.
     fn remove_task_from_machine(&mut self, task: &TaskId, placed: &Placed, resources: Resources) {
         if let Some(machine) = self.machines.get_mut(&placed.machine)
             && machine.tasks.remove(task)
@@ -349,9 +363,9 @@
         self.wakeups.place = true;
     }
 
-    /// Frees the room of a task that has left its machine by proof. The record
-    /// of its end is on its way; what is placed in that room is committed with
-    /// it or after it, since both are in the same record.
+    /// Frees the resources of a task that provably no longer runs on its machine, before the end of
+    /// the task is committed. A new placement in the freed room is committed together with that end
+    /// or after it, since both are in the same segment record.
     fn free_exited_task(&mut self, task: &TaskId) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
         let resources = job.requirements.resources;
@@ -365,13 +379,14 @@
         self.wakeups.place = true;
     }
 
-    /// Brings what is derived from a job's records up to date.
+    /// Recomputes what is derived from a job's records: the state of its tasks, the team's quota
+    /// usage and whether the job has waiting tasks.
     fn refresh_job(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         job.derive();
-        // A withdrawal, or what was taken back from a shard, can be known before
-        // a placement that came before it: what was counted stays counted until
-        // the copy has caught up.
+        // A cancellation or a revoked allocation can be in the replica before a placement that was
+        // committed earlier. Until the replica has caught up with it, the team's usage is not
+        // reduced.
         let settled = job.settles_at() <= self.applied_revision;
         let counts = match (settled, job.is_open()) {
             (true, _) => job.counts(),
@@ -394,12 +409,12 @@
         }
     }
 
-    /// How many jobs have allocations or placements that wait to be committed.
+    /// How many jobs and segments have allocations or placements waiting to be committed.
     pub fn commit_backlog(&self) -> usize {
         self.commit_queue.backlog()
     }
 
-    /// A job that is not over.
+    /// Returns a job if it is in `Job::Open`.
     pub fn open_job(&self, id: &str) -> Option<&OpenJob> {
         match self.jobs.get(id) {
             Some(Job::Open(job)) => Some(job),
@@ -414,19 +429,20 @@
         }
     }
 
-    /// Takes back all proposed placements of a job that are not on their way.
+    /// Withdraws all proposed placements of a job that are not in a commit in flight.
     fn withdraw_proposals(&mut self, id: &Arc<str>) {
         self.withdraw_proposals_if(id, |_, _, _| true);
     }
 
-    /// Takes back proposals for tasks that the leader has taken back since from
-    /// the shard: the record that they would be bound to no longer allows them.
+    /// Withdraws proposals for tasks whose allocation to the shard the leader has revoked. They
+    /// could not be committed, since the job's record no longer allocates these tasks to the shard.
     fn withdraw_unallocated_proposals(&mut self, id: &Arc<str>) {
         self.withdraw_proposals_if(id, |job, index, p| !job.allocates(p.segment.shard, index));
     }
 
-    /// Takes back proposed placements. Those in a shard with a unit on its way
-    /// may be in it: they are settled with it.
+    /// Withdraws the proposed placements of a job for which `should_withdraw` returns true.
+    /// Proposals in a segment with a commit in flight stay, since they may be part of that commit;
+    /// its outcome settles them.
     fn withdraw_proposals_if(
         &mut self,
         id: &Arc<str>,
@@ -449,7 +465,7 @@
         self.refresh_job(id);
     }
 
-    /// Takes back a proposed placement; the caller derives the job anew.
+    /// Removes a proposed placement. The caller must call `refresh_job` afterwards.
     fn remove_proposal(&mut self, task: &TaskId, placed: &Placed) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
         if job.placed.get(&task.index).is_none_or(|p| p.committed || p.attempt != placed.attempt) {
@@ -460,7 +476,7 @@
         self.remove_task_from_machine(task, placed, resources);
     }
 
-    /// How things stand, for the log.
+    /// Summarizes this controller's state for the log.
     pub fn summary(&self, now: Instant) -> NodeSummary {
         let silence = self.silence();
         let mut summary = NodeSummary {
@@ -497,13 +513,14 @@
         summary
     }
 
-    /// Takes what loops have to be woken for.
+    /// Returns which loops have to be woken and resets the list.
     pub fn take_wakeups(&mut self) -> Wakeups {
         std::mem::take(&mut self.wakeups)
     }
 }
 
-/// Moves a machine within the index of free processors.
+/// Moves a machine to its present position in the index of free CPUs. `before` is the number of
+/// free CPUs under which the machine is indexed now.
 fn update_free_cpu_index(
     machines_by_free_cpus: &mut BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     machine: &Machine,
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -1,4 +1,4 @@
-//! The copy of the records, and what follows from each change of it.
+//! The replica of the state service's records, and the consequences of each change to it.
 
 use super::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob, Placed, Stop, TaskId};
@@ -17,34 +17,37 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Some of the machine types, and in how many records all of them are.
+/// One page of the machine types. The catalog is stored in several records, since it may exceed the
+/// size limit of one value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct CatalogPage {
-    /// How many records there are.
+    /// Number of pages of the whole catalog.
     #[serde(rename = "of")]
     pub total: u32,
-    /// The types in this one.
+    /// Machine types on this page.
     #[serde(rename = "hulls")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// Unreadable records are told of one by one up to so many.
+/// At most this many unreadable records are logged one by one.
 const MAX_LOGGED_UNREADABLE: u64 = 50;
 
 impl Core {
-    /// Takes over a full reading of the records.
+    /// Replaces the replica with a complete listing of the records at a revision. Changes known to
+    /// be newer than that revision are kept.
     pub fn load_snapshot(&mut self, items: Vec<Item>, revision: u64, now: Instant) {
         let present: HashSet<&str> = items.iter().map(|i| i.key.as_str()).collect();
-        let vanished: Vec<String> = self
+        let deleted: Vec<String> = self
             .record_versions
             .iter()
             .filter(|(key, version)| **version <= revision && !present.contains(key.as_str()))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in vanished {
+        for key in deleted {
             self.apply(&key, None, revision, now);
         }
-        // In the order of keys, jobs and machines come before placements.
+        // The listing is sorted by key, and the keys of jobs and machine groups come before those
+        // of placements, which refer to them.
         for item in items {
             self.apply(&item.key, Some(item.value), item.version, now);
         }
@@ -52,7 +55,8 @@
         self.advance_applied_revision(revision);
     }
 
-    /// Notes that all changes up to a revision are known.
+    /// Notes that all changes up to a revision have been applied, and takes the decisions that
+    /// waited for that.
     pub fn advance_applied_revision(&mut self, revision: u64) {
         self.applied_revision = self.applied_revision.max(revision);
         let applied_revision = self.applied_revision;
@@ -77,25 +81,26 @@
             self.commit_if_finished(&id);
         }
         self.settle_departed(Instant::now());
-        // What was leased to this process may be known well enough by now.
-        let waits = |version: u64| version <= applied_revision;
+        // The replica may now be complete enough for a shard that was leased to this process, or
+        // for the work as leader, to begin.
+        let is_applied = |version: u64| version <= applied_revision;
         let leased = self.shards.iter().any(|(n, (b, version))| {
-            b.identity == self.identity && waits(*version) && !self.role.leased_shards.contains_key(n)
+            b.identity == self.identity && is_applied(*version) && !self.role.leased_shards.contains_key(n)
         });
-        if leased || self.role.leader_key_version.is_some_and(waits) && !self.fleet.ready() {
+        if leased || self.role.leader_key_version.is_some_and(is_applied) && !self.fleet.ready() {
             self.wakeups.role = true;
         }
     }
 
-    /// The known version of a key; 0 if it is not known to exist.
+    /// Returns the known version of a key, or 0 if the key is not known to exist.
     pub fn version(&self, key: &str) -> u64 {
         self.record_versions.get(key).copied().unwrap_or(0)
     }
 
-    /// Takes over what a watch brought, up to a revision.
+    /// Applies the changes that a watch returned and advances the applied revision.
     pub fn apply_watch(&mut self, followed: Followed, now: Instant) {
-        // Changes come in no order, and perhaps only the last one of each key:
-        // what others refer to goes first, so that nothing refers to a job or a
+        // The changes are in no particular order and may include only the last one of each key.
+        // Records that others refer to are applied first, so that no record refers to a job or a
         // machine that is not known yet.
         let mut log = followed.log;
         log.sort_by_key(|l| {
@@ -117,8 +122,9 @@
         self.advance_applied_revision(followed.revision);
     }
 
-    /// Takes over one change. Changes arrive from the watch, from own commits
-    /// and from single readings, so one that is not newer is ignored.
+    /// Applies one change to the replica. A change can arrive from the watch, from this process's
+    /// own commits and from single reads, so one that is not newer than the known version is
+    /// ignored.
     pub fn apply(&mut self, key: &str, value: Option<Value>, version: u64, now: Instant) {
         if !self.advance_version(key, value.is_some(), version) {
             return;
@@ -150,9 +156,9 @@
                 }
             }
             Some(Key::Group(name)) => {
-                let dropped = value.is_none();
+                let deleted = value.is_none();
                 let record = value.and_then(|v| self.log_if_unreadable(key, legacy::read_group(v)));
-                if dropped || record.is_some() {
+                if deleted || record.is_some() {
                     self.apply_group(name, record, version, now);
                 }
             }
@@ -185,11 +191,12 @@
                     None => self.drains.remove(&shard),
                 };
             }
-            None => tracing::debug!(key, "a key of another version of the program"),
+            None => tracing::debug!(key, "ignoring a key that this version of the program does not know"),
         }
     }
 
-    /// Notes the version of a key; `false`: as much or more is known already.
+    /// Sets the known version of a key. Returns false, without a change, if the same or a newer
+    /// version is known already.
     fn advance_version(&mut self, key: &str, exists: bool, version: u64) -> bool {
         let known = self.version(key).max(self.deleted_versions.get(key).copied().unwrap_or(0));
         if version <= known {
@@ -207,13 +214,14 @@
         true
     }
 
+    /// Applies the record in which a controller states the highest layout that it supports.
     fn apply_known_layout(&mut self, host: &str, record: LayoutRecord) {
         let known = self.known_layouts.entry(host.to_string()).or_default();
         *known = record.layout.max(*known);
         self.wakeups.role = true;
     }
 
-    /// The record of what runs in a segment; empty if it was dropped.
+    /// Parses the record of a segment; returns an empty one if the record was deleted.
     fn read_segment(&mut self, id: SegmentId, key: &str, value: Option<Value>) -> Option<SegmentRecord> {
         match value {
             None => Some(SegmentRecord::default()),
@@ -222,6 +230,7 @@
         }
     }
 
+    /// Applies the leader's record; resigns if another leader has replaced this process.
     fn apply_leader(&mut self, record: Option<LeaderRecord>, version: u64, now: Instant) {
         self.leader = record.map(|r| (r, version));
         self.wakeups.role = true;
@@ -230,6 +239,7 @@
         }
     }
 
+    /// Applies a shard's record; gives up the shard if it has been leased anew.
     fn apply_shard(&mut self, shard: u32, record: Option<ShardRecord>, version: u64, now: Instant) {
         match record {
             Some(record) => self.shards.insert(shard, (record, version)),
@@ -265,7 +275,8 @@
         }
     }
 
-    /// A leader has the types from the cloud, with the present prices.
+    /// Sets the machine types from their records. The leader keeps those it has: it reads them from
+    /// the cloud, with current prices.
     fn set_machine_types(&mut self, catalog: Catalog) {
         if self.role.leader_key_version.is_none() || self.catalog.is_none() {
             self.catalog = Some(catalog);
@@ -273,7 +284,7 @@
         }
     }
 
-    /// The machine types as their records say, once all of those are known.
+    /// Assembles the machine types from their records. Returns `None` until all pages are known.
     pub(super) fn recorded_catalog(&self) -> Option<Catalog> {
         let total = self.catalog_pages.get(&0)?.total;
         let mut machine_types = Vec::new();
@@ -284,7 +295,7 @@
         Some(Catalog { machine_types })
     }
 
-    /// Completed tasks in a record of their own.
+    /// Applies a record that holds completed tasks of a job outside the segments.
     fn apply_completed_tasks(&mut self, id: &str, part: u32, record: Option<CompletedTasksRecord>) {
         let id: Arc<str> = id.into();
         match record {
@@ -307,7 +318,8 @@
         }
     }
 
-    /// What was refused of another cell's transfers, or finished of them there.
+    /// Applies a record about jobs that another cell handed over: a transfer that was refused, or
+    /// that cell's watermark, up to which it has finished its transfers.
     fn apply_transfer(&mut self, key: &str, parsed: Key, value: Option<Value>) {
         match parsed {
             Key::Refusal(cell, incarnation, job) => {
@@ -331,7 +343,8 @@
         }
     }
 
-    /// Only jobs of other cells are ever dropped: given back, or long over.
+    /// Applies the deletion of a job's record. Only jobs of other cells are deleted: those given
+    /// back to their home cell, and those finished long ago.
     fn apply_deleted_job(&mut self, id: &str) {
         let id: Arc<str> = id.into();
         self.forget_job(&id);
@@ -348,7 +361,8 @@
         };
         self.note_job_charge(&id, &record);
         if record.spec.is_none() {
-            // Final for good: everything about it can be forgotten but this.
+            // The job is final for good. Only its stage and its number of completed tasks are
+            // kept.
             self.forget_job(&id);
             let done = record.done.unwrap_or(0);
             self.jobs.insert(id, Job::Final { stage: record.stage, done });
@@ -360,7 +374,8 @@
         match self.jobs.get_mut(&id) {
             Some(Job::Final { .. }) => return,
             Some(Job::Open(job)) => {
-                // What was being allocated or taken back is in the record now.
+                // The record now contains allocations and revocations that were waiting to be
+                // committed.
                 for (shard, allocated) in &record.allocated {
                     if let Some(own) = job.allocating.get_mut(shard) {
                         *own = own.without(allocated);
@@ -393,7 +408,7 @@
         self.stop_cancelled_job(&id);
         self.refresh_job(&id);
         self.withdraw_unallocated_proposals(&id);
-        // What was proposed on this allocation can be committed now.
+        // Proposals that waited for this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
             let urgent = job.spec.priority < Priority::Normal;
             let own: BTreeSet<SegmentId> =
@@ -403,7 +418,8 @@
         self.commit_if_finished(&id);
     }
 
-    /// A job that is away takes no part in anything here.
+    /// Applies the record of a job that was handed over to another cell. The job takes no part in
+    /// the scheduling of this cell.
     fn apply_away_job(&mut self, id: &Arc<str>, record: JobRecord, version: u64) {
         let heard = match self.jobs.get(id) {
             Some(Job::Final { .. }) => return,
@@ -419,7 +435,7 @@
         self.wakeups.federation = true;
     }
 
-    /// Asks for the end of all tasks of a withdrawn job.
+    /// Stops all tasks of a cancelled job and withdraws its proposals.
     fn stop_cancelled_job(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         if job.is_open() {
@@ -437,22 +453,24 @@
         self.withdraw_proposals(id);
     }
 
-    /// The leader ends jobs; while there is none, whoever acts at all does.
+    /// Queues a commit that makes a job final if it is finished or cancelled. The leader does this;
+    /// while there is no leader, any process that holds a shard may.
     pub(super) fn commit_if_finished(&mut self, id: &Arc<str>) {
         if self.role.leader_key_version.is_none() && (self.leader.is_some() || !self.has_role()) {
             return;
         }
         let Some(job) = self.open_job(id) else { return };
-        let over = if job.is_open() {
+        let finished = if job.is_open() {
             job.done.len() == job.record.tasks
         } else {
             !job.placed.values().any(|p| p.committed)
         };
-        if over {
+        if finished {
             self.queue_job_commit(id);
         }
     }
 
+    /// Removes all that is derived from a job's records, and frees its machines and quota.
     fn forget_job(&mut self, id: &Arc<str>) {
         if let Some(Job::Open(job)) = self.jobs.get(id) {
             let resources = job.requirements.resources;
@@ -472,18 +490,25 @@
         self.waiting_jobs.remove(id);
     }
 
+    /// Parses a record; returns `None` if the record was deleted or cannot be parsed.
     pub(super) fn parse_record<T: DeserializeOwned>(&mut self, key: &str, value: Option<Value>) -> Option<T> {
         self.log_if_unreadable(key, serde_json::from_value(value?))
     }
 
-    /// A record that can't be read is left as it is, told of and counted.
+    /// Returns the parsed record. A record that cannot be parsed is left in the state service as it
+    /// is, logged and counted.
     fn log_if_unreadable<T>(&mut self, key: &str, read: Result<T, serde_json::Error>) -> Option<T> {
         match read {
             Ok(record) => Some(record),
             Err(error) => {
                 self.unreadable_records += 1;
                 if self.unreadable_records <= MAX_LOGGED_UNREADABLE {
-                    tracing::error!(key, %error, all = self.unreadable_records, "a record cannot be read");
+                    tracing::error!(
+                        key,
+                        %error,
+                        all = self.unreadable_records,
+                        "cannot parse a record of the state service; ignoring this change"
+                    );
                 }
                 None
             }
--- a/crates/dapplecroft-controller/src/core/record_replica/tests.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica/tests.rs
@@ -26,7 +26,7 @@
     one.apply("dc/p/0", Some(segment()), 9, now);
     one.apply("dc/j/run-1", Some(job()), 5, now);
     assert_known(&one);
-    // The same from a watch that tells of changes in no order.
+    // The same changes from a watch, which returns them in no particular order.
     let mut two = core();
     let set = |key: &str, data: Value, version| Logged {
         set: Some(key.into()),
@@ -51,8 +51,9 @@
     assert_eq!((placed.committed, placed.session), (true, 2));
 }
 
-// After a cut, ten tasks ran twice: a shard's newest record was read by
-// itself after a conflict, then the watch caught up with older ones.
+// Guards against tasks that run twice. After a network partition, a conflict made the controller
+// read the newest record of one shard by itself; then the watch returned older records of another
+// shard, from which the task had moved, and these hid its present placement (ten tasks ran twice).
 #[test]
 fn older_record_of_another_shard_does_not_hide_a_moved_task() {
     let now = Instant::now();
@@ -85,7 +86,7 @@
     core.apply("dc/j/run-1", Some(job()), 5, now);
     let used = |core: &Core| core.teams.get("t").map_or(0, |b| b.used.cpus);
     assert_eq!(used(&core), 4000);
-    // The withdrawal is known before the placements that came before it.
+    // The cancellation is applied before the placements that were committed earlier.
     let mut withdrawn = job();
     withdrawn["stage"] = json!("withdrawn");
     core.apply("dc/j/run-1", Some(withdrawn), 12, now);
@@ -95,9 +96,10 @@
     assert_eq!(used(&core), 2000);
 }
 
-// The leader had taken a task back from a shard just as it was placed there; a
-// node that had read the job by itself, and not that placement yet, made the
-// withdrawn job final: its task still ran, and counted against no team.
+// Guards against a cancelled job that becomes final while one of its tasks runs and counts against
+// no team. The leader had revoked a task's allocation to a shard just as the task was placed
+// there; a controller that had read the job's record by itself, and did not know the placement
+// yet, made the cancelled job final.
 #[test]
 fn cancelled_job_becomes_final_only_after_earlier_changes_are_applied() {
     let now = Instant::now();
@@ -112,15 +114,15 @@
     let log = vec![Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 }];
     core.apply_watch(Followed { revision: 12, log }, now);
     assert!(!core.open_job("run-1").unwrap().placed.is_empty() && !is_final(&core));
-    // The same without that placement.
+    // The same without that placement: the job becomes final.
     let mut core = self::core();
     core.apply("dc/j/run-1", Some(taken_back), 12, now);
     core.apply_watch(Followed { revision: 12, log: Vec::new() }, now);
     assert!(is_final(&core));
 }
 
-// What the leader took back from a shard was free for other jobs of the team at
-// once, although it may have been placed there just before.
+// Guards against usage above a team's quota: a revoked allocation was available to the team's
+// other jobs at once, although the task could have been placed just before the revocation.
 #[test]
 fn revoked_allocation_keeps_its_quota_usage_until_earlier_changes_are_applied() {
     let now = Instant::now();
@@ -136,7 +138,7 @@
         let mut taken_back = job();
         taken_back["to"] = json!({});
         core.apply("dc/j/run-1", Some(taken_back), 12, now);
-        assert_eq!(used(&core), before, "not proven yet");
+        assert_eq!(used(&core), before, "the usage stays until revision 12 is applied");
         let set = Logged { set: Some("dc/p/0".into()), drop: None, data: Some(segment()), version: 9 };
         let log = if placed { vec![set] } else { Vec::new() };
         core.apply_watch(Followed { revision: 12, log }, now);
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of this module have in common.
+//! Fixtures shared by the tests of the core.
 
 use super::Core;
 use crate::jobs::Placed;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// A core of a controller with one team and no records.
+/// Returns the core of a controller with one team `t` and no records.
 pub(super) fn core() -> Core {
     let settings = json!({"host_name": "c-0", "listen": "10.0.0.1:1", "back": "10.0.0.1:2",
         "external": {"cloud": "10.0.0.2:1", "state": "10.0.0.2:2"},
@@ -20,15 +20,15 @@
     Core::new(settings.into(), Options::default(), "p".into())
 }
 
-/// The record of an open job, as the first layout wrote it, with tasks of one
-/// CPU and what is allocated of them to each shard.
+/// Returns the record of an open job in the first layout. Each task needs one CPU; `allocated` maps
+/// shard numbers to the ranges of tasks that are allocated to them.
 pub(super) fn job_record(id: &str, tasks: u32, allocated: Value) -> Value {
     json!({"stage": "open", "tasks": tasks, "to": allocated, "spec": {"id": id, "lane": "c", "crew": "t",
         "form": "sweep", "rank": "normal", "shares": tasks, "cpus": 1.0, "gpus": 0.0, "memory_gb": 1.0,
         "reckon_s": 10.0}})
 }
 
-/// A task that is proposed for a machine in a segment.
+/// Returns a placement on a machine that is proposed in a segment and not committed.
 pub(super) fn proposed_placement(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placed {
     Placed {
         attempt,
