--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -128,8 +128,8 @@
             CommitTarget::ObsoleteKey(key) => self.obsolete_key_update(key),
         };
         let Some((mut update, proposals)) = update else {
-            if let (Some(other), CommitTarget::Segment(by)) = (merged_segment, target) {
-                self.restore(other, by);
+            if let (Some(other), CommitTarget::Segment(into)) = (merged_segment, target) {
+                self.restore(other, into);
             }
             return None;
         };
@@ -246,8 +246,8 @@
 
     fn apply_committed(&mut self, commit: &PendingCommit, revision: u64, now: Instant) {
         self.apply_changes(&commit.update.changes, revision, now);
-        if let (Some(other), CommitTarget::Segment(by)) = (commit.merged_segment, &commit.target) {
-            self.absorbed(other, *by, now);
+        if let (Some(other), CommitTarget::Segment(into)) = (commit.merged_segment, &commit.target) {
+            self.absorbed(other, *into, now);
         }
         // A machine can be released while a placement on it is being committed.
         let machines = commit.proposals.iter().map(|(_, placed)| placed.machine.clone());
@@ -259,10 +259,10 @@
     }
 
     fn revert_uncommitted(&mut self, commit: &PendingCommit) {
-        if let (Some(other), CommitTarget::Segment(by)) = (commit.merged_segment, &commit.target)
-            && self.is_holder(by.shard)
+        if let (Some(other), CommitTarget::Segment(into)) = (commit.merged_segment, &commit.target)
+            && self.is_holder(into.shard)
         {
-            self.restore(other, *by);
+            self.restore(other, *into);
         }
         let mut jobs: BTreeSet<Arc<str>> = BTreeSet::new();
         for (task, placed) in &commit.proposals {
@@ -343,8 +343,8 @@
         for task in self.machines.values().filter(|m| m.shard == shard).flat_map(|m| &m.tasks) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
-            let own = !p.committed && p.segment.shard == shard;
-            if own
+            let is_proposed = !p.committed && p.segment.shard == shard;
+            if is_proposed
                 && should_withdraw(job, task.index, p)
                 && !self.commit_queue.is_in_flight(&CommitTarget::Segment(p.segment))
             {
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -258,8 +258,11 @@
     pub unplaced_demand: Vec<Demand>,
     /// Loops to wake since the last call of `take_wakeups`.
     pub wakeups: Wakeups,
+    /// State of renting and releasing machines.
     fleet: fleet::FleetState,
+    /// State of the drains that this controller starts.
     drain_state: drain::DrainState,
+    /// When this controller last preempted tasks.
     last_preemption: Option<Instant>,
     /// State of the hand-overs of jobs to and from other cells.
     pub(crate) federation: federation::FederationState,
@@ -339,13 +342,13 @@
         let machine =
             self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, shard, now));
         if machine.tasks.insert(task.clone()) {
-            let before = machine.room().cpus;
+            let free_cpus_before = machine.room().cpus;
             machine.booked += resources;
             machine.idle_since = None;
             if let Some(image) = image {
                 machine.note_image(image, false);
             }
-            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, free_cpus_before);
         }
     }
 
@@ -356,9 +359,9 @@
             && machine.tasks.remove(task)
             && !placed.freed
         {
-            let before = machine.room().cpus;
+            let free_cpus_before = machine.room().cpus;
             machine.booked -= resources;
-            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, free_cpus_before);
         }
         self.wakeups.place = true;
     }
@@ -372,9 +375,9 @@
         let Some(placed) = job.placed.get_mut(&task.index).filter(|p| !p.freed) else { return };
         placed.freed = true;
         if let Some(machine) = self.machines.get_mut(&placed.machine) {
-            let before = machine.room().cpus;
+            let free_cpus_before = machine.room().cpus;
             machine.booked -= resources;
-            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
+            update_free_cpu_index(&mut self.machines_by_free_cpus, machine, free_cpus_before);
         }
         self.wakeups.place = true;
     }
@@ -388,13 +391,13 @@
         // committed earlier. Until the replica has caught up with it, the team's usage is not
         // reduced.
         let settled = job.settles_at() <= self.applied_revision;
-        let counts = match (settled, job.is_open()) {
+        let counted = match (settled, job.is_open()) {
             (true, _) => job.counts(),
             (false, true) => job.counts().max(job.counted),
             (false, false) => job.counted,
         };
-        let change = counts - job.counted;
-        job.counted = counts;
+        let change = counted - job.counted;
+        job.counted = counted;
         let (team, resources) = (job.spec.team.clone(), job.requirements.resources);
         self.teams.book(&team, resources.times(change));
         self.refresh_waiting_job(id);
@@ -486,29 +489,29 @@
             ..NodeSummary::default()
         };
         summary.usage = self.capacity_usage(now);
-        let (mut free, mut all) = (0, 0);
+        let (mut free_cpus, mut all_cpus) = (0, 0);
         for machine in self.machines.values() {
             let Some(shard_lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             summary.machines += 1;
             summary.placed_tasks += machine.tasks.len();
             if machine.open(shard_lease.epoch, silence, now) {
                 summary.schedulable_machines += 1;
-                free += machine.room().cpus;
-                all += machine.capacity.cpus;
+                free_cpus += machine.room().cpus;
+                all_cpus += machine.capacity.cpus;
             }
         }
-        summary.free_cpu_percent = (free * 100).checked_div(all).unwrap_or(0);
-        let own =
+        summary.free_cpu_percent = (free_cpus * 100).checked_div(all_cpus).unwrap_or(0);
+        let held =
             self.segments.iter().filter(|(id, segment)| self.is_holder(id.shard) && !segment.is_empty());
-        for (_, segment) in own {
+        for (_, segment) in held {
             summary.segments += 1;
             summary.segment_bytes += segment.size_bytes;
         }
         summary.layout = self.active_layout;
         for job in self.open_jobs.iter().filter_map(|id| self.open_job(id)) {
             summary.unallocated_tasks += job.unallocated.len();
-            let own = job.waiting.iter().filter(|(b, _)| self.is_holder(**b));
-            summary.waiting_tasks += own.map(|(_, r)| r.len()).sum::<u32>();
+            let held = job.waiting.iter().filter(|(shard, _)| self.is_holder(**shard));
+            summary.waiting_tasks += held.map(|(_, r)| r.len()).sum::<u32>();
         }
         summary
     }
@@ -519,14 +522,14 @@
     }
 }
 
-/// Moves a machine to its present position in the index of free CPUs. `before` is the number of
-/// free CPUs under which the machine is indexed now.
+/// Moves a machine to its present position in the index of free CPUs. `free_cpus_before` is the
+/// number of free CPUs under which the machine is indexed now.
 fn update_free_cpu_index(
     machines_by_free_cpus: &mut BTreeMap<u32, BTreeSet<(i64, Arc<str>)>>,
     machine: &Machine,
-    before: i64,
+    free_cpus_before: i64,
 ) {
     let shard = machines_by_free_cpus.entry(machine.shard).or_default();
-    shard.remove(&(before, machine.id.clone()));
+    shard.remove(&(free_cpus_before, machine.id.clone()));
     shard.insert((machine.room().cpus, machine.id.clone()));
 }
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -84,8 +84,10 @@
         // The replica may now be complete enough for a shard that was leased to this process, or
         // for the work as leader, to begin.
         let is_applied = |version: u64| version <= applied_revision;
-        let leased = self.shards.iter().any(|(n, (b, version))| {
-            b.identity == self.identity && is_applied(*version) && !self.role.leased_shards.contains_key(n)
+        let leased = self.shards.iter().any(|(number, (shard, version))| {
+            shard.identity == self.identity
+                && is_applied(*version)
+                && !self.role.leased_shards.contains_key(number)
         });
         if leased || self.role.leader_key_version.is_some_and(is_applied) && !self.fleet.ready() {
             self.wakeups.role = true;
@@ -258,8 +260,9 @@
             self.controller_live_since.remove(host);
             return;
         };
-        let same = self.live_controllers.get(host).is_some_and(|live| live.identity == record.identity);
-        if !same {
+        let same_process =
+            self.live_controllers.get(host).is_some_and(|live| live.identity == record.identity);
+        if !same_process {
             self.controller_live_since.insert(host.to_string(), now);
         }
         self.live_controllers.insert(host.to_string(), record);
@@ -306,8 +309,8 @@
                 self.obsolete_keys.insert(crate::records::completed_tasks_key(&id, part));
             }
             None => {
-                if let Some(own) = self.completed_records.get_mut(&id) {
-                    own.remove(&part);
+                if let Some(records) = self.completed_records.get_mut(&id) {
+                    records.remove(&part);
                 }
             }
         }
@@ -377,8 +380,8 @@
                 // The record now contains allocations and revocations that were waiting to be
                 // committed.
                 for (shard, allocated) in &record.allocated {
-                    if let Some(own) = job.allocating.get_mut(shard) {
-                        *own = own.without(allocated);
+                    if let Some(allocating) = job.allocating.get_mut(shard) {
+                        *allocating = allocating.without(allocated);
                     }
                 }
                 if !job.revoking.is_empty() {
@@ -411,9 +414,9 @@
         // Proposals that waited for this allocation can be committed now.
         if let Some(job) = self.open_job(&id) {
             let urgent = job.spec.priority < Priority::Normal;
-            let own: BTreeSet<SegmentId> =
+            let segments: BTreeSet<SegmentId> =
                 job.placed.values().filter(|p| !p.committed).map(|p| p.segment).collect();
-            own.into_iter().for_each(|segment| self.queue_segment_commit(segment, urgent));
+            segments.into_iter().for_each(|segment| self.queue_segment_commit(segment, urgent));
         }
         self.commit_if_finished(&id);
     }
