--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -101,7 +101,7 @@
             let mut segment_id = None;
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
-                if let Some(placed) = job.placed.get(&task.index).filter(|p| p.freed) {
+                if let Some(placed) = job.placed.get(&task.index).filter(|p| p.resources_freed) {
                     freed += job.requirements.resources;
                     segment_id = Some(placed.segment);
                 }
@@ -214,7 +214,7 @@
         let Some(job) = self.open_job(id).filter(|j| j.is_open() && !j.unallocated.is_empty()) else {
             return;
         };
-        if job.revoked > self.applied_revision {
+        if job.last_revocation_version > self.applied_revision {
             // What was taken back from a shard may have been placed there just
             // before: that is known once the copy has caught up.
             return;
@@ -227,11 +227,11 @@
             return;
         }
         let requirements = job.requirements.clone();
-        let spare = job.failed_on.is_empty();
+        let spare = job.failed_machines.is_empty();
         if round.is_full(None, &requirements) {
             return self.allocate_ahead(id, left, round, now);
         }
-        let constrained = job.is_constrained();
+        let constrained = job.has_zone_constraint();
         let mut fits = self.shard_fits(id, job, left, round, now);
         if constrained {
             fits.truncate(1);
@@ -289,7 +289,7 @@
             .map(|(shard, _)| self.fit(id, job, *shard, round, now))
             .filter(|fit| fit.total > 0)
             .collect();
-        if job.is_constrained()
+        if job.has_zone_constraint()
             && let Some(bound) = bound_shard(job)
         {
             fits.retain(|fit| fit.shard == bound);
@@ -309,7 +309,7 @@
         now: Instant,
     ) -> bool {
         let Some(job) = self.open_job(id) else { return false };
-        let ranges = job.unallocated.head_from(self.allocation_start(job, shard), count);
+        let ranges = job.unallocated.first_n_from(self.allocation_start(job, shard), count);
         let Some(job) = self.open_job_mut(id) else { return false };
         let before = job.allocating.clone();
         let own = job.allocating.entry(shard).or_default();
@@ -362,7 +362,7 @@
 
     /// How many processors each shard has that are up.
     pub(super) fn measure_shards(&self, round: &mut Round) {
-        for machine in self.machines.values().filter(|m| m.seems_open()) {
+        for machine in self.machines.values().filter(|m| m.likely_accepts_tasks()) {
             *round.sizes.entry(machine.shard).or_default() += machine.capacity.cpus;
             if !machine.spot {
                 *round.ordinary.entry(machine.shard).or_default() += machine.capacity.cpus;
@@ -379,7 +379,8 @@
         let requirements = job.requirements.clone();
         let cpus = requirements.resources.cpus;
         let urgent = job.spec.priority < Priority::Normal;
-        let limited = job.is_constrained() || requirements.types.is_some() || requirements.zone.is_some();
+        let limited =
+            job.has_zone_constraint() || requirements.types.is_some() || requirements.zone.is_some();
         let service = job.is_service();
         // What can't run on spot machines is taken ahead only if it is urgent,
         // since it may have to be made room for.
@@ -417,8 +418,8 @@
     /// Takes back what a shard could not start soon, if others could.
     pub(super) fn take_back_stalled(&mut self, id: &Arc<str>, round: &Round, now: Instant) {
         let Some(job) = self.open_job_mut(id) else { return };
-        let (waiting, old) = (&job.waiting, &job.stalled);
-        job.stalled = waiting
+        let (waiting, old) = (&job.waiting, &job.first_waiting);
+        job.first_waiting = waiting
             .iter()
             .map(|(shard, ranges)| {
                 let same = old.get(shard).filter(|(_, first)| Some(*first) == ranges.first());
@@ -426,7 +427,7 @@
             })
             .collect();
         let stalled: Vec<u32> = job
-            .stalled
+            .first_waiting
             .iter()
             .filter(|(_, (since, _))| now.saturating_duration_since(*since) >= STALLED)
             .map(|(shard, _)| *shard)
@@ -443,21 +444,21 @@
             let served = self.is_served(shard);
             // Constraints on zones hold across all tasks of a job: as long as one is
             // on a machine, the others stay with the holder that sees it.
-            let constrained = job.is_constrained();
+            let constrained = job.has_zone_constraint();
             if !elsewhere && served || constrained && !job.placed.is_empty() {
                 continue;
             }
             let most = if constrained { job.record.tasks } else { 1000 };
-            let ranges: Ranges = job.waiting.get(&shard).cloned().unwrap_or_default().head(most);
+            let ranges: Ranges = job.waiting.get(&shard).cloned().unwrap_or_default().first_n(most);
             let allocated = job.record.allocated.get(&shard).cloned().unwrap_or_default();
             // What is not committed yet can't be taken back yet.
-            let ranges = ranges.without(&ranges.without(&allocated));
+            let ranges = ranges.difference(&ranges.difference(&allocated));
             if ranges.is_empty() {
                 continue;
             }
             tracing::debug!(job = %id, block = shard, tasks = ranges.len(), "taken back from a block");
             if let Some(job) = self.open_job_mut(id) {
-                job.stalled.remove(&shard);
+                job.first_waiting.remove(&shard);
                 let own = job.revoking.entry(shard).or_default();
                 *own = own.union(&ranges);
             }
--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -29,23 +29,23 @@
 impl CapacityUsage {
     fn add_task(&mut self, core: &Core, task: &TaskId) {
         let Some(job) = core.open_job(&task.job) else { return };
-        let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { return };
+        let Some(placed) = job.placed.get(&task.index).filter(|p| !p.resources_freed) else { return };
         let use_of = match placed {
             p if !p.committed => &mut self.committing,
-            p if p.running.is_none() => &mut self.fetching,
-            p if p.stop.is_some() => &mut self.stopping,
+            p if p.running_since.is_none() => &mut self.fetching,
+            p if p.stop_reason.is_some() => &mut self.stopping,
             _ => &mut self.running,
         };
         *use_of += job.requirements.resources.cpus;
     }
 
     fn add_machine(&mut self, core: &Core, machine: &Machine, open: bool) {
-        if machine.heard.is_none() {
+        if machine.last_heartbeat.is_none() {
             self.booting += machine.capacity.cpus;
             return;
         }
         let free = if open { &mut self.free } else { &mut self.closed };
-        *free += machine.room().cpus;
+        *free += machine.free_resources().cpus;
         for task in &machine.tasks {
             self.add_task(core, task);
         }
@@ -72,7 +72,7 @@
         let mut usage = CapacityUsage::default();
         for machine in self.machines.values() {
             let Some(lease) = self.role.leased_shards.get(&machine.shard) else { continue };
-            usage.add_machine(self, machine, machine.open(lease.epoch, silence, now));
+            usage.add_machine(self, machine, machine.accepts_tasks(lease.epoch, silence, now));
         }
         usage.in_whole_cpus()
     }
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::commit_queue::NextTarget;
-use crate::jobs::{OpenJob, Placed, TaskId};
+use crate::jobs::{OpenJob, Placement, TaskId};
 use crate::records::{SegmentId, SegmentRecord};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
@@ -37,7 +37,7 @@
     /// Whether urgent work or the end of a job waits for it.
     pub urgent: bool,
     number: u64,
-    proposals: Vec<(TaskId, Placed)>,
+    proposals: Vec<(TaskId, Placement)>,
     /// A segment that is emptied with it, since another takes it in.
     absorbed: Option<SegmentId>,
 }
@@ -190,11 +190,11 @@
     /// Notes that an end of one of a job's tasks has to be committed in a shard.
     pub(super) fn note_end(&mut self, id: &Arc<str>, segment: SegmentId, now: Instant) {
         let Some(job) = self.open_job(id) else { return };
-        let more = job.exits.values().filter(|e| e.done).count() as u32;
+        let more = job.uncommitted_exits.values().filter(|e| e.completed).count() as u32;
         // A replica is wanted again as soon as its end is committed.
         if !job.is_open() || job.is_service() || job.done.len() + more >= job.record.tasks {
             // With the last one, earlier ends that still wait for company.
-            let ended = job.exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.segment);
+            let ended = job.uncommitted_exits.keys().filter_map(|i| job.placed.get(i)).map(|p| p.segment);
             let segments: BTreeSet<SegmentId> = ended.chain([segment]).collect();
             segments
                 .into_iter()
@@ -308,9 +308,9 @@
     /// that are allocated no longer: while a unit of the segment was on its way they
     /// could not be told from what is in it, and nothing else would come to them.
     fn drop_void(&mut self, segment: SegmentId, now: Instant) {
-        let old = |p: &Placed| now.saturating_duration_since(p.since) > PROPOSAL_TIMEOUT;
+        let old = |p: &Placement| now.saturating_duration_since(p.learned_at) > PROPOSAL_TIMEOUT;
         self.drop_placed(segment.shard, |job, index, p| {
-            p.segment == segment && (old(p) || !job.allocates(segment.shard, index))
+            p.segment == segment && (old(p) || !job.is_allocated_to(segment.shard, index))
         });
     }
 
@@ -319,8 +319,8 @@
         self.drop_placed(shard, |_, _, _| true);
     }
 
-    fn drop_placed(&mut self, shard: u32, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
-        let mut proposed: Vec<(TaskId, Placed)> = Vec::new();
+    fn drop_placed(&mut self, shard: u32, void: impl Fn(&OpenJob, u32, &Placement) -> bool) {
+        let mut proposed: Vec<(TaskId, Placement)> = Vec::new();
         for task in self.machines.values().filter(|m| m.shard == shard).flat_map(|m| &m.tasks) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(p) = job.placed.get(&task.index) else { continue };
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::ShardLease;
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Job;
-use crate::records::{SegmentRecord, Span};
+use crate::records::{SegmentRecord, TaskSpan};
 use dapplecroft_wire::workers::ExitReason;
 use serde_json::json;
 
@@ -54,7 +54,7 @@
             jobs: vec![job.into()],
             machines: [(
                 machine.into(),
-                vec![Span { job: 0, first: index, last: index, attempt: 1, session: 1 }],
+                vec![TaskSpan { job: 0, first: index, last: index, attempt: 1, session: 1 }],
             )]
             .into(),
             ..SegmentRecord::default()
@@ -110,7 +110,7 @@
     core.apply("dc/j/run-1", Some(job("run-1")), 2, now);
     core.apply("dc/j/run-2", Some(job("run-2")), 3, now);
     let record = |job: &str, machine: &str| {
-        let span = Span { job: 0, first: 0, last: 0, attempt: 1, session: 1 };
+        let span = TaskSpan { job: 0, first: 0, last: 0, attempt: 1, session: 1 };
         let machines = [(machine.into(), vec![span])].into();
         serde_json::to_value(SegmentRecord { jobs: vec![job.into()], machines, ..SegmentRecord::default() })
             .unwrap()
--- a/crates/dapplecroft-controller/src/core/commit_priority.rs
+++ b/crates/dapplecroft-controller/src/core/commit_priority.rs
@@ -82,7 +82,7 @@
             for task in &machine.tasks {
                 let Some(job) = self.open_job(&task.job) else { continue };
                 let Some(placed) = job.placed.get(&task.index).filter(|p| !p.committed) else { continue };
-                let waited = now.saturating_duration_since(placed.since).as_secs_f64();
+                let waited = now.saturating_duration_since(placed.learned_at).as_secs_f64();
                 *priorities.entry(placed.segment).or_default() +=
                     task_priority(job) * waited.max(LEAST_TASK_WAIT_S);
             }
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -172,7 +172,7 @@
             charge: tag.as_ref().map_or_else(reckoned, |tag: &CreditTag| tag.charge),
             tag,
             over: record.spec.is_none() && record.stage != JobStage::Away,
-            accepted_at: record.at,
+            accepted_at: record.submitted_at,
         }
     }
 
@@ -209,6 +209,6 @@
 
     /// What proves that the copy is new: any condition that holds will do.
     pub fn credit_conditions(&self) -> Vec<Condition> {
-        vec![self.unchanged(records::ADMISSION_POLICY.into())]
+        vec![self.unchanged(records::ADMISSION_POLICY_KEY.into())]
     }
 }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -84,17 +84,18 @@
 
     fn plan_update(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> AtomicUpdate {
         let mut changes = Vec::new();
-        changes.extend(plan.policy.map(|policy| set(records::ADMISSION_POLICY.into(), &policy)));
-        changes.extend(plan.epochs.iter().map(|(host, epoch)| set(records::epoch_key(host), epoch)));
+        changes.extend(plan.policy.map(|policy| set(records::ADMISSION_POLICY_KEY.into(), &policy)));
+        changes
+            .extend(plan.epochs.iter().map(|(host, epoch)| set(records::admission_epoch_key(host), epoch)));
         changes.extend(plan.pages.iter().map(|(page, grants)| set(records::grants_key(*page), grants)));
-        changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS.into(), &kept)));
+        changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS_KEY.into(), &kept)));
         let mut conditions = vec![leader];
         conditions.extend(changes.iter().map(|change| self.unchanged(change.key().to_string())));
         AtomicUpdate { conditions, changes }
     }
 
     fn controller_views(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerView> {
-        let view = |(host, live): (&String, &records::LiveRecord)| {
+        let view = |(host, live): (&String, &records::LivenessRecord)| {
             // An answer of an earlier process says nothing of this one.
             let reply = replies.get(host).filter(|reply| reply.identity == live.identity);
             let wants = reply.map(|reply| reply.buckets.as_slice()).unwrap_or_default();
@@ -109,7 +110,7 @@
     }
 
     fn cpus_up(&self) -> f64 {
-        let up = self.machines.values().filter(|machine| machine.seems_open());
+        let up = self.machines.values().filter(|machine| machine.likely_accepts_tasks());
         up.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
     }
 
@@ -126,10 +127,10 @@
             self.live_controllers.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
         let (policy, _) = self.credit.as_ref()?.ledger.policy().filter(|(policy, _)| policy.in_force)?;
         let lifted = PolicyRecord { in_force: false, ..policy.clone() };
-        let change = set(records::ADMISSION_POLICY.into(), &lifted);
+        let change = set(records::ADMISSION_POLICY_KEY.into(), &lifted);
         let conditions = vec![
-            self.unchanged(records::ADMISSION_POLICY.into()),
-            self.unchanged(records::live_key(stranger)),
+            self.unchanged(records::ADMISSION_POLICY_KEY.into()),
+            self.unchanged(records::liveness_key(stranger)),
         ];
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -48,7 +48,7 @@
         }
         if !self.admission_in_force {
             // Once credit is demanded, nothing is accepted without.
-            let policy = self.unchanged(records::ADMISSION_POLICY.into());
+            let policy = self.unchanged(records::ADMISSION_POLICY_KEY.into());
             return Ok(SubmissionPlan { conditions: vec![policy], ..SubmissionPlan::default() });
         }
         if let Some(plan) = self.reserved_plan(&spec.id) {
@@ -69,7 +69,7 @@
         let Some(credit) = &mut self.credit else { return Ok(SubmissionPlan::default()) };
         let bucket = credit.bucket(spec);
         let spending = credit.spender.spend(&spec.id, &bucket, charge)?;
-        let key = records::epoch_key(&self.settings.host_name);
+        let key = records::admission_epoch_key(&self.settings.host_name);
         let conditions = vec![Condition { key, version: spending.epoch_version }];
         Ok(SubmissionPlan { conditions, tag: Some(spending.tag.clone()), spending: Some(spending) })
     }
@@ -84,7 +84,7 @@
             bucket: reservation.bucket.clone(),
             charge: reservation.charge,
         };
-        let conditions = vec![self.unchanged(records::RESERVATIONS.into())];
+        let conditions = vec![self.unchanged(records::RESERVATIONS_KEY.into())];
         Some(SubmissionPlan { conditions, tag: Some(tag), spending: None })
     }
 
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -2,7 +2,7 @@
 //! with a record.
 
 use super::Core;
-use crate::jobs::{OpenJob, Stop, TaskId};
+use crate::jobs::{OpenJob, StopReason, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
 use dapplecroft_sched::{RepackRules, Resident, Slot, TaskRequirements, plan_repack};
 use dapplecroft_state::AtomicUpdate;
@@ -86,7 +86,9 @@
         let highest = self
             .machines
             .values()
-            .filter(|m| self.role.leased_shards.get(&m.shard).is_some_and(|h| m.open(h.epoch, silence, now)))
+            .filter(|m| {
+                self.role.leased_shards.get(&m.shard).is_some_and(|h| m.accepts_tasks(h.epoch, silence, now))
+            })
             .map(|m| m.booked.share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
@@ -112,7 +114,7 @@
     fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
-            let ready = job.is_open() && job.not_before.is_none_or(|at| at <= now) && job.failures == 0;
+            let ready = job.is_open() && job.backoff_until.is_none_or(|at| at <= now) && job.failures == 0;
             let team = self.teams.get(&job.spec.team);
             let may_be_allocated = leads
                 && !job.unallocated.is_empty()
@@ -156,7 +158,7 @@
                 let task = &tasks[m.resident];
                 let attempt = self.open_job(&task.job)?.placed.get(&task.index)?.attempt;
                 let to = slots[m.to].machine.clone();
-                Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, to })
+                Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, destination: to })
             })
             .collect();
         Some(DrainRecord {
@@ -193,7 +195,7 @@
             };
             if *placed.machine == *record.machine && placed.attempt == *attempt {
                 left = true;
-                self.stop(&task, Stop::Drained, now);
+                self.stop(&task, StopReason::Drained, now);
             }
         }
         let machine = self.machines.get(record.machine.as_str());
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -79,7 +79,7 @@
 
     pub(in crate::core) fn leader_condition(&self) -> Option<Condition> {
         let version = self.role.leadership?;
-        Some(Condition { key: records::LEADER.into(), version })
+        Some(Condition { key: records::LEADER_KEY.into(), version })
     }
 
     pub(in crate::core) fn unchanged(&self, key: String) -> Condition {
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -41,8 +41,9 @@
 impl OpenJob {
     /// Whether the copy shows nothing of it on a machine, now or ever.
     pub(super) fn has_not_started(&self) -> bool {
-        let nothing_placed = self.placed.is_empty() && self.done.is_empty() && self.exits.is_empty();
-        nothing_placed && self.tries.is_empty() && self.completed_records.is_empty() && self.failures == 0
+        let nothing_placed =
+            self.placed.is_empty() && self.done.is_empty() && self.uncommitted_exits.is_empty();
+        nothing_placed && self.last_attempts.is_empty() && self.done_by_part.is_empty() && self.failures == 0
     }
 
     /// Whether nothing of it was ever started, and nothing can be under its record as it
@@ -50,8 +51,9 @@
     /// caught up with.
     pub(super) fn is_untouched(&self, applied_revision: u64) -> bool {
         let not_allocated = self.record.allocated.is_empty() && self.allocating.is_empty();
-        let settled =
-            self.revoking.is_empty() && self.revoked <= applied_revision && self.version <= applied_revision;
+        let settled = self.revoking.is_empty()
+            && self.last_revocation_version <= applied_revision
+            && self.version <= applied_revision;
         self.has_not_started() && not_allocated && settled
     }
 
@@ -94,7 +96,8 @@
         };
         let mut waiting: Vec<(&Arc<str>, &OpenJob)> =
             self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?))).collect();
-        waiting.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
+        waiting
+            .sort_by(|a, b| a.1.record.submitted_at.total_cmp(&b.1.record.submitted_at).then(a.0.cmp(b.0)));
         let mut rooms = self.coming();
         let offers = self.offers(now);
         let mut candidates = Vec::new();
@@ -106,7 +109,7 @@
                 requirements.allows(&offer.machine_type, &offer.zone, offer.spot)
                     && requirements.resources.fits(&offer.capacity)
             });
-            let waited = now.saturating_duration_since(job.learned) >= federation.spill_after;
+            let waited = now.saturating_duration_since(job.learned_at) >= federation.spill_after;
             if waited && !has_room && !rentable && self.may_leave(id, job) {
                 candidates.push((id.clone(), wish));
             }
@@ -120,7 +123,7 @@
     /// Whether a job is of a kind that may be passed on, and waits for room rather than
     /// for its team's limit. One that visits is not passed on: one hop at most.
     fn may_leave(&self, id: &Arc<str>, job: &OpenJob) -> bool {
-        let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
+        let plain = job.record.stage == JobStage::Open && !job.is_service() && !job.has_zone_constraint();
         let headroom =
             self.teams.get(&job.spec.team).is_some_and(|b| b.headroom(&job.requirements.resources) > 0);
         let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
@@ -167,11 +170,17 @@
             .away_jobs()
             .filter(|(_, _, away)| away.cell.name == cell)
             .map(|(id, job, away)| {
-                let unheard = matches!(job.heard, None | Some(TransferState::Unknown));
+                let unheard = matches!(job.last_answer, None | Some(TransferState::Unknown));
                 let request = away.request(unheard);
                 let offered = request == TransferRequest::Offer;
                 let spec = if offered { job.record.spec.clone() } else { None };
-                AwayRequest { job: id.clone(), epoch: away.epoch, request, spec, submitted: job.record.at }
+                AwayRequest {
+                    job: id.clone(),
+                    epoch: away.epoch,
+                    request,
+                    spec,
+                    submitted: job.record.submitted_at,
+                }
             })
             .collect();
         requests.sort_by(|a, b| a.job.cmp(&b.job));
@@ -223,14 +232,14 @@
         let Some(Job::Away(away_job)) = self.jobs.get_mut(job) else { return None };
         let away = away_job.record.away.clone()?;
         if away.epoch == epoch && away.cell == *from {
-            away_job.heard = Some(state);
+            away_job.last_answer = Some(state);
         }
         let record = match away.on_answer(from, epoch, state) {
             HomeStep::Wait => return None,
             HomeStep::Reopen => JobRecord { stage: JobStage::Open, away: None, ..away_job.record.clone() },
             HomeStep::End { outcome: Outcome::Done, done } => away_job.record.compact(JobStage::Done, done),
             HomeStep::End { outcome: Outcome::Withdrawn, done } => {
-                away_job.record.compact(JobStage::Withdrawn, done)
+                away_job.record.compact(JobStage::Cancelled, done)
             }
         };
         let key = records::job_key(job);
--- a/crates/dapplecroft-controller/src/core/federation/status.rs
+++ b/crates/dapplecroft-controller/src/core/federation/status.rs
@@ -25,7 +25,7 @@
                 incarnation: away.cell.incarnation,
                 epoch: away.epoch.0,
                 cancelling: away.cancelling,
-                heard: job.heard.map(state_name).unwrap_or_default().to_string(),
+                heard: job.last_answer.map(state_name).unwrap_or_default().to_string(),
             })
             .collect();
         list.sort_by(|a, b| a.job.cmp(&b.job));
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -44,7 +44,7 @@
     assert!(core.return_updates(9, later).is_empty(), "a holder may be placing it");
     core.prepare_returns(later);
     let job = core.open_job("run-1").unwrap();
-    assert!(job.revoking.contains_key(&0) && job.not_before.is_some_and(|at| at > later));
+    assert!(job.revoking.contains_key(&0) && job.backoff_until.is_some_and(|at| at > later));
     core.apply("dc/j/run-1", Some(visiting(json!({}))), 12, later);
     assert!(core.return_updates(9, later).is_empty(), "what was placed before may not be known yet");
     core.caught_up(12);
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -63,12 +63,12 @@
 
 fn visiting_record(request: &VisitRequest, spec: JobSpec) -> JobRecord {
     JobRecord {
-        stage: JobStage::Visiting,
+        stage: JobStage::Hosted,
         tasks: spec.tasks,
         allocated: BTreeMap::new(),
         legacy_done: Default::default(),
         done: None,
-        at: request.submitted,
+        submitted_at: request.submitted,
         spec: Some(spec),
         away: None,
         origin: Some(Origin { cell: request.from.clone(), epoch: request.epoch }),
@@ -82,7 +82,7 @@
         let done = self.done.len();
         match self.record.stage {
             // Its cancellation is committed: nothing of it will start.
-            JobStage::Withdrawn => TransferState::Withdrawn { done },
+            JobStage::Cancelled => TransferState::Withdrawn { done },
             _ => TransferState::Accepted { done, running: u32::try_from(running).unwrap_or(u32::MAX) },
         }
     }
@@ -182,7 +182,7 @@
     fn visiting_cpus(&self) -> i64 {
         let open = self.federation.visits.keys().filter_map(|id| self.open_job(id));
         open.filter(|job| job.is_open())
-            .map(|job| job.requirements.resources.cpus * i64::from(job.left()))
+            .map(|job| job.requirements.resources.cpus * i64::from(job.unfinished_tasks()))
             .sum()
     }
 
@@ -190,7 +190,8 @@
     /// what one more rental would bring, as far as is known.
     fn welcome_cpus(&self, now: Instant) -> i64 {
         let share = self.options.federation.as_ref().map_or(0.0, |f| f.visitors_share);
-        let up: i64 = self.machines.values().filter(|m| m.seems_open()).map(|m| m.capacity.cpus).sum();
+        let up: i64 =
+            self.machines.values().filter(|m| m.likely_accepts_tasks()).map(|m| m.capacity.cpus).sum();
         let rentable = self.offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
         let all = up + rentable * i64::from(MAX_RENT);
         (all as f64 * share) as i64 - self.visiting_cpus()
@@ -226,8 +227,8 @@
     fn rooms_up(&self) -> Vec<Room> {
         type Kind<'a> = (&'a str, &'a str, bool, i64, i64, i64);
         let mut kinds: BTreeMap<Kind, Room> = BTreeMap::new();
-        for machine in self.machines.values().filter(|m| m.seems_open()) {
-            let free = machine.room();
+        for machine in self.machines.values().filter(|m| m.likely_accepts_tasks()) {
+            let free = machine.free_resources();
             let kind =
                 (&*machine.machine_type, &*machine.zone, machine.spot, free.cpus, free.gpus, free.memory);
             let room = kinds.entry(kind).or_insert_with(|| Room {
@@ -272,8 +273,8 @@
     fn overdue_visits(&self, now: Instant) -> Vec<Arc<str>> {
         let Some(federation) = &self.options.federation else { return Vec::new() };
         let overdue = |job: &OpenJob| {
-            job.record.stage == JobStage::Visiting
-                && now.saturating_duration_since(job.learned) >= federation.return_after
+            job.record.stage == JobStage::Hosted
+                && now.saturating_duration_since(job.learned_at) >= federation.return_after
                 && job.has_not_started()
         };
         let visits = self.federation.visits.keys();
@@ -288,7 +289,7 @@
         for id in self.overdue_visits(now) {
             let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
             let Some(job) = self.open_job_mut(&id) else { continue };
-            job.not_before = job.not_before.max(Some(now + RETURN_HOLD));
+            job.backoff_until = job.backoff_until.max(Some(now + RETURN_HOLD));
             if in_flight || !job.allocating.is_empty() || job.record.allocated.is_empty() {
                 continue;
             }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, GroupUpdate};
 use crate::machines::{Machine, MachinePhase};
-use crate::records::{GroupRecord, MemberRecord};
+use crate::records::{GroupRecord, MachineRecord};
 use dapplecroft_cloud::MAX_RENT;
 use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
@@ -129,9 +129,9 @@
             let wanted = due.contains(&machine.id)
                 || machine.given_up
                 || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
-            let waits = machine.releasing || machine.group.is_none();
+            let waits = machine.release_in_flight || machine.group.is_none();
             if wanted && !waits && !self.fleet.released.contains(&machine.id) {
-                machine.releasing = true;
+                machine.release_in_flight = true;
                 tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
             }
@@ -185,13 +185,13 @@
     /// How many machines of own shards have come up.
     pub fn heard_machines(&self) -> usize {
         let own = self.machines.values().filter(|m| self.is_holder(m.shard));
-        own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
+        own.filter(|m| m.last_heartbeat.is_some() || m.address.is_some()).count()
     }
 
     /// Notes the end of a probe without an answer.
     pub fn probe_missed(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.probing = false;
+            machine.probe_in_flight = false;
             machine.missed_probes += 1;
         }
     }
@@ -199,7 +199,7 @@
     /// Notes the end of a probe with an answer.
     pub fn probe_answered(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.probing = false;
+            machine.probe_in_flight = false;
             machine.missed_probes = 0;
         }
     }
@@ -214,12 +214,12 @@
             let lost = machine.phase != MachinePhase::Active
                 || machine.given_up
                 || machine.group.is_none()
-                || machine.taken_at.is_some()
+                || machine.reclaim_at.is_some()
                 || machine.missed_probes > 0;
             if lost || machine.capacity.cpus == 0 {
                 continue;
             }
-            let room = machine.room();
+            let room = machine.free_resources();
             let key =
                 (&*machine.machine_type, &*machine.zone, machine.spot, room.cpus, room.gpus, room.memory);
             *kinds.entry(key).or_default() += 1;
@@ -331,10 +331,10 @@
         } else {
             self.fleet.refused.remove(&kind);
         }
-        let machines: BTreeMap<String, MemberRecord> = machines
+        let machines: BTreeMap<String, MachineRecord> = machines
             .iter()
             .filter(|id| !self.released_machines.contains_key(id.as_str()) && !self.is_grouped(id))
-            .map(|id| (id.clone(), MemberRecord::default()))
+            .map(|id| (id.clone(), MachineRecord::default()))
             .collect();
         if !machines.is_empty() {
             let (machine_type, zone) = (request.machine_type.clone(), request.zone.clone());
@@ -407,7 +407,7 @@
     pub fn release_failed(&mut self, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.releasing = false;
+                machine.release_in_flight = false;
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -5,7 +5,7 @@
 use super::layout::to_value;
 use super::{Core, Group, reindex};
 use crate::machines::Machine;
-use crate::records::{self, GroupRecord, MemberRecord, stored_size};
+use crate::records::{self, GroupRecord, MachineRecord, stored_size};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -86,7 +86,7 @@
     /// Begins a group of machines that this leader rented or takes in, or as
     /// many as their records need to fit a value each.
     pub(super) fn new_group(&mut self, name: &str, record: GroupRecord) {
-        let records = if self.is_mixed() { vec![record] } else { record.split(self.limits().value) };
+        let records = if self.is_mixed() { vec![record] } else { record.split_to_fit(self.limits().value) };
         for (n, record) in records.into_iter().enumerate() {
             let name = if n == 0 { name.to_string() } else { format!("{name}.{n}") };
             let group = Group { record, version: 0, writing: false, addresses_unrecorded: false };
@@ -105,7 +105,7 @@
         let most = self.limits().value * 7 / 8;
         !self.is_mixed()
             && group.version > 0
-            && (group.record.bytes() > most || group.record.machines.keys().any(left))
+            && (group.record.stored_bytes() > most || group.record.machines.keys().any(left))
     }
 
     /// The next step of a group's move into smaller ones: some of its machines
@@ -114,7 +114,7 @@
     fn move_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER_KEY.into(), version: self.role.leadership? },
             Condition { key: key.clone(), version: group.version },
         ];
         let mut left = group.record.clone();
@@ -128,7 +128,7 @@
         if left.machines.is_empty() {
             return Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] });
         }
-        let part = left.split(self.limits().value).into_iter().next()?;
+        let part = left.split_to_fit(self.limits().value).into_iter().next()?;
         let fresh = |n: &u32| !self.groups.contains_key(format!("{name}.{n}").as_str());
         let key = records::group_key(&format!("{name}.{}", (1..).find(fresh)?));
         conditions.push(Condition { key: key.clone(), version: 0 });
@@ -257,7 +257,7 @@
             .groups
             .iter()
             .filter(|(_, g)| !self.is_mixed() && g.version == 0 && !g.writing)
-            .filter(|(_, g)| g.record.most_bytes() > limit && g.record.machines.len() > 1)
+            .filter(|(_, g)| g.record.max_stored_bytes() > limit && g.record.machines.len() > 1)
             .map(|(name, _)| name.clone())
             .collect();
         for name in large {
@@ -330,7 +330,7 @@
         let by_leader = group.version == 0 || record.machines.len() < group.record.machines.len();
         if by_leader {
             match self.role.leadership {
-                Some(version) => conditions.push(Condition { key: records::LEADER.into(), version }),
+                Some(version) => conditions.push(Condition { key: records::LEADER_KEY.into(), version }),
                 None if group.version == 0 => return GroupWrite::Forget,
                 None => return GroupWrite::NotAllowed,
             }
@@ -382,7 +382,7 @@
             let name = format!("dc-{term}-{}", self.fleet.next_number());
             let machines = members
                 .into_iter()
-                .map(|m| (m.id.to_string(), MemberRecord { address: m.address, given_up: false }))
+                .map(|m| (m.id.to_string(), MachineRecord { address: m.address, given_up: false }))
                 .collect();
             self.new_group(&name, GroupRecord { shard, machine_type, zone, spot, machines });
         }
@@ -449,7 +449,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.group = None;
         if machine.tasks.is_empty() {
-            let (room, shard, id) = (machine.room().cpus, machine.shard, machine.id.clone());
+            let (room, shard, id) = (machine.free_resources().cpus, machine.shard, machine.id.clone());
             if let Some(shard) = self.machines_by_free_cpus.get_mut(&shard) {
                 shard.remove(&(room, id.clone()));
             }
@@ -468,7 +468,7 @@
         for machine in self.machines.values_mut() {
             let Some(size) = sizes.get(machine.machine_type.as_str()) else { continue };
             if machine.capacity != *size {
-                let before = machine.room().cpus;
+                let before = machine.free_resources().cpus;
                 machine.capacity = *size;
                 reindex(&mut self.machines_by_free_cpus, machine, before);
             }
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -92,7 +92,7 @@
         let reserve = (expected as f64 * own as f64 / all as f64) as i64;
         let is_idle = |m: &&Machine| {
             let since = m.idle_since.is_some_and(|at| now.saturating_duration_since(at) > SURPLUS_AFTER);
-            self.is_holder(m.shard) && m.tasks.is_empty() && m.heard.is_some() && since
+            self.is_holder(m.shard) && m.tasks.is_empty() && m.last_heartbeat.is_some() && since
         };
         let idle = self.machines.values().filter(keeps).filter(is_idle).map(|m| Idle {
             id: m.id.clone(),
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use crate::legacy;
-use crate::records::{self, GroupRecord, JobRecord, LAYOUT, LayoutRecord, SegmentId, SegmentRecord};
+use crate::records::{self, GroupRecord, JobRecord, LayoutRecord, NEWEST_LAYOUT, SegmentId, SegmentRecord};
 use dapplecroft_wire::settings::SizeLimits;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use serde::Serialize;
@@ -22,7 +22,7 @@
 impl Core {
     /// Whether some member may still be of the first version.
     pub fn is_mixed(&self) -> bool {
-        self.format < LAYOUT
+        self.format < NEWEST_LAYOUT
     }
 
     /// What the state service takes. Once the layout allows it, all is kept
@@ -49,9 +49,10 @@
 
     /// Takes over the record of the layout in force.
     pub(super) fn apply_format(&mut self, layout: u32, now: Instant) {
-        if layout > LAYOUT {
+        if layout > NEWEST_LAYOUT {
             // Nothing that this process would do now could be right.
-            self.ended = Some(format!("the records have layout {layout}, this program knows {LAYOUT}"));
+            self.ended =
+                Some(format!("the records have layout {layout}, this program knows {NEWEST_LAYOUT}"));
             self.wakeups.end = true;
             return;
         }
@@ -70,12 +71,12 @@
     /// The transaction by which this process leaves its mark, if it is missing.
     pub fn mark_transaction(&self) -> Option<Transaction> {
         let host = &self.settings.host_name;
-        if self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT) {
+        if self.known_layouts.get(host).is_some_and(|known| *known >= NEWEST_LAYOUT) {
             return None;
         }
-        let key = records::mark_key(host);
+        let key = records::known_layout_key(host);
         let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
-        let value = to_value(&LayoutRecord { layout: LAYOUT });
+        let value = to_value(&LayoutRecord { layout: NEWEST_LAYOUT });
         Some(Transaction { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
@@ -84,16 +85,17 @@
         let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
-        let all = members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT));
-        if !self.is_mixed() || !all || self.version(records::FORMAT) > 0 {
+        let all =
+            members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= NEWEST_LAYOUT));
+        if !self.is_mixed() || !all || self.version(records::LAYOUT_KEY) > 0 {
             return None;
         }
         let conditions = vec![
-            Condition { key: records::LEADER.into(), version: leadership },
-            Condition { key: records::FORMAT.into(), version: 0 },
+            Condition { key: records::LEADER_KEY.into(), version: leadership },
+            Condition { key: records::LAYOUT_KEY.into(), version: 0 },
         ];
-        let value = to_value(&LayoutRecord { layout: LAYOUT });
-        let change = Change::Set { key: records::FORMAT.into(), value, lease: None };
+        let value = to_value(&LayoutRecord { layout: NEWEST_LAYOUT });
+        let change = Change::Set { key: records::LAYOUT_KEY.into(), value, lease: None };
         Some(Transaction { conditions, changes: vec![change] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -55,11 +55,11 @@
 
 impl PhaseRules {
     fn age(&self, machine: &Machine) -> Duration {
-        self.now.saturating_duration_since(machine.since)
+        self.now.saturating_duration_since(machine.known_since)
     }
 
     fn silence(&self, machine: &Machine) -> Duration {
-        machine.heard.map_or(self.age(machine), |at| self.now.saturating_duration_since(at))
+        machine.last_heartbeat.map_or(self.age(machine), |at| self.now.saturating_duration_since(at))
     }
 
     /// Gives up a machine that has not come up for much longer than usual.
@@ -74,17 +74,19 @@
 
     /// Whether a machine is to be asked for its status now.
     fn wants_probe(&self, machine: &Machine) -> bool {
-        let taken_up = machine.heard.is_none() && machine.missed_probes == 0 && self.age(machine) > TAKE_UP;
+        let taken_up =
+            machine.last_heartbeat.is_none() && machine.missed_probes == 0 && self.age(machine) > TAKE_UP;
         let patience =
             if self.with_replicas.contains(&machine.id) { REPLICA_PROBE_AFTER } else { PROBE_AFTER };
         let overdue = self.silence(machine) > self.heartbeat_interval.mul_f64(patience);
-        (taken_up || overdue) && !machine.probing && !machine.releasing
+        (taken_up || overdue) && !machine.probe_in_flight && !machine.release_in_flight
     }
 
     /// Gives up a machine whose reports arrive and which nothing reaches: its
     /// worker has ended its tasks for want of an answer, and it is of no more use.
     fn judge_deaf(&self, machine: &mut Machine) {
-        let deaf = machine.deaf_since.is_some_and(|at| self.now.saturating_duration_since(at) > self.lease);
+        let deaf =
+            machine.unsynced_since.is_some_and(|at| self.now.saturating_duration_since(at) > self.lease);
         if deaf && machine.phase != MachinePhase::Lost {
             tracing::info!(machine = &*machine.id, "a machine that reports and hears nothing is given up");
             machine.phase = MachinePhase::Lost;
@@ -118,7 +120,7 @@
         if machine.failed_jobs.len() >= MOST_FAILED_JOBS {
             tracing::info!(machine = &*machine.id, "tasks of several jobs failed: quarantined");
             machine.phase = MachinePhase::Returning;
-        } else if unused && machine.heard.is_some() && machine.taken_at.is_none() {
+        } else if unused && machine.last_heartbeat.is_some() && machine.reclaim_at.is_none() {
             machine.phase = MachinePhase::Returning;
         }
     }
@@ -146,13 +148,13 @@
         let mut wanted = self.wanted_requirements();
         let leased = &self.role.leased_shards;
         let own = |m: &Machine| m.group.is_some() && leased.contains_key(&m.shard);
-        let mut probes = self.machines.values().filter(|m| own(m) && m.probing).count();
+        let mut probes = self.machines.values().filter(|m| own(m) && m.probe_in_flight).count();
         let mut due = BTreeSet::new();
         for machine in self.machines.values_mut().filter(|m| own(m)) {
             if machine.tasks.is_empty() && machine.idle_since.is_none() {
                 machine.idle_since = Some(now);
             }
-            if machine.heard.is_none() && machine.address.is_none() {
+            if machine.last_heartbeat.is_none() && machine.address.is_none() {
                 rules.judge_boot(machine);
             } else {
                 judge_contact(&rules, machine, actions, &mut probes);
@@ -207,13 +209,13 @@
 
 /// Decides what is asked of and about a machine that has come up.
 fn judge_contact(rules: &PhaseRules, machine: &mut Machine, actions: &mut FleetActions, probes: &mut usize) {
-    let most_probes = if machine.heard.is_some() { MAX_SILENT_PROBES } else { MAX_PROBES };
+    let most_probes = if machine.last_heartbeat.is_some() { MAX_SILENT_PROBES } else { MAX_PROBES };
     if let Some(address) = &machine.address
         && rules.wants_probe(machine)
         && *probes < most_probes
     {
         actions.probe.push((machine.id.clone(), address.clone()));
-        machine.probing = true;
+        machine.probe_in_flight = true;
         *probes += 1;
     }
     rules.judge_deaf(machine);
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -55,8 +55,11 @@
         }
         let limit = self.limits().value;
         for piece in pieces {
-            let own =
-                SegmentRecord { done: piece.done.clone(), tries: piece.tries.clone(), ..Default::default() };
+            let own = SegmentRecord {
+                done: piece.done.clone(),
+                last_attempts: piece.tries.clone(),
+                ..Default::default()
+            };
             let weight = super::segments::weight(&own);
             let known = self.segment_numbers(shard);
             let fits = |n: &u32| {
@@ -95,23 +98,23 @@
         let mut tries: Tries = BTreeMap::new();
         for (id, ranges) in &old.done {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
-            let mut left = ranges.without(&job.recorded_done());
+            let mut left = ranges.difference(&job.recorded_done());
             for (_, load) in self.segments_of(shard).filter(|(id, _)| id.segment.is_some()) {
                 if let Some(have) = load.record.done.get(id) {
-                    left = left.without(have);
+                    left = left.difference(have);
                 }
             }
             if !left.is_empty() {
                 done.insert(id.clone(), left);
             }
         }
-        for (id, own) in &old.tries {
+        for (id, own) in &old.last_attempts {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
             let whole = SegmentId::whole(shard);
             let left: BTreeMap<u32, u64> = own
                 .iter()
-                .filter(|(i, n)| !job.done.contains(**i) && !job.outdates(whole, **i, **n))
-                .filter(|(i, n)| !job.tries.iter().any(|(p, t)| *p != whole && t.get(i) >= Some(n)))
+                .filter(|(i, n)| !job.done.contains(**i) && !job.has_later_attempt(whole, **i, **n))
+                .filter(|(i, n)| !job.last_attempts.iter().any(|(p, t)| *p != whole && t.get(i) >= Some(n)))
                 .map(|(i, n)| (*i, *n))
                 .collect();
             if !left.is_empty() {
@@ -124,7 +127,7 @@
     /// Whether segments have taken over all of a shard's old record.
     pub(super) fn is_moved(&self, shard: u32) -> bool {
         let Some(old) = self.segments.get(&SegmentId::whole(shard)) else { return false };
-        let open = |span: &crate::records::Span| {
+        let open = |span: &crate::records::TaskSpan| {
             old.record.jobs.get(span.job as usize).is_some_and(|id| self.open_job(id).is_some())
         };
         let all = old
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -39,12 +39,12 @@
 pub use session::{CommandEnd, HeartbeatOutcome};
 pub use shards::{LeaseGrant, ShardLease};
 
-use crate::jobs::{Job, OpenJob, Placed, TaskId};
+use crate::jobs::{Job, OpenJob, Placement, TaskId};
 use crate::machines::Machine;
 use crate::options::Options;
 use crate::ranges::Ranges;
 use crate::records::{
-    DrainRecord, GroupRecord, LeaderRecord, LiveRecord, SegmentId, SegmentRecord, ShardRecord,
+    DrainRecord, GroupRecord, LeaderRecord, LivenessRecord, SegmentId, SegmentRecord, ShardRecord,
 };
 use commit_queue::CommitQueue;
 use dapplecroft_sched::{Demand, Resources, Teams};
@@ -228,7 +228,7 @@
     /// The shards' records and versions.
     pub shards: BTreeMap<u32, (ShardRecord, u64)>,
     /// Live controllers.
-    pub live_controllers: BTreeMap<String, LiveRecord>,
+    pub live_controllers: BTreeMap<String, LivenessRecord>,
     /// Since when this process knows each of them.
     pub controller_live_since: BTreeMap<String, Instant>,
     /// Machine types.
@@ -326,23 +326,23 @@
         let machine =
             self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, shard, now));
         if machine.tasks.insert(task.clone()) {
-            let before = machine.room().cpus;
+            let before = machine.free_resources().cpus;
             machine.booked += resources;
             machine.idle_since = None;
             if let Some(image) = image {
-                machine.note_image(image, false);
+                machine.record_image(image, false);
             }
             reindex(&mut self.machines_by_free_cpus, machine, before);
         }
     }
 
     /// Counts a task out again.
-    fn unbook(&mut self, task: &TaskId, placed: &Placed, resources: Resources) {
+    fn unbook(&mut self, task: &TaskId, placed: &Placement, resources: Resources) {
         if let Some(machine) = self.machines.get_mut(&placed.machine)
             && machine.tasks.remove(task)
-            && !placed.freed
+            && !placed.resources_freed
         {
-            let before = machine.room().cpus;
+            let before = machine.free_resources().cpus;
             machine.booked -= resources;
             reindex(&mut self.machines_by_free_cpus, machine, before);
         }
@@ -355,10 +355,10 @@
     fn free(&mut self, task: &TaskId) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
         let resources = job.requirements.resources;
-        let Some(placed) = job.placed.get_mut(&task.index).filter(|p| !p.freed) else { return };
-        placed.freed = true;
+        let Some(placed) = job.placed.get_mut(&task.index).filter(|p| !p.resources_freed) else { return };
+        placed.resources_freed = true;
         if let Some(machine) = self.machines.get_mut(&placed.machine) {
-            let before = machine.room().cpus;
+            let before = machine.free_resources().cpus;
             machine.booked -= resources;
             reindex(&mut self.machines_by_free_cpus, machine, before);
         }
@@ -368,25 +368,25 @@
     /// Brings what is derived from a job's records up to date.
     fn rederive(&mut self, id: &Arc<str>) {
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
-        job.derive();
+        job.recompute_task_sets();
         // A withdrawal, or what was taken back from a shard, can be known before
         // a placement that came before it: what was counted stays counted until
         // the copy has caught up.
-        let settled = job.settles_at() <= self.applied_revision;
+        let settled = job.usage_known_at_revision() <= self.applied_revision;
         let counts = match (settled, job.is_open()) {
-            (true, _) => job.counts(),
-            (false, true) => job.counts().max(job.counted),
-            (false, false) => job.counted,
+            (true, _) => job.tasks_against_team(),
+            (false, true) => job.tasks_against_team().max(job.counted_against_team),
+            (false, false) => job.counted_against_team,
         };
-        let change = counts - job.counted;
-        job.counted = counts;
+        let change = counts - job.counted_against_team;
+        job.counted_against_team = counts;
         let (team, resources) = (job.spec.team.clone(), job.requirements.resources);
         self.teams.book(&team, resources.times(change));
         self.refresh_waiting(id);
     }
 
     fn refresh_waiting(&mut self, id: &Arc<str>) {
-        let waits = matches!(self.jobs.get(id), Some(Job::Open(j)) if j.is_open() && j.waits());
+        let waits = matches!(self.jobs.get(id), Some(Job::Open(j)) if j.is_open() && j.has_waiting_tasks());
         if waits {
             self.waiting.insert(id.clone());
         } else {
@@ -422,14 +422,14 @@
     /// Takes back proposals for tasks that the leader has taken back since from
     /// the shard: the record that they would be bound to no longer allows them.
     fn drop_unallocated(&mut self, id: &Arc<str>) {
-        self.drop_if(id, |job, index, p| !job.allocates(p.segment.shard, index));
+        self.drop_if(id, |job, index, p| !job.is_allocated_to(p.segment.shard, index));
     }
 
     /// Takes back proposed placements. Those in a shard with a unit on its way
     /// may be in it: they are settled with it.
-    fn drop_if(&mut self, id: &Arc<str>, void: impl Fn(&OpenJob, u32, &Placed) -> bool) {
+    fn drop_if(&mut self, id: &Arc<str>, void: impl Fn(&OpenJob, u32, &Placement) -> bool) {
         let Some(job) = self.open_job(id) else { return };
-        let void: Vec<(u32, Placed)> = job
+        let void: Vec<(u32, Placement)> = job
             .placed
             .iter()
             .filter(|(index, p)| !p.committed && void(job, **index, p))
@@ -446,7 +446,7 @@
     }
 
     /// Takes back a proposed placement; the caller derives the job anew.
-    fn withdraw_proposal(&mut self, task: &TaskId, placed: &Placed) {
+    fn withdraw_proposal(&mut self, task: &TaskId, placed: &Placement) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
         if job.placed.get(&task.index).is_none_or(|p| p.committed || p.attempt != placed.attempt) {
             return;
@@ -471,9 +471,9 @@
             let Some(shard_lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             summary.machines += 1;
             summary.placed += machine.tasks.len();
-            if machine.open(shard_lease.epoch, silence, now) {
+            if machine.accepts_tasks(shard_lease.epoch, silence, now) {
                 summary.open_machines += 1;
-                free += machine.room().cpus;
+                free += machine.free_resources().cpus;
                 all += machine.capacity.cpus;
             }
         }
@@ -506,5 +506,5 @@
 ) {
     let shard = machines_by_free_cpus.entry(machine.shard).or_default();
     shard.remove(&(before, machine.id.clone()));
-    shard.insert((machine.room().cpus, machine.id.clone()));
+    shard.insert((machine.free_resources().cpus, machine.id.clone()));
 }
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -32,7 +32,7 @@
         let changed = self.catalog.as_ref().is_none_or(|old| plain(old) != plain(&catalog));
         let recorded = match self.recorded_types() {
             Some(_) => true,
-            None => self.version(records::CATALOG) > 0,
+            None => self.version(records::CATALOG_KEY) > 0,
         };
         let unrecorded = !recorded;
         self.catalog = Some(catalog);
@@ -49,7 +49,7 @@
             AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }
         };
         if self.is_mixed() {
-            return vec![set(records::CATALOG.into(), to_value(catalog))];
+            return vec![set(records::CATALOG_KEY.into(), to_value(catalog))];
         }
         let segments = catalog_segments(&catalog.machine_types, self.limits().value);
         let numbered = (0..).zip(segments);
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::serving_order::STARTER_TASKS;
-use crate::jobs::{Job, OpenJob, Placed, TaskId};
+use crate::jobs::{Job, OpenJob, Placement, TaskId};
 use crate::machines::Machine;
 use crate::records::DrainMove;
 use dapplecroft_sched::{
@@ -102,7 +102,8 @@
         let mut unplaced = Vec::new();
         for (_, id) in &order {
             let Some(job) = self.open_job(id) else { continue };
-            round.most = if self.effective_rank(job) < job.rank() { STARTER_TASKS } else { usize::MAX };
+            round.most =
+                if self.effective_rank(job) < job.priority_rank() { STARTER_TASKS } else { usize::MAX };
             let here: Vec<u32> = job.waiting.keys().copied().filter(|b| self.is_holder(*b)).collect();
             for shard in here {
                 self.place_in(id, shard, &mut round, now);
@@ -130,7 +131,7 @@
                     let job = self.open_job(&u.job)?;
                     // Other work gives way to replicas at once; machines are rented
                     // for them only where none does.
-                    let waits = now.saturating_duration_since(job.served) >= GIVE_WAY;
+                    let waits = now.saturating_duration_since(job.last_placed_at) >= GIVE_WAY;
                     (!job.is_service() || waits).then(|| Demand {
                         requirements: (*u.requirements).clone(),
                         count: u.count,
@@ -196,16 +197,16 @@
         let kept = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
         // Where it failed, unless it fails everywhere.
-        let avoid = job.failed_on.len() < 2;
+        let avoid = job.failed_machines.len() < 2;
         let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
         let consider = |name: &Arc<str>| {
             let machine = self.machines.get(name)?;
             let open = match epoch {
-                Some(epoch) => machine.open(epoch, silence, now),
-                None => machine.seems_open(),
+                Some(epoch) => machine.accepts_tasks(epoch, silence, now),
+                None => machine.likely_accepts_tasks(),
             };
-            let barred =
-                kept.is_some_and(|d| *d.machine == **name) || (avoid && job.failed_on.contains(&**name));
+            let barred = kept.is_some_and(|d| *d.machine == **name)
+                || (avoid && job.failed_machines.contains(&**name));
             if !open
                 || barred
                 || self.is_recordless(machine)
@@ -238,7 +239,9 @@
                 .iter()
                 .flat_map(|h| h.freed.keys())
                 .filter(|name| {
-                    self.machines.get(*name).is_some_and(|m| m.room().cpus < requirements.resources.cpus)
+                    self.machines
+                        .get(*name)
+                        .is_some_and(|m| m.free_resources().cpus < requirements.resources.cpus)
                 })
                 .collect();
             more.sort_unstable();
@@ -263,7 +266,7 @@
         let before = waiting.len();
         self.place_drained(id, shard, &mut waiting, now);
         let Some(job) = self.open_job(id) else { return };
-        let (constrained, service) = (job.is_constrained(), job.is_service());
+        let (constrained, service) = (job.has_zone_constraint(), job.is_service());
         while !waiting.is_empty() {
             let placed = self.place_some(id, shard, &waiting, now);
             waiting.drain(..placed);
@@ -273,7 +276,7 @@
                 break;
             }
         }
-        let never_failed = self.open_job(id).is_some_and(|j| j.failed_on.is_empty());
+        let never_failed = self.open_job(id).is_some_and(|j| j.failed_machines.is_empty());
         if !waiting.is_empty() && !constrained && !service && never_failed {
             round.full.push((Some(shard), requirements));
         }
@@ -299,7 +302,7 @@
     /// What a drain moves goes where the drain says, if it still fits.
     fn place_drained(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
         let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
-        for DrainMove { index, to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
+        for DrainMove { index, destination: to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
             let Some(position) = waiting.iter().position(|waits| waits == index) else { continue };
             let to: Arc<str> = to.as_str().into();
             let Some(job) = self.open_job(id) else { return };
@@ -316,13 +319,13 @@
     fn place_some(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
         let Some(job) = self.open_job(id) else { return 0 };
         let mut machines = self.candidates(id, job, shard, &HashMap::new(), now);
-        if job.is_constrained() {
+        if job.has_zone_constraint() {
             let zones = self.zones_of(job);
             machines.retain(|(name, _)| {
                 self.machines.get(name).is_some_and(|m| zone_allows(job, &zones, &m.zone))
             });
         }
-        let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
+        let count = if job.has_zone_constraint() { 1 } else { waiting.len() as i64 };
         let each = if job.is_service() { 1 } else { i64::MAX };
         let candidates: Vec<Candidate> = machines.iter().map(|(_, candidate)| *candidate).collect();
         let chosen = best_fit_capped(&candidates, &job.requirements.resources, count, each);
@@ -364,24 +367,24 @@
             return false;
         }
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
-        let waited = now.saturating_duration_since(job.learned);
+        let waited = now.saturating_duration_since(job.learned_at);
         tracing::debug!(%task, class = job.spec.class, machine = &**machine, attempt, ?waited, "placing");
         let urgent = job.spec.priority < Priority::Normal;
-        job.served = now;
+        job.last_placed_at = now;
         job.placed.insert(
             task.index,
-            Placed {
+            Placement {
                 attempt,
                 machine: machine.clone(),
                 segment: segment_id,
                 session,
                 committed: false,
-                since: now,
-                running: None,
-                sent: 0,
-                stop: None,
+                learned_at: now,
+                running_since: None,
+                start_token: 0,
+                stop_reason: None,
                 grace: Duration::ZERO,
-                freed: false,
+                resources_freed: false,
             },
         );
         self.book(task, machine, segment_id.shard, now);
@@ -398,7 +401,7 @@
 }
 
 pub(super) fn has_image(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
-    match requirements.image.as_ref().map(|image| machine.image(image)) {
+    match requirements.image.as_ref().map(|image| machine.has_image(image)) {
         None | Some(Some(true)) => ImagePresence::Yes,
         Some(Some(false)) => ImagePresence::Fetching,
         Some(None) => ImagePresence::No,
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::placing::{Unplaced, has_image};
-use crate::jobs::{OpenJob, Stop, TaskId};
+use crate::jobs::{OpenJob, StopReason, TaskId};
 use crate::machines::Machine;
 use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
 use dapplecroft_wire::users::Priority;
@@ -121,7 +121,7 @@
             spot: machine.spot,
             capacity: machine.capacity,
             booked: machine.booked,
-            open: epoch.is_some_and(|e| machine.open(e, self.silence(), now)),
+            open: epoch.is_some_and(|e| machine.accepts_tasks(e, self.silence(), now)),
         }
     }
 
@@ -136,7 +136,7 @@
         let mut residents = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.open_job(&task.job) else { continue };
-            let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { continue };
+            let Some(placed) = job.placed.get(&task.index).filter(|p| !p.resources_freed) else { continue };
             let progress = job.progress(placed, now);
             let resident = Resident {
                 slot,
@@ -145,7 +145,7 @@
                 loss: progress.loss(),
                 save_time: progress.time_to_save().unwrap_or_default(),
                 movable: placed.committed && progress.age <= oldest && !job.is_service(),
-                leaving: placed.stop.is_some(),
+                leaving: placed.stop_reason.is_some(),
                 rank: self.effective_rank(job),
                 // A replica gives way to a higher rank alone.
                 over_quota: !job.is_service()
@@ -171,14 +171,14 @@
             return;
         }
         self.last_preemption = Some(now);
-        let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.rank());
+        let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.priority_rank());
         let best = ranks.min().unwrap_or(0);
         let guaranteed = self.guaranteed();
         let mut hosts: Vec<Host> = self
             .machines
             .values()
             .filter(|m| {
-                let lower = |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.rank() > best);
+                let lower = |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.priority_rank() > best);
                 self.is_holder(m.shard) && m.tasks.iter().any(lower)
             })
             .map(|m| {
@@ -190,7 +190,7 @@
         for unplaced in claimants {
             let Some(job) = self.open_job(&unplaced.job) else { continue };
             let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
-            let claim = Claim { rank: job.rank(), within_quota: within };
+            let claim = Claim { rank: job.priority_rank(), within_quota: within };
             // Replicas serve for long: what they need gives way however old.
             let limit = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
             let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
@@ -212,7 +212,7 @@
                 tracing::info!(for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost, "tasks give way");
             }
             for task in stopped {
-                self.stop(&task, Stop::Preempted, now);
+                self.stop(&task, StopReason::Preempted, now);
             }
         }
     }
@@ -229,7 +229,7 @@
     }
 
     /// Asks for the end of a task that is recorded on a machine.
-    pub(super) fn stop(&mut self, task: &TaskId, why: Stop, now: Instant) {
+    pub(super) fn stop(&mut self, task: &TaskId, why: StopReason, now: Instant) {
         let placed = self.open_job(&task.job).and_then(|job| job.placed.get(&task.index));
         if placed.is_some_and(|p| p.committed) {
             self.ask_for_end(task, why, Duration::MAX, now);
@@ -238,13 +238,13 @@
 
     /// Asks for a task's end, with time to save if that is worth it and takes no
     /// longer than `left`.
-    pub(super) fn ask_for_end(&mut self, task: &TaskId, why: Stop, left: Duration, now: Instant) {
+    pub(super) fn ask_for_end(&mut self, task: &TaskId, why: StopReason, left: Duration, now: Instant) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
-        let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop.is_none()) else { return };
+        let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop_reason.is_none()) else { return };
         let time_to_save = job.progress(placed, now).time_to_save().filter(|time| *time <= left);
         let machine = placed.machine.clone();
         if let Some(placed) = job.placed.get_mut(&task.index) {
-            placed.stop = Some(why);
+            placed.stop_reason = Some(why);
             placed.grace = time_to_save.map_or(Duration::ZERO, |time| time + SAVE_MARGIN);
         }
         self.wakeups.command.insert(machine);
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -1,10 +1,10 @@
 //! The copy of the records, and what follows from each change of it.
 
 use super::{CommitTarget, Core};
-use crate::jobs::{AwayJob, Job, OpenJob, Placed, Stop, TaskId};
+use crate::jobs::{AwayJob, Job, OpenJob, Placement, StopReason, TaskId};
 use crate::legacy;
 use crate::records::{
-    CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LiveRecord, SegmentId,
+    CompletedTasksRecord, JobRecord, JobStage, Key, LayoutRecord, LeaderRecord, LivenessRecord, SegmentId,
     SegmentRecord, ShardRecord,
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
@@ -68,7 +68,7 @@
         let settled: Vec<Arc<str>> = self
             .unsettled
             .iter()
-            .filter(|id| self.open_job(id).is_none_or(|j| j.settles_at() <= applied_revision))
+            .filter(|id| self.open_job(id).is_none_or(|j| j.usage_known_at_revision() <= applied_revision))
             .cloned()
             .collect();
         for id in settled {
@@ -101,8 +101,8 @@
         log.sort_by_key(|l| {
             let key = l.set.as_deref().or(l.drop.as_deref()).unwrap_or_default();
             let class = match Key::parse(key) {
-                Some(Key::Format | Key::Job(_) | Key::CompletedTasks(..)) => 0,
-                Some(Key::Group(_)) => 1,
+                Some(Key::LayoutInForce | Key::Job(_) | Key::CompletedTasks(..)) => 0,
+                Some(Key::MachineGroup(_)) => 1,
                 _ => 2,
             };
             (class, l.version)
@@ -124,12 +124,12 @@
             return;
         }
         match Key::parse(key) {
-            Some(Key::Format) => {
+            Some(Key::LayoutInForce) => {
                 if let Some(record) = self.read::<LayoutRecord>(key, value) {
                     self.apply_format(record.layout, now);
                 }
             }
-            Some(Key::Mark(host)) => {
+            Some(Key::KnownLayout(host)) => {
                 if let Some(record) = self.read::<LayoutRecord>(key, value) {
                     self.apply_mark(host, record);
                 }
@@ -149,7 +149,7 @@
                     self.apply_segment(id, record, size, version, now);
                 }
             }
-            Some(Key::Group(name)) => {
+            Some(Key::MachineGroup(name)) => {
                 let dropped = value.is_none();
                 let record = value.and_then(|v| self.readable(key, legacy::read_group(v)));
                 if dropped || record.is_some() {
@@ -164,7 +164,7 @@
                 let record = self.read(key, value);
                 self.apply_shard(shard, record, version, now);
             }
-            Some(Key::Live(host)) => {
+            Some(Key::Liveness(host)) => {
                 let record = self.read(key, value);
                 self.apply_live(host, record, now);
             }
@@ -241,7 +241,7 @@
         }
     }
 
-    fn apply_live(&mut self, host: &str, record: Option<LiveRecord>, now: Instant) {
+    fn apply_live(&mut self, host: &str, record: Option<LivenessRecord>, now: Instant) {
         self.wakeups.role = true;
         let Some(record) = record else {
             self.live_controllers.remove(host);
@@ -302,7 +302,7 @@
         }
         let known = self.completed_records.get(&id).cloned().unwrap_or_default();
         if let Some(job) = self.open_job_mut(&id) {
-            job.completed_records = known;
+            job.done_by_part = known;
             self.rederive(&id);
         }
     }
@@ -363,16 +363,16 @@
                 // What was being allocated or taken back is in the record now.
                 for (shard, allocated) in &record.allocated {
                     if let Some(own) = job.allocating.get_mut(shard) {
-                        *own = own.without(allocated);
+                        *own = own.difference(allocated);
                     }
                 }
                 if !job.revoking.is_empty() {
-                    job.revoked = version;
+                    job.last_revocation_version = version;
                     self.unsettled.insert(id.clone());
                 }
                 for (shard, revoked) in &mut job.revoking {
                     let still = record.allocated.get(shard).cloned().unwrap_or_default();
-                    *revoked = revoked.without(&revoked.without(&still));
+                    *revoked = revoked.difference(&revoked.difference(&still));
                 }
                 job.allocating.retain(|_, r| !r.is_empty());
                 job.revoking.retain(|_, r| !r.is_empty());
@@ -382,7 +382,7 @@
             Some(Job::Away(_)) | None => {
                 let Some(job) = OpenJob::new(record, version, now) else { return };
                 let mut job = job;
-                job.completed_records = self.completed_records.get(&id).cloned().unwrap_or_default();
+                job.done_by_part = self.completed_records.get(&id).cloned().unwrap_or_default();
                 self.open.insert(id.clone());
                 self.jobs.insert(id.clone(), Job::Open(Box::new(job)));
                 self.note_arrival(&id, now);
@@ -410,12 +410,12 @@
             Some(Job::Away(job))
                 if job.record.away.as_ref().map(|a| a.epoch) == record.away.as_ref().map(|a| a.epoch) =>
             {
-                job.heard
+                job.last_answer
             }
             _ => None,
         };
         self.forget_job(id);
-        self.jobs.insert(id.clone(), Job::Away(Box::new(AwayJob { record, version, heard })));
+        self.jobs.insert(id.clone(), Job::Away(Box::new(AwayJob { record, version, last_answer: heard })));
         self.wakeups.federation = true;
     }
 
@@ -426,7 +426,7 @@
             return;
         }
         for placed in job.placed.values_mut() {
-            placed.stop = Some(Stop::Withdrawn);
+            placed.stop_reason = Some(StopReason::JobCancelled);
             self.wakeups.command.insert(placed.machine.clone());
         }
         job.allocating.clear();
@@ -456,8 +456,8 @@
     fn forget_job(&mut self, id: &Arc<str>) {
         if let Some(Job::Open(job)) = self.jobs.get(id) {
             let resources = job.requirements.resources;
-            let (team, counted) = (job.spec.team.clone(), job.counted);
-            let placed: Vec<(u32, Placed)> = job.placed.iter().map(|(i, p)| (*i, p.clone())).collect();
+            let (team, counted) = (job.spec.team.clone(), job.counted_against_team);
+            let placed: Vec<(u32, Placement)> = job.placed.iter().map(|(i, p)| (*i, p.clone())).collect();
             for (index, placed) in placed {
                 self.unbook(&TaskId { job: id.clone(), index }, &placed, resources);
             }
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -35,7 +35,8 @@
     /// The conditions that confirm this process's role: the leader's key and
     /// its shards are unchanged.
     pub fn role_conditions(&self) -> Vec<Condition> {
-        let leader = self.role.leadership.map(|version| Condition { key: records::LEADER.into(), version });
+        let leader =
+            self.role.leadership.map(|version| Condition { key: records::LEADER_KEY.into(), version });
         let shards = self.role.leased_shards.iter();
         leader
             .into_iter()
--- a/crates/dapplecroft-controller/src/core/roles/tests.rs
+++ b/crates/dapplecroft-controller/src/core/roles/tests.rs
@@ -13,7 +13,7 @@
     core.begin_to_lead(now);
     core.confirmed(now, 5);
     assert!(core.leads(now));
-    core.role_lost(records::LEADER, now);
+    core.role_lost(records::LEADER_KEY, now);
     // The copy says still that the key is its own.
     core.lead(5);
     core.begin_to_lead(now);
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,9 +1,9 @@
 //! What runs in each shard, as its record says, taken over into the copy.
 
 use super::{Core, Segment};
-use crate::jobs::{Job, Placed, Stop, TaskId};
+use crate::jobs::{Job, Placement, StopReason, TaskId};
 use crate::ranges::Ranges;
-use crate::records::{SegmentId, SegmentRecord, Span};
+use crate::records::{SegmentId, SegmentRecord, TaskSpan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 #[derive(Default)]
 struct SegmentDifference {
     /// Tasks that the record no longer has.
-    departed: Vec<(TaskId, Placed)>,
+    departed: Vec<(TaskId, Placement)>,
     /// Tasks on machines whose spans have changed.
     arrived: Vec<Arrival>,
 }
@@ -88,7 +88,7 @@
         &self,
         id: SegmentId,
         name: &str,
-        spans: &[(&str, Span)],
+        spans: &[(&str, TaskSpan)],
         difference: &mut SegmentDifference,
     ) {
         let machine: Arc<str> = name.into();
@@ -121,12 +121,12 @@
     }
 
     /// Takes tasks off their machines; returns their jobs.
-    fn remove_departed(&mut self, departed: Vec<(TaskId, Placed)>) -> BTreeSet<Arc<str>> {
+    fn remove_departed(&mut self, departed: Vec<(TaskId, Placement)>) -> BTreeSet<Arc<str>> {
         let mut jobs = BTreeSet::new();
         for (task, placed) in departed {
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             job.placed.remove(&task.index);
-            job.exits.remove(&task.index);
+            job.uncommitted_exits.remove(&task.index);
             let resources = job.requirements.resources;
             self.unbook(&task, &placed, resources);
             jobs.insert(task.job);
@@ -172,35 +172,35 @@
     fn add_task(&mut self, id: SegmentId, arrival: Arrival, now: Instant) -> bool {
         let Arrival { task, machine, attempt, session } = arrival;
         let Some(job) = self.open_job_mut(&task.job) else { return false };
-        let stop = (!job.is_open()).then_some(Stop::Withdrawn);
+        let stop = (!job.is_open()).then_some(StopReason::JobCancelled);
         if let Some(placed) = job.placed.get_mut(&task.index)
             && placed.attempt == attempt
             && placed.machine == machine
         {
             if !placed.committed {
                 placed.committed = true;
-                placed.since = now;
+                placed.learned_at = now;
             }
             // The same may have been proposed here, in an earlier session of the
             // worker, and committed by another holder since: a session older than
             // the record's would later pass for proof that the task is gone.
             placed.session = session;
             placed.segment = id;
-            placed.stop = stop.or(placed.stop);
+            placed.stop_reason = stop.or(placed.stop_reason);
             return true;
         }
-        let placed = Placed {
+        let placed = Placement {
             attempt,
             machine: machine.clone(),
             segment: id,
             session,
             committed: true,
-            since: now,
-            running: None,
-            sent: 0,
-            stop,
+            learned_at: now,
+            running_since: None,
+            start_token: 0,
+            stop_reason: stop,
             grace: Duration::ZERO,
-            freed: false,
+            resources_freed: false,
         };
         let resources = job.requirements.resources;
         // A proposal of this process may have lost against the record.
@@ -216,7 +216,7 @@
     fn jobs_with_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
-        let tries = old.tries.keys().chain(new.tries.keys());
+        let tries = old.last_attempts.keys().chain(new.last_attempts.keys());
         let known = |id: &String| match self.jobs.get_key_value(id.as_str()) {
             Some((id, Job::Open(_))) => Some(id.clone()),
             _ => None,
@@ -230,16 +230,17 @@
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
         if done.is_empty() {
-            job.done_in.remove(&id);
+            job.done_by_segment.remove(&id);
         } else {
-            job.done_in.insert(id, done);
+            job.done_by_segment.insert(id, done);
         }
-        match record.tries.get(job_id) {
-            Some(tries) => job.tries.insert(id, tries.clone()),
-            None => job.tries.remove(&id),
+        match record.last_attempts.get(job_id) {
+            Some(tries) => job.last_attempts.insert(id, tries.clone()),
+            None => job.last_attempts.remove(&id),
         };
         let placed = &job.placed;
-        job.exits.retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
+        job.uncommitted_exits
+            .retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
     }
 
     /// A shard's record can be known before a job that runs there, when it was
@@ -254,7 +255,7 @@
                 let r = &segment.record;
                 r.jobs.iter().any(|j| **j == **id)
                     || r.done.contains_key(&**id)
-                    || r.tries.contains_key(&**id)
+                    || r.last_attempts.contains_key(&**id)
             })
             .map(|(segment, _)| *segment)
             .collect();
@@ -283,8 +284,8 @@
                             faults.push(format!("{id}/{index} is in {other:?} and in {segment:?}"));
                         }
                         let placed = job.placed.get(&index);
-                        let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
-                        let moved = |p: &Placed| {
+                        let here = |p: &Placement| p.attempt == span.attempt && *p.machine == *machine;
+                        let moved = |p: &Placement| {
                             let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment);
                             other.is_some_and(|l| l.version > load.version)
                         };
@@ -302,7 +303,7 @@
 }
 
 /// All tasks of a record's spans.
-fn tasks_of(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
+fn tasks_of(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, TaskSpan)>> {
     record
         .machines
         .iter()
@@ -316,9 +317,9 @@
 
 /// Whether spans name the same tasks; a job's position among the record's names
 /// may differ.
-fn same_tasks(old: &[(&str, Span)], new: &[(&str, Span)]) -> bool {
-    let same = |((old_job, a), (new_job, b)): (&(&str, Span), &(&str, Span))| {
-        let range = |span: &Span| (span.first, span.last, span.attempt, span.session);
+fn same_tasks(old: &[(&str, TaskSpan)], new: &[(&str, TaskSpan)]) -> bool {
+    let same = |((old_job, a), (new_job, b)): (&(&str, TaskSpan), &(&str, TaskSpan))| {
+        let range = |span: &TaskSpan| (span.first, span.last, span.attempt, span.session);
         old_job == new_job && range(a) == range(b)
     };
     old.len() == new.len() && old.iter().zip(new).all(same)
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -8,7 +8,7 @@
 //! ([`Core::next_segment_record`]). So no order of ends can make a record outgrow a value.
 
 use super::{CommitTarget, Core};
-use crate::jobs::{Placed, TaskId};
+use crate::jobs::{Placement, TaskId};
 use crate::machines::Machine;
 use crate::records::{SegmentId, SegmentRecord, stored_size};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
 impl Scale {
     /// What a record weighs so far.
     pub fn new(record: &SegmentRecord, limit: usize, whole: bool) -> Scale {
-        let names = record.jobs.iter().chain(record.done.keys()).chain(record.tries.keys());
+        let names = record.jobs.iter().chain(record.done.keys()).chain(record.last_attempts.keys());
         let (total, part) = if whole {
             (stored_size(&crate::legacy::write_segment(record)), FULL_WHOLE)
         } else {
@@ -83,7 +83,7 @@
     }
 
     /// Takes a placement in, if its weight lets it.
-    pub fn take(&mut self, task: &TaskId, p: &Placed) -> bool {
+    pub fn take(&mut self, task: &TaskId, p: &Placement) -> bool {
         let joins = self.last.as_ref().is_some_and(|(t, m, n)| {
             t.job == task.job && t.index + 1 == task.index && *m == p.machine && *n == p.attempt
         });
@@ -173,7 +173,7 @@
     }
 
     /// What tasks of a machine weigh with the names of their jobs.
-    fn weight_of(&self, machine: &Machine, counts: impl Fn(&Placed) -> bool) -> usize {
+    fn weight_of(&self, machine: &Machine, counts: impl Fn(&Placement) -> bool) -> usize {
         let mut last: Option<(&TaskId, u64)> = None;
         let mut sum = 0;
         for task in &machine.tasks {
@@ -209,7 +209,8 @@
             return None;
         }
         let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
-        self.inherited.insert(id, super::migration::Inherited { done: record.done, tries: record.tries });
+        self.inherited
+            .insert(id, super::migration::Inherited { done: record.done, tries: record.last_attempts });
         let moved = |m: &&mut Machine| m.shard == id.shard && m.segment == lightest.segment;
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
@@ -339,7 +340,7 @@
         if let Some(more) = self.inherited.get(&id) {
             let own = SegmentRecord {
                 done: more.done.clone(),
-                tries: more.tries.clone(),
+                last_attempts: more.tries.clone(),
                 ..SegmentRecord::default()
             };
             sum += weight(&own);
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -98,12 +98,12 @@
             .filter_map(|id| self.open_job(id).map(|j| (id, j)))
             .filter(|(_, j)| j.is_open())
             .collect();
-        by_age.sort_by(|a, b| a.1.record.at.total_cmp(&b.1.record.at).then(a.0.cmp(b.0)));
+        by_age.sort_by(|a, b| a.1.record.submitted_at.total_cmp(&b.1.record.submitted_at).then(a.0.cmp(b.0)));
         let mut totals: HashMap<&str, Resources> = HashMap::new();
         let mut result = HashMap::new();
         for (id, job) in by_age {
             let total = totals.entry(job.spec.team.as_str()).or_default();
-            *total += job.requirements.resources.times(i64::from(job.left()));
+            *total += job.requirements.resources.times(i64::from(job.unfinished_tasks()));
             let within = self.teams.get(&job.spec.team).is_some_and(|b| b.guarantees(total));
             result.insert(id.clone(), within);
         }
@@ -114,25 +114,25 @@
     fn due(&self, job: &OpenJob) -> f64 {
         let within = [job.spec.deadline_s, self.settings.finished_within(&job.spec.class)];
         let within = within.into_iter().flatten().min_by(f64::total_cmp);
-        job.record.at + within.unwrap_or(job.spec.estimate_s * 4.0)
+        job.record.submitted_at + within.unwrap_or(job.spec.estimate_s * 4.0)
     }
 
     /// Whether a job has waited so long that it goes before others: least left
     /// first, and missed deadlines last, must starve nobody.
     fn is_starved(&self, job: &OpenJob) -> bool {
         let begun = !job.placed.is_empty() || !job.done.is_empty();
-        self.wall_clock_s - job.record.at > if begun { END_WITHIN } else { BEGIN_WITHIN }
+        self.wall_clock_s - job.record.submitted_at > if begun { END_WITHIN } else { BEGIN_WITHIN }
     }
 
     /// A job's rank, one higher once it has waited very long. What is placed of
     /// it keeps that rank while it is young, or the job would be undone again
     /// and again by more urgent ones.
     pub(super) fn effective_rank(&self, job: &OpenJob) -> u8 {
-        let old = self.wall_clock_s - job.record.at > BEGIN_WITHIN;
+        let old = self.wall_clock_s - job.record.submitted_at > BEGIN_WITHIN;
         // A few tasks are enough to begin: a large job must not take the place
         // of all urgent work.
         let few = job.placed.len() <= STARTER_TASKS && job.done.is_empty();
-        if old && few { job.rank().saturating_sub(1) } else { job.rank() }
+        if old && few { job.priority_rank().saturating_sub(1) } else { job.priority_rank() }
     }
 
     /// Waiting jobs in the order in which they are served.
@@ -143,14 +143,14 @@
             .iter()
             .filter_map(|id| {
                 let job = self.open_job(id)?;
-                if job.not_before.is_some_and(|at| at > now) {
+                if job.backoff_until.is_some_and(|at| at > now) {
                     return None;
                 }
                 let within = guaranteed.get(id).copied().unwrap_or(false);
                 let due = self.due(job);
-                let submitted_ms = (job.record.at.max(0.0) * 1000.0) as u64;
+                let submitted_ms = (job.record.submitted_at.max(0.0) * 1000.0) as u64;
                 let rank = self.effective_rank(job);
-                let starved = rank < job.rank() || self.is_starved(job);
+                let starved = rank < job.priority_rank() || self.is_starved(job);
                 let key = ServingKey {
                     level: ServiceLevel::of(rank, within || starved),
                     starved_since: if starved { submitted_ms } else { u64::MAX },
@@ -158,7 +158,7 @@
                     rank,
                     deadline: deadline_state(due - wall_clock_s, job.spec.estimate_s),
                     task_cpus: Reverse(job.requirements.resources.cpus),
-                    work_left_s: (f64::from(job.left()) * job.spec.estimate_s) as u64,
+                    work_left_s: (f64::from(job.unfinished_tasks()) * job.spec.estimate_s) as u64,
                     due_ms: (due.max(0.0) * 1000.0) as u64,
                     submitted_ms,
                 };
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -1,7 +1,7 @@
 //! Workers' sessions: what reports prove, and which commands follow.
 
 use super::Core;
-use crate::jobs::{Exit, Job, Stop, TaskId};
+use crate::jobs::{Job, StopReason, TaskExit, TaskId};
 use crate::machines::Machine;
 use dapplecroft_wire::workers::{
     Command, DirectCommands, ExitReason, Heartbeat, HeartbeatHead, HeartbeatReply, TaskState,
@@ -101,13 +101,13 @@
         {
             return;
         }
-        let first = machine.heard.is_none();
+        let first = machine.last_heartbeat.is_none();
         // Commands on their way stay counted as such even if the session is new:
         // `clear` must wait until none can be.
         machine.session = report.session;
         machine.sequence = report.sequence;
         machine.seen_token = report.token;
-        machine.heard = Some(now);
+        machine.last_heartbeat = Some(now);
         machine.missed_probes = 0;
         machine.machine_type.clone_from(&report.machine_type);
         machine.zone.clone_from(&report.zone);
@@ -122,8 +122,8 @@
             .notice_s
             .and_then(|s| Duration::try_from_secs_f64(s.clamp(0.0, 1e6)).ok())
             .map(|d| now + d);
-        let noticed = taken_at.is_some() && machine.taken_at.is_none();
-        machine.taken_at = taken_at;
+        let noticed = taken_at.is_some() && machine.reclaim_at.is_none();
+        machine.reclaim_at = taken_at;
         let mut tasks = BTreeMap::new();
         for task in &report.tasks {
             match TaskId::parse(&task.task) {
@@ -134,8 +134,8 @@
             }
         }
         machine.reported = tasks;
-        let synced = machine.synced(shard_lease.epoch);
-        machine.deaf_since = if synced { None } else { machine.deaf_since.or(Some(now)) };
+        let synced = machine.is_synced(shard_lease.epoch);
+        machine.unsynced_since = if synced { None } else { machine.unsynced_since.or(Some(now)) };
         if first || synced {
             self.wakeups.place = true;
         }
@@ -178,18 +178,18 @@
                     ends.push((task.clone(), placed.attempt, Some(why)));
                 }
                 Some(report) if report.state == TaskState::Running => {
-                    if placed.running.is_none() {
-                        let fetched = now.saturating_duration_since(placed.since);
+                    if placed.running_since.is_none() {
+                        let fetched = now.saturating_duration_since(placed.learned_at);
                         tracing::debug!(%task, class = job.spec.class, machine = &**id, ?fetched, "running");
                     }
-                    placed.running.get_or_insert(now);
+                    placed.running_since.get_or_insert(now);
                 }
                 Some(_) => {}
-                None if placed.stop.is_some() && !machine.commanding => {
+                None if placed.stop_reason.is_some() && !machine.command_in_flight => {
                     // It is not there. That proves nothing while a start can
                     // still be on its way under the present token, and all if
                     // the worker has since accepted a higher one.
-                    if placed.sent < token {
+                    if placed.start_token < token {
                         ends.push((task.clone(), placed.attempt, None));
                     } else {
                         raise = true;
@@ -208,7 +208,7 @@
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         for image in ran {
-            machine.note_image(image, true);
+            machine.record_image(image, true);
         }
         for (task, report) in &machine.reported {
             if report.state != TaskState::Exited && !machine.tasks.contains(task) {
@@ -239,31 +239,31 @@
         let service = job.is_service();
         let done = why == Some(ExitReason::Done) && !service;
         let Some(segment_id) = job.placed.get(&task.index).map(|p| p.segment) else { return };
-        if job.exits.insert(task.index, Exit { attempt, done }).is_some() {
+        if job.uncommitted_exits.insert(task.index, TaskExit { attempt, completed: done }).is_some() {
             return;
         }
         match why {
             Some(ExitReason::Done | ExitReason::Error) if service => {
                 // At once, unless it goes on ending soon after its starts. That
                 // is its own fault, and no machine's.
-                let ran = job.placed.get(&task.index).and_then(|p| p.running);
+                let ran = job.placed.get(&task.index).and_then(|p| p.running_since);
                 if ran.is_some_and(|at| now.saturating_duration_since(at) >= STABLE_REPLICA_RUN) {
-                    job.failed_on.clear();
+                    job.failed_machines.clear();
                     job.failures = 0;
                 } else {
-                    job.failed(id, now);
+                    job.record_failure(id, now);
                 }
                 tracing::info!(task = %task, machine = id, ?why, failures = job.failures, "a replica ended");
             }
             Some(ExitReason::Done) => {
-                job.failed_on.clear();
+                job.failed_machines.clear();
                 job.failures = 0;
             }
             Some(ExitReason::Error) => {
-                job.failed(id, now);
+                job.record_failure(id, now);
                 tracing::info!(task = %task, machine = id, "a task failed");
-                let alone = job.failed_on.len() < 2;
-                let machines: Vec<String> = job.failed_on.iter().cloned().collect();
+                let alone = job.failed_machines.len() < 2;
+                let machines: Vec<String> = job.failed_machines.iter().cloned().collect();
                 for name in machines {
                     if let Some(machine) = self.machines.get_mut(name.as_str()) {
                         if alone {
@@ -279,7 +279,7 @@
             Some(ExitReason::Full | ExitReason::InUse | ExitReason::NoSuch) => {
                 tracing::info!(task = %task, machine = id, ?why, "a start was refused");
                 if let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) {
-                    job.not_before = Some(now + Duration::from_secs(1));
+                    job.backoff_until = Some(now + Duration::from_secs(1));
                 }
             }
             _ => {}
@@ -308,15 +308,15 @@
     /// The cloud takes a machine soon: tasks that can't finish before are moved.
     fn notice(&mut self, id: &Arc<str>, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
-        let Some(taken_at) = machine.taken_at else { return };
+        let Some(taken_at) = machine.reclaim_at else { return };
         let left = taken_at.saturating_duration_since(now);
         tracing::info!(machine = &**id, ?left, tasks = machine.tasks.len(), "the cloud takes a machine back");
         for task in machine.tasks.clone() {
             let Some(job) = self.open_job(&task.job).filter(|j| !j.is_service()) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
-            let ran = placed.running.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+            let ran = placed.running_since.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
             if job.spec.estimate_s - ran > left.as_secs_f64() {
-                self.ask_for_end(&task, Stop::Notice, left, now);
+                self.ask_for_end(&task, StopReason::ReclaimNotice, left, now);
             }
         }
         self.wakeups.place = true;
@@ -327,13 +327,13 @@
     /// long as can be, and move in the last moment. Left alone, their machine
     /// would have to be missed, and proven gone, first.
     pub(super) fn move_replicas(&mut self, now: Instant) {
-        let soon = |m: &&Machine| m.taken_at.is_some_and(|at| at <= now + LAST_MOMENT);
+        let soon = |m: &&Machine| m.reclaim_at.is_some_and(|at| at <= now + LAST_MOMENT);
         let held = |m: &&Machine| self.is_holder(m.shard);
         let leaving: Vec<TaskId> =
             self.machines.values().filter(soon).filter(held).flat_map(|m| m.tasks.iter().cloned()).collect();
         for task in leaving {
             if self.open_job(&task.job).is_some_and(|j| j.is_service()) {
-                self.stop(&task, Stop::Notice, now);
+                self.stop(&task, StopReason::ReclaimNotice, now);
             }
         }
     }
@@ -346,7 +346,7 @@
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
             return Vec::new();
         };
-        let synced = machine.synced(shard_lease.epoch);
+        let synced = machine.is_synced(shard_lease.epoch);
         let mut commands = Vec::new();
         for (task, report) in &machine.reported {
             let own = self
@@ -354,7 +354,7 @@
                 .and_then(|j| j.placed.get(&task.index))
                 .filter(|p| p.committed && *p.machine == *id && p.attempt == report.attempt);
             match (own, report.state) {
-                (None, TaskState::Exited) if in_answer && synced && !machine.commanding => {
+                (None, TaskState::Exited) if in_answer && synced && !machine.command_in_flight => {
                     commands.push(Command::Clear { task: report.task.clone(), attempt: report.attempt });
                 }
                 (None, TaskState::Exited) => {}
@@ -367,8 +367,11 @@
                     // A second `kill` would end a save that is under way: only a
                     // cancellation does that.
                     let saves = state == TaskState::Saving;
-                    if let Some(stop) = placed.stop.filter(|stop| !saves || *stop == Stop::Withdrawn) {
-                        let grace = if stop == Stop::Withdrawn { Duration::ZERO } else { placed.grace };
+                    if let Some(stop) =
+                        placed.stop_reason.filter(|stop| !saves || *stop == StopReason::JobCancelled)
+                    {
+                        let grace =
+                            if stop == StopReason::JobCancelled { Duration::ZERO } else { placed.grace };
                         commands.push(Command::Kill {
                             task: report.task.clone(),
                             attempt: report.attempt,
@@ -388,7 +391,11 @@
             let here = placed.committed && *placed.machine == *id && placed.session == machine.session;
             // Under another attempt it is still to be cleared there first.
             let listed = machine.reported.contains_key(task);
-            if here && placed.stop.is_none() && !listed && !job.exits.contains_key(&task.index) {
+            if here
+                && placed.stop_reason.is_none()
+                && !listed
+                && !job.uncommitted_exits.contains_key(&task.index)
+            {
                 commands.push(Command::Start { task: task.to_string(), attempt: placed.attempt });
             }
         }
@@ -404,11 +411,11 @@
             if let Some(job) = self.open_job_mut(&task.job) {
                 image.clone_from(&job.requirements.image);
                 if let Some(placed) = job.placed.get_mut(&task.index) {
-                    placed.sent = token;
+                    placed.start_token = token;
                 }
             }
             if let (Some(image), Some(machine)) = (image, self.machines.get_mut(id)) {
-                machine.note_image(image, false);
+                machine.record_image(image, false);
             }
         }
     }
@@ -417,20 +424,20 @@
     pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
         let machine = self.machines.get(id)?;
         let shard_lease = self.active_lease(machine.shard, now)?;
-        let unknown = machine.session == 0 || machine.commanding || machine.releasing;
-        if unknown || machine.command_after.is_some_and(|at| at > now) {
+        let unknown = machine.session == 0 || machine.command_in_flight || machine.release_in_flight;
+        if unknown || machine.commands_paused_until.is_some_and(|at| at > now) {
             return None;
         }
         let commands = self.commands(id, false, now);
         let machine = self.machines.get_mut(id)?;
         // Without commands a message still brings the present token to the
         // worker, so that its tasks are known and it can take work soon.
-        let behind = !machine.synced(shard_lease.epoch);
+        let behind = !machine.is_synced(shard_lease.epoch);
         if commands.is_empty() && !behind {
             return None;
         }
         let address = machine.address.clone()?;
-        machine.commanding = true;
+        machine.command_in_flight = true;
         let (token, session) = (machine.token(shard_lease.epoch), machine.session);
         self.note_sent(id, &commands, token);
         Some((address, DirectCommands { token, session, commands }))
@@ -441,25 +448,26 @@
     pub fn command_ended(&mut self, id: &str, sent: &DirectCommands, end: CommandEnd<'_>, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
-        if !machine.is_present(sent.token, shard_lease.epoch) {
+        if !machine.is_token_since_reset(sent.token, shard_lease.epoch) {
             // Sent before the shard was lost, or taken up anew.
             return;
         }
-        machine.commanding = false;
+        machine.command_in_flight = false;
         match end {
             CommandEnd::Answered(report) => {
                 // Refused for a newer token: whoever holds that is in command.
-                machine.command_after = (report.token > sent.token).then(|| now + Duration::from_secs(1));
+                machine.commands_paused_until =
+                    (report.token > sent.token).then(|| now + Duration::from_secs(1));
                 if report.machine == *id {
                     self.apply_heartbeat(report, now);
                 }
             }
-            CommandEnd::NotDelivered => machine.command_after = Some(now + Duration::from_secs(1)),
+            CommandEnd::NotDelivered => machine.commands_paused_until = Some(now + Duration::from_secs(1)),
             CommandEnd::Unknown => {
                 // They may be executed much later, also after the task has moved
                 // or was cleared: a higher token makes them void.
                 machine.raise_token();
-                machine.command_after = Some(now + Duration::from_secs(1));
+                machine.commands_paused_until = Some(now + Duration::from_secs(1));
                 tracing::debug!(machine = id, "outcome of commands unknown, token raised");
             }
         }
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 use crate::core::ShardLease;
 use crate::core::testing::{core, job_record, proposed};
-use crate::jobs::Placed;
+use crate::jobs::Placement;
 use crate::records::SegmentId;
 use dapplecroft_wire::workers::TaskStatus;
 use serde_json::json;
 
 /// A core that commands a worker whose one task saves, and is to be stopped.
-fn with_a_saving_task(stop: Stop, now: Instant) -> Core {
+fn with_a_saving_task(stop: StopReason, now: Instant) -> Core {
     let mut core = core();
     core.apply("dc/j/run-1", Some(job_record("run-1", 1, json!({"0": [[0, 0]]}))), 5, now);
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     let task = TaskId { job: "run-1".into(), index: 0 };
-    let placed = Placed {
+    let placed = Placement {
         committed: true,
-        stop: Some(stop),
+        stop_reason: Some(stop),
         grace: Duration::from_secs(3),
         ..proposed("i-1", SegmentId::new(0, 0), 1, now)
     };
@@ -24,7 +24,7 @@
     let machine = core.machines.get_mut("i-1").unwrap();
     machine.session = 1;
     machine.seen_token = machine.token(1);
-    machine.taken_at = Some(now);
+    machine.reclaim_at = Some(now);
     let report =
         TaskStatus { task: "run-1/0".into(), attempt: 1, state: TaskState::Saving, why: None, saved: None };
     machine.reported.insert(task, report);
@@ -36,11 +36,11 @@
 #[test]
 fn a_save_that_is_under_way_is_ended_by_a_cancellation_alone() {
     let now = Instant::now();
-    for stop in [Stop::Notice, Stop::Preempted, Stop::Drained] {
+    for stop in [StopReason::ReclaimNotice, StopReason::Preempted, StopReason::Drained] {
         let core = with_a_saving_task(stop, now);
         assert_eq!(core.commands("i-1", true, now), [], "{stop:?}");
     }
-    let core = with_a_saving_task(Stop::Withdrawn, now);
+    let core = with_a_saving_task(StopReason::JobCancelled, now);
     let kill = Command::Kill { task: "run-1/0".into(), attempt: 1, grace_s: 0.0 };
     assert_eq!(core.commands("i-1", true, now), [kill]);
 }
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -136,7 +136,7 @@
     /// The transaction that gives leases, as many as one holds.
     pub fn lease_transaction(&self, leases: &[LeaseGrant]) -> Option<Transaction> {
         let leadership = self.role.leadership?;
-        let mut conditions = vec![Condition { key: records::LEADER.into(), version: leadership }];
+        let mut conditions = vec![Condition { key: records::LEADER_KEY.into(), version: leadership }];
         let mut changes = Vec::new();
         for lease in leases.iter().take(self.limits().changes) {
             let key = records::shard_key(lease.shard);
@@ -182,7 +182,7 @@
         self.learn_parts(shard);
         let mut jobs: Vec<Arc<str>> = Vec::new();
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
-            machine.reset(now);
+            machine.forget_worker_state(now);
             jobs.extend(machine.tasks.iter().map(|t| t.job.clone()));
         }
         jobs.sort_unstable();
@@ -190,9 +190,9 @@
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             for placed in job.placed.values_mut().filter(|p| p.segment.shard == shard) {
-                placed.sent = 0;
-                placed.running = None;
-                placed.since = now;
+                placed.start_token = 0;
+                placed.running_since = None;
+                placed.learned_at = now;
             }
         }
         self.plan_migration(shard, now);
@@ -213,16 +213,16 @@
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let resources = job.requirements.resources;
-            for p in job.placed.values_mut().filter(|p| p.segment.shard == shard && p.freed) {
-                p.freed = false;
+            for p in job.placed.values_mut().filter(|p| p.segment.shard == shard && p.resources_freed) {
+                p.resources_freed = false;
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
-                    let before = machine.room().cpus;
+                    let before = machine.free_resources().cpus;
                     machine.booked += resources;
                     reindex(&mut self.machines_by_free_cpus, machine, before);
                 }
             }
             let placed = &job.placed;
-            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
+            job.uncommitted_exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
         }
         self.drop_proposals_in(shard);
         self.commits.drop_deferred_ends_of(shard);
@@ -231,7 +231,7 @@
         let machines = &self.machines;
         self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.shard != shard));
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
-            machine.reset(now);
+            machine.forget_worker_state(now);
         }
         let empty: Vec<Arc<str>> = self
             .machines
--- a/crates/dapplecroft-controller/src/core/testing.rs
+++ b/crates/dapplecroft-controller/src/core/testing.rs
@@ -1,7 +1,7 @@
 //! What the tests of this module have in common.
 
 use super::Core;
-use crate::jobs::Placed;
+use crate::jobs::Placement;
 use crate::options::Options;
 use crate::records::SegmentId;
 use dapplecroft_wire::settings::Settings;
@@ -29,18 +29,18 @@
 }
 
 /// A task that is proposed for a machine in a segment.
-pub(super) fn proposed(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placed {
-    Placed {
+pub(super) fn proposed(machine: &str, segment: SegmentId, attempt: u64, since: Instant) -> Placement {
+    Placement {
         attempt,
         machine: machine.into(),
         segment,
         session: 1,
         committed: false,
-        since,
-        running: None,
-        sent: 0,
-        stop: None,
+        learned_at: since,
+        running_since: None,
+        start_token: 0,
+        stop_reason: None,
         grace: Duration::ZERO,
-        freed: false,
+        resources_freed: false,
     }
 }
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -3,11 +3,11 @@
 use super::Core;
 use super::layout::to_value;
 use super::segments::Scale;
-use crate::jobs::{OpenJob, Placed, TaskId};
+use crate::jobs::{OpenJob, Placement, TaskId};
 use crate::machines::Machine;
 use crate::ranges::Ranges;
 use crate::records::{
-    self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, Span, stored_size,
+    self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, TaskSpan, stored_size,
 };
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
@@ -26,12 +26,12 @@
     /// what it takes over from a record of the first layout.
     fn carried(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
-        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
+        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.last_attempts));
         let inherited = self.inherited.get(&id).map(|i| (&i.done, &i.tries));
         for (done, tries) in old.into_iter().chain(inherited) {
             for (job_id, ranges) in done {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
-                let left = ranges.without(&job.recorded_done());
+                let left = ranges.difference(&job.recorded_done());
                 if !left.is_empty() {
                     let all = record.done.entry(job_id.clone()).or_default();
                     *all = all.union(&left);
@@ -40,8 +40,8 @@
             for (job_id, own) in tries {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
                 for (index, attempt) in own {
-                    if !job.done.contains(*index) && !job.outdates(id, *index, *attempt) {
-                        let all = record.tries.entry(job_id.clone()).or_default();
+                    if !job.done.contains(*index) && !job.has_later_attempt(id, *index, *attempt) {
+                        let all = record.last_attempts.entry(job_id.clone()).or_default();
                         let last = all.entry(*index).or_default();
                         *last = (*last).max(*attempt);
                     }
@@ -60,7 +60,7 @@
     /// A record that was written before limits were as they are can have more on
     /// one machine than could be cut into pieces within them. Then as many ends
     /// are taken in at a time as fit; neighbours that have ended join again.
-    fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placed)>) {
+    fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placement)>) {
         let (mut ends, mut most) = (usize::MAX, usize::MAX);
         loop {
             let (record, proposals, taken) = self.segment_record_with(id, ends, most);
@@ -83,14 +83,14 @@
         id: SegmentId,
         ends: usize,
         most: usize,
-    ) -> (SegmentRecord, Vec<(TaskId, Placed)>, usize) {
+    ) -> (SegmentRecord, Vec<(TaskId, Placement)>, usize) {
         let limits = self.limits();
         let mut taken = 0;
         let most_jobs = limits.changes * 3;
         let mut record = self.carried(id);
         let mut proposals = Vec::new();
         let mut names: HashMap<Arc<str>, u32> = HashMap::new();
-        let mut waiting: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
+        let mut waiting: Vec<(u8, Instant, TaskId, Placement)> = Vec::new();
         let whole = id.segment.is_none();
         let here =
             |m: &&Machine| m.shard == id.shard && (whole || m.segment == id.segment) && !m.tasks.is_empty();
@@ -101,19 +101,20 @@
                     continue;
                 };
                 if !p.committed {
-                    waiting.push((job.rank(), p.since, task.clone(), p.clone()));
+                    waiting.push((job.priority_rank(), p.learned_at, task.clone(), p.clone()));
                     continue;
                 }
-                let exit = job.exits.get(&task.index).filter(|e| e.attempt == p.attempt && taken < ends);
+                let exit =
+                    job.uncommitted_exits.get(&task.index).filter(|e| e.attempt == p.attempt && taken < ends);
                 taken += usize::from(exit.is_some());
                 match exit {
                     None => add_task(&mut record, &mut names, task, p),
                     Some(_) if !job.is_open() => {}
-                    Some(exit) if exit.done => {
+                    Some(exit) if exit.completed => {
                         record.done.entry(task.job.to_string()).or_default().insert(task.index);
                     }
                     Some(exit) => {
-                        let tries = record.tries.entry(task.job.to_string()).or_default();
+                        let tries = record.last_attempts.entry(task.job.to_string()).or_default();
                         tries.insert(task.index, exit.attempt);
                     }
                 }
@@ -137,18 +138,18 @@
                 continue;
             }
             asked.insert(task.job.clone());
-            if let Some(tries) = record.tries.get_mut(&*task.job) {
+            if let Some(tries) = record.last_attempts.get_mut(&*task.job) {
                 tries.remove(&task.index);
             }
             add_task(&mut record, &mut names, &task, &p);
             proposals.push((task, p));
         }
-        record.tries.retain(|_, t| !t.is_empty());
+        record.last_attempts.retain(|_, t| !t.is_empty());
         (record, proposals, taken)
     }
 
     /// What is to be committed of a segment, with what is proposed in it.
-    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
+    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
         // A stale holder can commit nothing, hence start nothing.
         let shard_lease = self.role.leased_shards.get(&id.shard)?;
         let mut conditions =
@@ -189,12 +190,12 @@
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
         let record = if untouched && job.version <= self.applied_revision {
-            job.record.compact(JobStage::Withdrawn, done)
+            job.record.compact(JobStage::Cancelled, done)
         } else {
             // What was allocated where is of no use any more, and may be long.
             let (allocated, legacy_done) = Default::default();
             JobRecord {
-                stage: JobStage::Withdrawn,
+                stage: JobStage::Cancelled,
                 done: Some(done),
                 allocated,
                 legacy_done,
@@ -205,7 +206,7 @@
     }
 
     /// What is to be committed of a job: allocations, what is taken back, its end.
-    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
+    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
         let leadership = self.role.leadership.filter(|_| self.fleet.ready());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
@@ -225,7 +226,7 @@
             self.allocations(job)
         };
         if record.spec.is_some() {
-            conditions.push(Condition { key: records::LEADER.into(), version: leadership? });
+            conditions.push(Condition { key: records::LEADER_KEY.into(), version: leadership? });
         }
         if record == job.record {
             return None;
@@ -253,9 +254,9 @@
     /// Records of completed tasks that a job's record of the first layout names
     /// and no record of its own has yet.
     fn missing_completed_records(&self, id: &str, job: &OpenJob) -> Vec<(String, CompletedTasksRecord)> {
-        let have = job.completed_records.values().fold(Default::default(), |all: Ranges, f| all.union(f));
-        let left = job.record.legacy_done.without(&have);
-        let numbers = (0..).filter(|n| !job.completed_records.contains_key(n));
+        let have = job.done_by_part.values().fold(Default::default(), |all: Ranges, f| all.union(f));
+        let left = job.record.legacy_done.difference(&have);
+        let numbers = (0..).filter(|n| !job.done_by_part.contains_key(n));
         let pieces = left.chunks(COMPLETED_RECORD_BYTES);
         numbers
             .zip(pieces)
@@ -276,26 +277,26 @@
         }
         for (shard, ranges) in &job.revoking {
             if let Some(allocated) = record.allocated.get_mut(shard) {
-                *allocated = allocated.without(ranges);
+                *allocated = allocated.difference(ranges);
             }
         }
         if self.is_mixed() {
             record.legacy_done = record.legacy_done.union(&job.done);
         }
         for allocated in record.allocated.values_mut() {
-            *allocated = allocated.without(&job.done);
+            *allocated = allocated.difference(&job.done);
             if !self.is_mixed() {
-                *allocated = allocated.bridge(&job.done);
+                *allocated = allocated.bridge_gaps(&job.done);
             }
         }
         record.allocated.retain(|_, r| !r.is_empty());
         record
     }
 
-    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
+    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
         let version = self.version(key);
         let conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER_KEY.into(), version: self.role.leadership? },
             Condition { key: key.into(), version },
         ];
         let changes = vec![Change::Drop { key: key.into() }];
@@ -310,19 +311,19 @@
 }
 
 /// Adds a task to a record of what runs.
-fn add_task(record: &mut SegmentRecord, names: &mut HashMap<Arc<str>, u32>, task: &TaskId, p: &Placed) {
+fn add_task(record: &mut SegmentRecord, names: &mut HashMap<Arc<str>, u32>, task: &TaskId, p: &Placement) {
     let jobs = &mut record.jobs;
     let job = *names.entry(task.job.clone()).or_insert_with(|| {
         jobs.push(task.job.to_string());
         jobs.len() as u32 - 1
     });
     let spans = record.machines.entry(p.machine.to_string()).or_default();
-    let joins = |s: &&mut Span| {
+    let joins = |s: &&mut TaskSpan| {
         s.job == job && s.last + 1 == task.index && s.attempt == p.attempt && s.session == p.session
     };
     match spans.last_mut().filter(joins) {
         Some(span) => span.last = task.index,
-        None => spans.push(Span {
+        None => spans.push(TaskSpan {
             job,
             first: task.index,
             last: task.index,
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -35,20 +35,20 @@
 
 /// Why a task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// Its user withdrew the job.
-    Withdrawn,
+    JobCancelled,
     /// It gives way to other work.
     Preempted,
     /// Its machine is being emptied.
     Drained,
     /// The cloud takes its machine back soon.
-    Notice,
+    ReclaimNotice,
 }
 
 /// A task on a machine, or proposed for one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
+pub struct Placement {
     /// The attempt.
     pub attempt: u64,
     /// The machine.
@@ -60,28 +60,28 @@
     /// Whether the record is committed; nothing is commanded before.
     pub committed: bool,
     /// When this process learned of it.
-    pub since: Instant,
+    pub learned_at: Instant,
     /// When it was first seen running.
-    pub running: Option<Instant>,
+    pub running_since: Option<Instant>,
     /// The highest token under which a start was sent; 0 for none.
-    pub sent: u64,
+    pub start_token: u64,
     /// Whether it is to be stopped.
-    pub stop: Option<Stop>,
+    pub stop_reason: Option<StopReason>,
     /// Time that it is given to save then, decided with the stop: it must not
     /// change while the task saves.
     pub grace: Duration,
     /// Whether its room is free already: it has left its machine by proof, and
     /// the record of that is on its way.
-    pub freed: bool,
+    pub resources_freed: bool,
 }
 
 /// How a task's stay on a machine ended, by proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Exit {
+pub struct TaskExit {
     /// The attempt that ended.
     pub attempt: u64,
     /// Whether the task is complete.
-    pub done: bool,
+    pub completed: bool,
 }
 
 /// A job that is not over, or still has tasks on machines.
@@ -96,13 +96,13 @@
     /// What each task needs.
     pub requirements: Arc<TaskRequirements>,
     /// Completed tasks by the record of a shard in which they are.
-    pub done_in: BTreeMap<SegmentId, Ranges>,
+    pub done_by_segment: BTreeMap<SegmentId, Ranges>,
     /// Completed tasks that records of their own have.
-    pub completed_records: BTreeMap<u32, Ranges>,
+    pub done_by_part: BTreeMap<u32, Ranges>,
     /// Last attempts of tasks that ended unfinished, by the record they are in.
-    pub tries: BTreeMap<SegmentId, BTreeMap<u32, u64>>,
+    pub last_attempts: BTreeMap<SegmentId, BTreeMap<u32, u64>>,
     /// Tasks on machines or proposed.
-    pub placed: BTreeMap<u32, Placed>,
+    pub placed: BTreeMap<u32, Placement>,
     /// Completed tasks.
     pub done: Ranges,
     /// Tasks that no shard has, nor is being given.
@@ -114,23 +114,23 @@
     /// Waiting tasks that this leader takes back, not committed yet.
     pub revoking: BTreeMap<u32, Ranges>,
     /// Version of the record with which tasks were last taken back from shards.
-    pub revoked: u64,
+    pub last_revocation_version: u64,
     /// Since when which task has been the first to wait in a shard.
-    pub stalled: BTreeMap<u32, (Instant, u32)>,
+    pub first_waiting: BTreeMap<u32, (Instant, u32)>,
     /// How many tasks are counted against the team.
-    pub counted: i64,
+    pub counted_against_team: i64,
     /// When a task was last placed, or the job learned of.
-    pub served: Instant,
+    pub last_placed_at: Instant,
     /// Ends that are not committed yet.
-    pub exits: BTreeMap<u32, Exit>,
+    pub uncommitted_exits: BTreeMap<u32, TaskExit>,
     /// Machines on which its tasks failed since one last completed.
-    pub failed_on: BTreeSet<String>,
+    pub failed_machines: BTreeSet<String>,
     /// Failures since a task last completed.
     pub failures: u32,
     /// No task is placed before.
-    pub not_before: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// When this process learned of the job.
-    pub learned: Instant,
+    pub learned_at: Instant,
 }
 
 /// A job.
@@ -157,14 +157,14 @@
     /// Its version.
     pub version: u64,
     /// What the other cell last answered to this process.
-    pub heard: Option<TransferState>,
+    pub last_answer: Option<TransferState>,
 }
 
 impl AwayJob {
     /// The answer to its user: what runs is told by the other cell, if it has been
     /// heard.
     fn status(&self, id: &str) -> JobStatus {
-        let (done, running) = match self.heard {
+        let (done, running) = match self.last_answer {
             Some(TransferState::Accepted { done, running }) => (done, running),
             _ => (0, 0),
         };
@@ -189,34 +189,34 @@
             version,
             spec,
             requirements: Arc::new(requirements),
-            done_in: BTreeMap::new(),
-            completed_records: BTreeMap::new(),
-            tries: BTreeMap::new(),
+            done_by_segment: BTreeMap::new(),
+            done_by_part: BTreeMap::new(),
+            last_attempts: BTreeMap::new(),
             placed: BTreeMap::new(),
             done: Ranges::default(),
             unallocated: Ranges::default(),
             waiting: BTreeMap::new(),
             allocating: BTreeMap::new(),
             revoking: BTreeMap::new(),
-            revoked: 0,
-            stalled: BTreeMap::new(),
-            counted: 0,
-            served: now,
-            exits: BTreeMap::new(),
-            failed_on: BTreeSet::new(),
+            last_revocation_version: 0,
+            first_waiting: BTreeMap::new(),
+            counted_against_team: 0,
+            last_placed_at: now,
+            uncommitted_exits: BTreeMap::new(),
+            failed_machines: BTreeSet::new(),
             failures: 0,
-            not_before: None,
-            learned: now,
+            backoff_until: None,
+            learned_at: now,
         };
-        job.derive();
+        job.recompute_task_sets();
         Some(job)
     }
 
     /// Works out, from records and proposals, which tasks are done and which
     /// wait where.
-    pub fn derive(&mut self) {
+    pub fn recompute_task_sets(&mut self) {
         let mut done = self.recorded_done();
-        for own in self.done_in.values() {
+        for own in self.done_by_segment.values() {
             done = done.union(own);
         }
         self.done = done;
@@ -225,7 +225,7 @@
         if !self.is_open() {
             return;
         }
-        let taken = self.done.union(&Ranges::ascending(self.placed.keys().copied()));
+        let taken = self.done.union(&Ranges::from_ascending(self.placed.keys().copied()));
         // One that was taken back from a shard while it was being placed there
         // is on its machine all the same.
         let mut allocated = taken.clone();
@@ -237,30 +237,30 @@
                 own = own.union(more);
             }
             allocated = allocated.union(&own);
-            let mut waiting = own.without(&taken);
+            let mut waiting = own.difference(&taken);
             if let Some(less) = self.revoking.get(&shard) {
-                waiting = waiting.without(less);
+                waiting = waiting.difference(less);
             }
             if !waiting.is_empty() {
                 self.waiting.insert(shard, waiting);
             }
         }
-        self.unallocated = Ranges::below(self.record.tasks).without(&allocated);
+        self.unallocated = Ranges::below(self.record.tasks).difference(&allocated);
     }
 
     /// Completed tasks that no shard's record needs to have.
     pub fn recorded_done(&self) -> Ranges {
-        self.completed_records.values().fold(self.record.legacy_done.clone(), |all, own| all.union(own))
+        self.done_by_part.values().fold(self.record.legacy_done.clone(), |all, own| all.union(own))
     }
 
     /// Whether a last attempt in a record says nothing any more, since another
     /// record has a later one. Replicas run again for ever: what they have been
     /// through must not gather.
-    pub fn outdates(&self, segment_id: SegmentId, index: u32, attempt: u64) -> bool {
-        let later = |p: &Placed| p.committed && p.attempt > attempt;
+    pub fn has_later_attempt(&self, segment_id: SegmentId, index: u32, attempt: u64) -> bool {
+        let later = |p: &Placement| p.committed && p.attempt > attempt;
         self.placed.get(&index).is_some_and(later)
             || self
-                .tries
+                .last_attempts
                 .iter()
                 .any(|(id, t)| *id != segment_id && t.get(&index).is_some_and(|n| *n > attempt))
     }
@@ -271,10 +271,10 @@
     }
 
     /// How far one of its tasks has come on its machine.
-    pub fn progress(&self, placed: &Placed, now: Instant) -> Progress {
+    pub fn progress(&self, placed: &Placement, now: Instant) -> Progress {
         Progress {
-            age: now.saturating_duration_since(placed.since),
-            running: placed.running.map(|at| now.saturating_duration_since(at)),
+            age: now.saturating_duration_since(placed.learned_at),
+            running: placed.running_since.map(|at| now.saturating_duration_since(at)),
             checkpoints: self.checkpoints(),
             first_attempt: placed.attempt == 1,
         }
@@ -290,14 +290,14 @@
     }
 
     /// Whether the zones of its tasks depend on each other.
-    pub fn is_constrained(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
     /// How many tasks count against the team: all that are allocated and not
     /// done, since a holder may have them running; of a withdrawn job, those
     /// not proven to have left their machines.
-    pub fn counts(&self) -> i64 {
+    pub fn tasks_against_team(&self) -> i64 {
         if self.is_open() {
             let free = self.done.len() + self.unallocated.len();
             i64::from(self.record.tasks.saturating_sub(free))
@@ -308,12 +308,12 @@
 
     /// The revision up to which the copy must have caught up before what counts
     /// against the team can be told for certain.
-    pub fn settles_at(&self) -> u64 {
-        if self.is_open() { self.revoked } else { self.version }
+    pub fn usage_known_at_revision(&self) -> u64 {
+        if self.is_open() { self.last_revocation_version } else { self.version }
     }
 
     /// Whether a task is allocated to a shard, or is being allocated.
-    pub fn allocates(&self, shard: u32, index: u32) -> bool {
+    pub fn is_allocated_to(&self, shard: u32, index: u32) -> bool {
         let within = |ranges: &BTreeMap<u32, Ranges>| ranges.get(&shard).is_some_and(|r| r.contains(index));
         within(&self.record.allocated) || within(&self.allocating)
     }
@@ -324,27 +324,27 @@
     }
 
     /// Whether any task waits anywhere.
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting_tasks(&self) -> bool {
         !self.unallocated.is_empty() || !self.waiting.is_empty()
     }
 
     /// Tasks that are not done.
-    pub fn left(&self) -> u32 {
+    pub fn unfinished_tasks(&self) -> u32 {
         self.record.tasks.saturating_sub(self.done.len())
     }
 
     /// Whether tasks may be placed.
     pub fn is_open(&self) -> bool {
-        matches!(self.record.stage, JobStage::Open | JobStage::Visiting)
+        matches!(self.record.stage, JobStage::Open | JobStage::Hosted)
     }
 
     /// The next attempt of a task.
     pub fn next_attempt(&self, index: u32) -> u64 {
-        self.tries.values().filter_map(|t| t.get(&index)).copied().max().unwrap_or(0) + 1
+        self.last_attempts.values().filter_map(|t| t.get(&index)).copied().max().unwrap_or(0) + 1
     }
 
     /// The number by which ranks are ordered.
-    pub fn rank(&self) -> u8 {
+    pub fn priority_rank(&self) -> u8 {
         match self.spec.priority {
             Priority::Critical => 0,
             Priority::Urgent => 1,
@@ -355,14 +355,14 @@
 
     /// Counts a failure and puts the job off if it fails on several machines:
     /// then it is the job rather than a machine.
-    pub fn failed(&mut self, machine: &str, now: Instant) {
-        self.failed_on.insert(machine.to_string());
+    pub fn record_failure(&mut self, machine: &str, now: Instant) {
+        self.failed_machines.insert(machine.to_string());
         self.failures += 1;
-        if self.failed_on.len() >= 2 {
+        if self.failed_machines.len() >= 2 {
             // Replicas are missed while they wait: a shorter pause, as often bounded.
             let halved = u32::from(self.is_service());
             let pause = Duration::from_secs(1u64 << (self.failures - halved).min(6));
-            self.not_before = Some(now + pause);
+            self.backoff_until = Some(now + pause);
         }
     }
 
@@ -370,10 +370,10 @@
     pub fn status(&self, id: &str) -> JobStatus {
         let running = self.placed.values().filter(|p| p.committed).count() as u32;
         let stage = match self.record.stage {
-            JobStage::Withdrawn => Stage::Withdrawn,
+            JobStage::Cancelled => Stage::Withdrawn,
             JobStage::Done => Stage::Done,
-            JobStage::Open | JobStage::Visiting | JobStage::Away if running > 0 => Stage::Running,
-            JobStage::Open | JobStage::Visiting | JobStage::Away => Stage::Queued,
+            JobStage::Open | JobStage::Hosted | JobStage::Away if running > 0 => Stage::Running,
+            JobStage::Open | JobStage::Hosted | JobStage::Away => Stage::Queued,
         };
         JobStatus { id: id.to_string(), stage, done: Some(self.done.len()), running: Some(running) }
     }
--- a/crates/dapplecroft-controller/src/legacy.rs
+++ b/crates/dapplecroft-controller/src/legacy.rs
@@ -12,56 +12,56 @@
 //! variant is logged as unreadable and not acted upon.
 
 use crate::ranges::Ranges;
-use crate::records::{GroupRecord, JobRecord, JobStage, MemberRecord, SegmentRecord, Span};
+use crate::records::{GroupRecord, JobRecord, JobStage, MachineRecord, SegmentRecord, TaskSpan};
 use dapplecroft_wire::users::JobSpec;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::{Error, Value};
 use std::collections::BTreeMap;
 
-type Pieces = Vec<(u32, u32)>;
+type RangeBounds = Vec<(u32, u32)>;
 
 #[derive(Serialize, Deserialize)]
-struct OldJob {
+struct LegacyJob {
     stage: JobStage,
     tasks: u32,
     #[serde(rename = "to", default, skip_serializing_if = "BTreeMap::is_empty")]
-    allocated: BTreeMap<u32, Pieces>,
+    allocated: BTreeMap<u32, RangeBounds>,
     #[serde(rename = "folded", default, skip_serializing_if = "Vec::is_empty")]
-    legacy_done: Pieces,
+    legacy_done: RangeBounds,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     done: Option<u32>,
-    #[serde(default)]
-    at: f64,
+    #[serde(rename = "at", default)]
+    submitted_at: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct OldLoad {
+struct LegacySegment {
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
     jobs: Vec<String>,
     #[serde(rename = "m", default, skip_serializing_if = "BTreeMap::is_empty")]
     machines: BTreeMap<String, Vec<Vec<u64>>>,
     #[serde(rename = "d", default, skip_serializing_if = "BTreeMap::is_empty")]
-    done: BTreeMap<String, Pieces>,
+    done: BTreeMap<String, RangeBounds>,
     #[serde(rename = "t", default, skip_serializing_if = "BTreeMap::is_empty")]
-    tries: BTreeMap<String, BTreeMap<u32, u64>>,
+    last_attempts: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct OldGroup {
+struct LegacyGroup {
     #[serde(rename = "block")]
     shard: u32,
     #[serde(rename = "type")]
     machine_type: String,
     zone: String,
     spot: bool,
-    machines: BTreeMap<String, OldMember>,
+    machines: BTreeMap<String, LegacyMachine>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct OldMember {
+struct LegacyMachine {
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     address: Option<String>,
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
@@ -70,31 +70,31 @@
 
 /// Reads a value of the first layout if it has a field that only that has, and
 /// one of the second if not.
-fn read<O: DeserializeOwned, N: DeserializeOwned>(
+fn read_either_layout<O: DeserializeOwned, N: DeserializeOwned>(
     value: Value,
     field: &str,
-    take_over: impl Fn(O) -> N,
+    convert: impl Fn(O) -> N,
 ) -> Result<N, Error> {
     if value.get(field).is_some() {
-        serde_json::from_value(value).map(take_over)
+        serde_json::from_value(value).map(convert)
     } else {
         serde_json::from_value(value)
     }
 }
 
-fn pieces(ranges: &Ranges) -> Pieces {
-    ranges.pieces().to_vec()
+fn to_bounds(ranges: &Ranges) -> RangeBounds {
+    ranges.bounds().to_vec()
 }
 
 /// A job's record of either layout.
 pub fn read_job(value: Value) -> Result<JobRecord, Error> {
-    read(value, "stage", |old: OldJob| JobRecord {
+    read_either_layout(value, "stage", |old: LegacyJob| JobRecord {
         stage: old.stage,
         tasks: old.tasks,
-        allocated: old.allocated.into_iter().map(|(b, p)| (b, Ranges::from_pieces(p))).collect(),
-        legacy_done: Ranges::from_pieces(old.legacy_done),
+        allocated: old.allocated.into_iter().map(|(b, p)| (b, Ranges::from_bounds(p))).collect(),
+        legacy_done: Ranges::from_bounds(old.legacy_done),
         done: old.done,
-        at: old.at,
+        submitted_at: old.submitted_at,
         spec: old.spec,
         away: None,
         origin: None,
@@ -104,49 +104,49 @@
 
 /// A job's record as the first version reads it.
 pub fn write_job(job: &JobRecord) -> Value {
-    value(&OldJob {
+    value(&LegacyJob {
         stage: job.stage,
         tasks: job.tasks,
-        allocated: job.allocated.iter().map(|(b, r)| (*b, pieces(r))).collect(),
-        legacy_done: pieces(&job.legacy_done),
+        allocated: job.allocated.iter().map(|(b, r)| (*b, to_bounds(r))).collect(),
+        legacy_done: to_bounds(&job.legacy_done),
         done: job.done,
-        at: job.at,
+        submitted_at: job.submitted_at,
         spec: job.spec.clone(),
     })
 }
 
 /// What runs in a whole shard.
 pub fn read_segment(value: Value) -> Result<SegmentRecord, Error> {
-    let old: OldLoad = serde_json::from_value(value)?;
+    let old: LegacySegment = serde_json::from_value(value)?;
     let mut machines = BTreeMap::new();
     for (machine, spans) in old.machines {
-        let spans: Option<Vec<Span>> = spans.iter().map(|s| read_span(s)).collect();
+        let spans: Option<Vec<TaskSpan>> = spans.iter().map(|s| read_span(s)).collect();
         let spans = spans.ok_or_else(|| serde::de::Error::custom("unreadable tasks"))?;
         machines.insert(machine, spans);
     }
     Ok(SegmentRecord {
         jobs: old.jobs,
         machines,
-        done: old.done.into_iter().map(|(id, p)| (id, Ranges::from_pieces(p))).collect(),
-        tries: old.tries,
+        done: old.done.into_iter().map(|(id, p)| (id, Ranges::from_bounds(p))).collect(),
+        last_attempts: old.last_attempts,
     })
 }
 
 /// What runs in a whole shard, as the first version reads it.
-pub fn write_segment(load: &SegmentRecord) -> Value {
-    let spans = |spans: &Vec<Span>| spans.iter().map(write_span).collect();
-    value(&OldLoad {
-        jobs: load.jobs.clone(),
-        machines: load.machines.iter().map(|(m, s)| (m.clone(), spans(s))).collect(),
-        done: load.done.iter().map(|(id, r)| (id.clone(), pieces(r))).collect(),
-        tries: load.tries.clone(),
+pub fn write_segment(segment: &SegmentRecord) -> Value {
+    let spans = |spans: &Vec<TaskSpan>| spans.iter().map(write_span).collect();
+    value(&LegacySegment {
+        jobs: segment.jobs.clone(),
+        machines: segment.machines.iter().map(|(m, s)| (m.clone(), spans(s))).collect(),
+        done: segment.done.iter().map(|(id, r)| (id.clone(), to_bounds(r))).collect(),
+        last_attempts: segment.last_attempts.clone(),
     })
 }
 
-fn read_span(numbers: &[u64]) -> Option<Span> {
+fn read_span(numbers: &[u64]) -> Option<TaskSpan> {
     let small = |n: u64| u32::try_from(n).ok();
     let (job, first) = (*numbers.first()?, *numbers.get(1)?);
-    Some(Span {
+    Some(TaskSpan {
         job: small(job)?,
         first: small(first)?,
         last: small(numbers.get(2).copied().unwrap_or(first))?,
@@ -156,7 +156,7 @@
 }
 
 /// The shorter the more of its numbers have their usual values.
-fn write_span(span: &Span) -> Vec<u64> {
+fn write_span(span: &TaskSpan) -> Vec<u64> {
     let all = [u64::from(span.job), u64::from(span.first), u64::from(span.last), span.attempt, span.session];
     let length = match (span.last == span.first, span.attempt, span.session) {
         (_, _, session) if session != 1 => 5,
@@ -169,7 +169,7 @@
 
 /// A group of machines of either layout.
 pub fn read_group(value: Value) -> Result<GroupRecord, Error> {
-    read(value, "block", |old: OldGroup| GroupRecord {
+    read_either_layout(value, "block", |old: LegacyGroup| GroupRecord {
         shard: old.shard,
         machine_type: old.machine_type,
         zone: old.zone,
@@ -177,15 +177,15 @@
         machines: old
             .machines
             .into_iter()
-            .map(|(id, m)| (id, MemberRecord { address: m.address, given_up: m.given_up }))
+            .map(|(id, m)| (id, MachineRecord { address: m.address, given_up: m.given_up }))
             .collect(),
     })
 }
 
 /// A group of machines as the first version reads it.
 pub fn write_group(group: &GroupRecord) -> Value {
-    let member = |m: &MemberRecord| OldMember { address: m.address.clone(), given_up: m.given_up };
-    value(&OldGroup {
+    let member = |m: &MachineRecord| LegacyMachine { address: m.address.clone(), given_up: m.given_up };
+    value(&LegacyGroup {
         shard: group.shard,
         machine_type: group.machine_type.clone(),
         zone: group.zone.clone(),
--- a/crates/dapplecroft-controller/src/legacy/tests.rs
+++ b/crates/dapplecroft-controller/src/legacy/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(record.allocated[&0].len(), 4);
     let new = serde_json::to_value(&record).unwrap();
     assert_eq!(new, json!({"s": "open", "n": 4, "to": {"0": "0-3"}, "at": 5.0}));
-    assert!(serde_json::from_value::<OldJob>(new.clone()).is_err());
+    assert!(serde_json::from_value::<LegacyJob>(new.clone()).is_err());
     assert_eq!(read_job(new).unwrap(), record);
 }
 
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Core;
 use crate::node::{Node, lock, now};
-use crate::records::{self, LeaderRecord, LiveRecord};
+use crate::records::{self, LeaderRecord, LivenessRecord};
 use dapplecroft_net::Outcome;
 use dapplecroft_state::Verdicts;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
@@ -113,8 +113,8 @@
     async fn announce(&self, lease: u64) -> bool {
         let identity = self.with(|core| core.identity.clone());
         let admission = self.options.admission.is_some();
-        let record = LiveRecord { identity, lease, layout: records::LAYOUT, admission };
-        let key = records::live_key(&self.settings.host_name);
+        let record = LivenessRecord { identity, lease, layout: records::NEWEST_LAYOUT, admission };
+        let key = records::liveness_key(&self.settings.host_name);
         let change = Change::Set { key, value: value(&record), lease: Some(lease) };
         let transaction = Transaction { conditions: Vec::new(), changes: vec![change] };
         let outcome = self.state.transact(&transaction, true).await;
@@ -175,9 +175,9 @@
         let identity = self.with(|core| core.identity.clone());
         let record = LeaderRecord { host: self.settings.host_name.clone(), identity };
         let transaction = Transaction {
-            conditions: vec![Condition { key: records::LEADER.into(), version: 0 }],
+            conditions: vec![Condition { key: records::LEADER_KEY.into(), version: 0 }],
             changes: vec![Change::Set {
-                key: records::LEADER.into(),
+                key: records::LEADER_KEY.into(),
                 value: value(&record),
                 lease: Some(lease),
             }],
@@ -192,7 +192,7 @@
                 self.set_rates();
             }
             Outcome::Done(Verdicts::Conflict(_)) => {
-                self.refresh(records::LEADER, || true).await;
+                self.refresh(records::LEADER_KEY, || true).await;
             }
             // If it is carried out all the same, now or late, the key shows up
             // as this process's own.
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/follow.rs
@@ -1,7 +1,7 @@
 //! Keeping the copy of the records, and confirming what users are told.
 
 use crate::node::{Answered, Node, Question, lock, now};
-use crate::records::PREFIX;
+use crate::records::KEY_PREFIX;
 use dapplecroft_net::Outcome;
 use dapplecroft_state::{Verdicts, Watched};
 use dapplecroft_wire::state::{Condition, Transaction};
@@ -23,7 +23,7 @@
             }
             loop {
                 let from = self.with(|core| core.applied_revision);
-                match self.state.follow(PREFIX, from, WATCH).await {
+                match self.state.follow(KEY_PREFIX, from, WATCH).await {
                     Outcome::Done(Watched::Changes(followed)) => {
                         let some = !followed.log.is_empty();
                         self.with(|core| core.follow(followed, now()));
@@ -47,7 +47,7 @@
     }
 
     async fn read_all(&self) -> bool {
-        match self.state.list(PREFIX).await {
+        match self.state.list(KEY_PREFIX).await {
             Outcome::Done((items, revision)) => {
                 let count = items.len();
                 self.with(|core| core.load(items, revision, now()));
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -44,11 +44,11 @@
     /// Where its worker listens.
     pub address: Option<String>,
     /// When this process learned of it, or last became holder.
-    pub since: Instant,
+    pub known_since: Instant,
     /// When its worker was last heard.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// Since when its reports show that it has not taken the present token.
-    pub deaf_since: Option<Instant>,
+    pub unsynced_since: Option<Instant>,
     /// The worker's session.
     pub session: u64,
     /// Number of its newest message.
@@ -58,12 +58,12 @@
     /// Raised when an outcome is unknown, and when all that was known of the
     /// worker is forgotten: what was sent before is void then, also if the same
     /// process goes on under the same epoch.
-    pub counter: u64,
+    pub token_counter: u64,
     /// The counter when that was last forgotten: outcomes of commands under a
     /// lower one say nothing any more.
-    floor: u64,
+    counter_at_reset: u64,
     /// When the cloud takes it away.
-    pub taken_at: Option<Instant>,
+    pub reclaim_at: Option<Instant>,
     /// Tasks in its newest message.
     pub reported: BTreeMap<TaskId, TaskStatus>,
     /// Tasks booked on it.
@@ -73,11 +73,11 @@
     /// Images that it has or fetches; `true` once a task ran with it.
     images: BTreeMap<String, bool>,
     /// Whether direct commands are on their way.
-    pub commanding: bool,
+    pub command_in_flight: bool,
     /// No direct commands before.
-    pub command_after: Option<Instant>,
+    pub commands_paused_until: Option<Instant>,
     /// Whether a probe is on its way, and how many in a row failed.
-    pub probing: bool,
+    pub probe_in_flight: bool,
     /// Probes in a row without an answer.
     pub missed_probes: u32,
     /// What is to become of it.
@@ -85,7 +85,7 @@
     /// Whether its record says that its holder has given it up.
     pub given_up: bool,
     /// Whether a release is on its way.
-    pub releasing: bool,
+    pub release_in_flight: bool,
     /// Jobs that failed on it without failing elsewhere.
     pub failed_jobs: BTreeSet<Arc<str>>,
     /// Since when nothing is booked on it.
@@ -105,26 +105,26 @@
             zone: String::new(),
             spot: false,
             address: None,
-            since: now,
-            heard: None,
-            deaf_since: None,
+            known_since: now,
+            last_heartbeat: None,
+            unsynced_since: None,
             session: 0,
             sequence: 0,
             seen_token: 0,
-            counter: 0,
-            floor: 0,
-            taken_at: None,
+            token_counter: 0,
+            counter_at_reset: 0,
+            reclaim_at: None,
             reported: BTreeMap::new(),
             tasks: BTreeSet::new(),
             booked: Resources::default(),
             images: BTreeMap::new(),
-            commanding: false,
-            command_after: None,
-            probing: false,
+            command_in_flight: false,
+            commands_paused_until: None,
+            probe_in_flight: false,
             missed_probes: 0,
             phase: MachinePhase::Active,
             given_up: false,
-            releasing: false,
+            release_in_flight: false,
             failed_jobs: BTreeSet::new(),
             idle_since: Some(now),
         }
@@ -132,79 +132,79 @@
 
     /// The fencing token under which it is commanded in an epoch.
     pub fn token(&self, epoch: u64) -> u64 {
-        (epoch << COUNTER_BITS) | self.counter.min((1 << COUNTER_BITS) - 1)
+        (epoch << COUNTER_BITS) | self.token_counter.min((1 << COUNTER_BITS) - 1)
     }
 
     /// Whether its newest message came under the current token, so that what it
     /// says of tasks is proof.
-    pub fn synced(&self, epoch: u64) -> bool {
+    pub fn is_synced(&self, epoch: u64) -> bool {
         self.session > 0 && self.seen_token == self.token(epoch)
     }
 
     /// Makes every command sent so far void, once the worker has seen the new
     /// token.
     pub fn raise_token(&mut self) {
-        self.counter += 1;
+        self.token_counter += 1;
     }
 
     /// Whether a token was chosen since this process last forgot what it knew of
     /// the worker.
-    pub fn is_present(&self, token: u64, epoch: u64) -> bool {
-        token >= (epoch << COUNTER_BITS) | self.floor && token <= self.token(epoch)
+    pub fn is_token_since_reset(&self, token: u64, epoch: u64) -> bool {
+        token >= (epoch << COUNTER_BITS) | self.counter_at_reset && token <= self.token(epoch)
     }
 
     /// Notes that it fetches an image, or (`there`) has it.
-    pub fn note_image(&mut self, image: String, there: bool) {
+    pub fn record_image(&mut self, image: String, there: bool) {
         *self.images.entry(image).or_insert(there) |= there;
     }
 
     /// Whether it has an image; `None` if nothing is known of that.
-    pub fn image(&self, image: &str) -> Option<bool> {
+    pub fn has_image(&self, image: &str) -> Option<bool> {
         self.images.get(image).copied()
     }
 
     /// What is left on it.
-    pub fn room(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         self.capacity - self.booked
     }
 
     /// Whether it takes tasks: its worker has accepted the present token, and
     /// is heard.
-    pub fn open(&self, epoch: u64, silence: Duration, now: Instant) -> bool {
-        self.heard.is_some_and(|at| now.saturating_duration_since(at) <= silence)
-            && self.synced(epoch)
+    pub fn accepts_tasks(&self, epoch: u64, silence: Duration, now: Instant) -> bool {
+        self.last_heartbeat.is_some_and(|at| now.saturating_duration_since(at) <= silence)
+            && self.is_synced(epoch)
             && self.phase == MachinePhase::Active
             && !self.given_up
-            && !self.releasing
-            && self.taken_at.is_none()
+            && !self.release_in_flight
+            && self.reclaim_at.is_none()
             && self.failed_jobs.len() < 2
     }
 
     /// Whether it takes tasks as far as anyone but its holder knows: it has come
     /// up, and has not been given up.
-    pub fn seems_open(&self) -> bool {
+    pub fn likely_accepts_tasks(&self) -> bool {
         self.group.is_some() && self.address.is_some() && !self.given_up && self.capacity.cpus > 0
     }
 
     /// Forgets what an earlier holder knew: sessions, tokens and lists are
     /// believed only when told to this holder.
-    pub fn reset(&mut self, now: Instant) {
-        self.since = now;
-        self.heard = None;
-        self.deaf_since = None;
+    pub fn forget_worker_state(&mut self, now: Instant) {
+        self.known_since = now;
+        self.last_heartbeat = None;
+        self.unsynced_since = None;
         self.session = 0;
         self.sequence = 0;
         self.seen_token = 0;
         self.raise_token();
-        self.floor = self.counter;
+        self.counter_at_reset = self.token_counter;
         self.reported.clear();
-        self.commanding = false;
-        self.command_after = None;
-        self.probing = false;
+        self.command_in_flight = false;
+        self.commands_paused_until = None;
+        self.probe_in_flight = false;
         self.missed_probes = 0;
-        self.releasing = false;
+        self.release_in_flight = false;
         self.phase = MachinePhase::Active;
-        self.taken_at = None;
+        self.reclaim_at = None;
         if self.tasks.is_empty() {
             self.idle_since = Some(now);
         }
--- a/crates/dapplecroft-controller/src/ranges.rs
+++ b/crates/dapplecroft-controller/src/ranges.rs
@@ -12,7 +12,7 @@
     }
 
     /// A set from numbers in ascending order.
-    pub fn ascending(numbers: impl IntoIterator<Item = u32>) -> Ranges {
+    pub fn from_ascending(numbers: impl IntoIterator<Item = u32>) -> Ranges {
         let mut set: Vec<(u32, u32)> = Vec::new();
         for n in numbers {
             match set.last_mut() {
@@ -24,17 +24,17 @@
     }
 
     /// A set from inclusive bounds in any order.
-    pub fn from_pieces(pieces: Vec<(u32, u32)>) -> Ranges {
+    pub fn from_bounds(pieces: Vec<(u32, u32)>) -> Ranges {
         Ranges::default().union(&Ranges(pieces.into_iter().filter(|(a, b)| a <= b).collect()))
     }
 
     /// Joined across gaps that `over` covers whole: fewer pieces, where what is
     /// in `over` may as well be in.
-    pub fn bridge(&self, over: &Ranges) -> Ranges {
+    pub fn bridge_gaps(&self, over: &Ranges) -> Ranges {
         let mut set: Vec<(u32, u32)> = Vec::with_capacity(self.0.len());
         for &(a, b) in &self.0 {
             match set.last_mut() {
-                Some((_, last)) if over.covers(*last + 1, a - 1) => *last = b,
+                Some((_, last)) if over.contains_all(*last + 1, a - 1) => *last = b,
                 _ => set.push((a, b)),
             }
         }
@@ -42,7 +42,7 @@
     }
 
     /// Whether all from `a` to `b` is in it.
-    pub fn covers(&self, a: u32, b: u32) -> bool {
+    pub fn contains_all(&self, a: u32, b: u32) -> bool {
         let i = self.0.partition_point(|&(_, end)| end < a);
         self.0.get(i).is_some_and(|&(x, y)| x <= a && b <= y)
     }
@@ -77,9 +77,9 @@
     }
 
     /// Up to `count` numbers, the smallest from `start` on first, then the smallest.
-    pub fn head_from(&self, start: u32, count: u32) -> Ranges {
-        let taken = self.without(&Ranges::below(start)).head(count);
-        let rest = self.without(&taken).head(count - taken.len());
+    pub fn first_n_from(&self, start: u32, count: u32) -> Ranges {
+        let taken = self.difference(&Ranges::below(start)).first_n(count);
+        let rest = self.difference(&taken).first_n(count - taken.len());
         taken.union(&rest)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// All numbers that are not in `other`.
-    pub fn without(&self, other: &Ranges) -> Ranges {
+    pub fn difference(&self, other: &Ranges) -> Ranges {
         if other.is_empty() {
             return self.clone();
         }
@@ -179,7 +179,7 @@
     }
 
     /// The first `n` numbers.
-    pub fn head(&self, mut n: u32) -> Ranges {
+    pub fn first_n(&self, mut n: u32) -> Ranges {
         let mut set = Vec::new();
         for &(a, b) in &self.0 {
             if n == 0 {
@@ -193,7 +193,7 @@
     }
 
     /// The pieces, as inclusive bounds.
-    pub fn pieces(&self) -> &[(u32, u32)] {
+    pub fn bounds(&self) -> &[(u32, u32)] {
         &self.0
     }
 
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -14,27 +14,27 @@
 mod group;
 mod segment;
 
-pub use group::{GroupRecord, MemberRecord};
-pub use segment::{SegmentRecord, Span};
+pub use group::{GroupRecord, MachineRecord};
+pub use segment::{SegmentRecord, TaskSpan};
 
 /// The newest layout that this program reads and writes.
-pub const LAYOUT: u32 = 2;
+pub const NEWEST_LAYOUT: u32 = 2;
 /// Prefix of all keys, so that one watch sees every change.
-pub const PREFIX: &str = "dc/";
+pub const KEY_PREFIX: &str = "dc/";
 /// The leader's key; its version is the leader's term.
-pub const LEADER: &str = "dc/leader";
+pub const LEADER_KEY: &str = "dc/leader";
 /// The layout that is in force, once every member can read it.
-pub const FORMAT: &str = "dc/format";
+pub const LAYOUT_KEY: &str = "dc/format";
 /// The machine types, as the first version wrote them.
-pub const CATALOG: &str = "dc/catalog";
+pub const CATALOG_KEY: &str = "dc/catalog";
 
 /// The policy of admission control.
-pub const ADMISSION_POLICY: &str = "dc/a/p";
+pub const ADMISSION_POLICY_KEY: &str = "dc/a/p";
 /// Credit that is kept for single jobs.
-pub const RESERVATIONS: &str = "dc/a/s";
+pub const RESERVATIONS_KEY: &str = "dc/a/s";
 
 /// The key of a controller's epoch in admission control.
-pub fn epoch_key(host: &str) -> String {
+pub fn admission_epoch_key(host: &str) -> String {
     format!("dc/a/e/{host}")
 }
 
@@ -74,12 +74,12 @@
 }
 
 /// A controller's liveness key.
-pub fn live_key(host: &str) -> String {
+pub fn liveness_key(host: &str) -> String {
     format!("dc/n/{host}")
 }
 
 /// The key of the layout that a controller was once seen to know.
-pub fn mark_key(host: &str) -> String {
+pub fn known_layout_key(host: &str) -> String {
     format!("dc/v/{host}")
 }
 
@@ -128,7 +128,7 @@
     /// The leader.
     Leader,
     /// The layout in force.
-    Format,
+    LayoutInForce,
     /// The machine types, all or (a number) a part.
     Catalog(Option<u32>),
     /// The drain in a shard.
@@ -142,11 +142,11 @@
     /// What runs in a shard, or a segment of it.
     Segment(SegmentId),
     /// A group of machines.
-    Group(&'a str),
+    MachineGroup(&'a str),
     /// A controller.
-    Live(&'a str),
+    Liveness(&'a str),
     /// The layout that a controller was once seen to know.
-    Mark(&'a str),
+    KnownLayout(&'a str),
     /// A refused transfer: the other cell, its incarnation, and the job.
     Refusal(&'a str, u64, &'a str),
     /// What another cell has finished of its transfers.
@@ -164,14 +164,14 @@
 impl<'a> Key<'a> {
     /// Takes a key apart; `None` for keys of other versions of the program.
     pub fn parse(key: &'a str) -> Option<Key<'a>> {
-        Some(match key.strip_prefix(PREFIX)? {
+        Some(match key.strip_prefix(KEY_PREFIX)? {
             "leader" => Key::Leader,
             "catalog" => Key::Catalog(None),
-            "format" => Key::Format,
+            "format" => Key::LayoutInForce,
             rest => match rest.split_once('/')? {
                 ("a", rest) => Key::parse_admission(rest)?,
                 ("j", id) => Key::Job(id),
-                ("m", name) => Key::Group(name),
+                ("m", name) => Key::MachineGroup(name),
                 ("b", shard) => Key::Shard(shard.parse().ok()?),
                 ("c", part) => Key::Catalog(Some(part.parse().ok()?)),
                 ("d", shard) => Key::Drain(shard.parse().ok()?),
@@ -179,13 +179,13 @@
                     let (id, part) = rest.split_once('/')?;
                     Key::CompletedTasks(id, part.parse().ok()?)
                 }
-                ("n", host) => Key::Live(host),
+                ("n", host) => Key::Liveness(host),
                 ("p", shard) => Key::Segment(SegmentId::whole(shard.parse().ok()?)),
                 ("q", rest) => {
                     let (shard, segment) = rest.split_once('/')?;
                     Key::Segment(SegmentId::new(shard.parse().ok()?, segment.parse().ok()?))
                 }
-                ("v", host) => Key::Mark(host),
+                ("v", host) => Key::KnownLayout(host),
                 ("x", rest) => Key::parse_transfer(rest)?,
                 _ => return None,
             },
@@ -223,7 +223,7 @@
 }
 
 /// Where a job stands. A version that knows nothing of other cells can read neither
-/// `Away` nor `Visiting`: it leaves such records as they are, and acts on none.
+/// `Away` nor `Hosted`: it leaves such records as they are, and acts on none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStage {
@@ -232,11 +232,13 @@
     /// All tasks completed.
     Done,
     /// Cancelled by its user.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
     /// Offered to another cell, which may have it: nothing of it starts here.
     Away,
     /// Accepted for another cell, which answers for it to its user.
-    Visiting,
+    #[serde(rename = "visiting")]
+    Hosted,
 }
 
 /// A job. Once it is over and none of its tasks is left on a machine, the
@@ -265,7 +267,7 @@
     pub done: Option<u32>,
     /// Seconds since 1970 at its submission, by the accepting node's clock.
     #[serde(rename = "at", default)]
-    pub at: f64,
+    pub submitted_at: f64,
     /// The specification.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
@@ -289,7 +291,7 @@
             allocated: BTreeMap::new(),
             legacy_done: Ranges::default(),
             done: Some(done),
-            at: self.at,
+            submitted_at: self.submitted_at,
             spec: None,
             away: None,
             origin: self.origin.clone(),
@@ -317,7 +319,7 @@
 
 /// A live controller process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LiveRecord {
+pub struct LivenessRecord {
     /// The identity of the process; a restart is another process.
     pub identity: String,
     /// The lease on which its keys hang.
@@ -378,20 +380,20 @@
     /// The attempt that is stopped.
     pub attempt: u64,
     /// The machine that it goes to.
-    pub to: String,
+    pub destination: String,
 }
 
 type StoredDrainMove = (String, u32, u64, String);
 
 impl From<StoredDrainMove> for DrainMove {
     fn from((job, index, attempt, to): StoredDrainMove) -> Self {
-        DrainMove { job, index, attempt, to }
+        DrainMove { job, index, attempt, destination: to }
     }
 }
 
 impl From<DrainMove> for StoredDrainMove {
     fn from(stored: DrainMove) -> Self {
-        (stored.job, stored.index, stored.attempt, stored.to)
+        (stored.job, stored.index, stored.attempt, stored.destination)
     }
 }
 
--- a/crates/dapplecroft-controller/src/records/segment.rs
+++ b/crates/dapplecroft-controller/src/records/segment.rs
@@ -17,17 +17,17 @@
     pub jobs: Vec<String>,
     /// Tasks on each machine. One that is named speaks for that machine, also
     /// with nothing on it, whatever a record of the first layout says.
-    pub machines: BTreeMap<String, Vec<Span>>,
+    pub machines: BTreeMap<String, Vec<TaskSpan>>,
     /// Completed tasks of jobs that are not over. Several records may have them.
     pub done: BTreeMap<String, Ranges>,
     /// Last attempts of tasks that are neither done nor on a machine; of
     /// several, the highest counts.
-    pub tries: BTreeMap<String, BTreeMap<u32, u64>>,
+    pub last_attempts: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
 /// Neighbouring tasks of a job on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct TaskSpan {
     /// The job's position among the record's names.
     pub job: u32,
     /// The first task.
@@ -48,7 +48,7 @@
 /// of their names, each with a letter for how much of the last name it begins
 /// with: `ai-000231=0:3;h45=1:7` are `i-000231` and `i-000245`.
 #[derive(Default, Serialize, Deserialize)]
-struct Written {
+struct StoredSegment {
     #[serde(rename = "j", default, skip_serializing_if = "String::is_empty")]
     jobs: String,
     #[serde(rename = "m", default, skip_serializing_if = "String::is_empty")]
@@ -61,21 +61,21 @@
     done: String,
     /// `3:0-5*1,7*2`.
     #[serde(rename = "t", default, skip_serializing_if = "String::is_empty")]
-    tries: String,
+    last_attempts: String,
 }
 
 /// What ids of jobs begin with.
-const ID: &str = "run-";
+const JOB_ID_PREFIX: &str = "run-";
 /// Neighbours are written together across so many that have completed.
-const GAP: u32 = 48;
+const MAX_COMPLETED_GAP: u32 = 48;
 
 /// Neighbouring tasks with what has completed between them.
-struct Group<'a> {
-    span: Span,
-    parts: &'a [Span],
+struct SpanGroup<'a> {
+    span: TaskSpan,
+    parts: &'a [TaskSpan],
 }
 
-impl Group<'_> {
+impl SpanGroup<'_> {
     fn write(&self, to: &mut String) {
         let s = &self.span;
         let _ = write!(to, "{}{}:{}", if to.is_empty() { "" } else { " " }, s.job, s.first);
@@ -102,13 +102,13 @@
 }
 
 /// Joins spans of a machine where all between them has completed.
-fn groups<'a>(spans: &'a [Span], done: impl Fn(u32, u32, u32) -> bool) -> Vec<Group<'a>> {
+fn group_spans<'a>(spans: &'a [TaskSpan], done: impl Fn(u32, u32, u32) -> bool) -> Vec<SpanGroup<'a>> {
     let mut groups: Vec<(usize, usize)> = Vec::new();
     for (n, s) in spans.iter().enumerate() {
         let joins = n.checked_sub(1).map(|before| &spans[before]).is_some_and(|b| {
             (b.job, b.attempt, b.session) == (s.job, s.attempt, s.session)
                 && b.last < s.first
-                && s.first - b.last <= GAP
+                && s.first - b.last <= MAX_COMPLETED_GAP
                 && (b.last + 1 == s.first || done(s.job, b.last + 1, s.first - 1))
         });
         match groups.last_mut().filter(|_| joins) {
@@ -118,19 +118,19 @@
     }
     let group = |(from, to): (usize, usize)| {
         let parts = &spans[from..to];
-        Group { span: Span { last: parts[parts.len() - 1].last, ..parts[0] }, parts }
+        SpanGroup { span: TaskSpan { last: parts[parts.len() - 1].last, ..parts[0] }, parts }
     };
     groups.into_iter().map(group).collect()
 }
 
 /// Reads neighbouring tasks: those that run, and those that have completed.
-fn read_group(text: &str) -> Option<(Vec<Span>, Vec<u32>)> {
+fn parse_span_group(text: &str) -> Option<(Vec<TaskSpan>, Vec<u32>)> {
     let (text, digits) = text.split_once('/').unwrap_or((text, ""));
-    let (text, session) = suffix(text, '@')?;
-    let (text, attempt) = suffix(text, '*')?;
+    let (text, session) = split_suffix_number(text, '@')?;
+    let (text, attempt) = split_suffix_number(text, '*')?;
     let (job, tasks) = text.split_once(':')?;
     let (first, last) = tasks.split_once('-').unwrap_or((tasks, tasks));
-    let span = Span {
+    let span = TaskSpan {
         job: job.parse().ok()?,
         first: first.parse().ok()?,
         last: last.parse().ok()?,
@@ -152,12 +152,12 @@
     let mut from = span.first;
     for i in &done {
         if *i > from {
-            spans.push(Span { first: from, last: i - 1, ..span });
+            spans.push(TaskSpan { first: from, last: i - 1, ..span });
         }
         from = i + 1;
     }
     if from <= span.last {
-        spans.push(Span { first: from, ..span });
+        spans.push(TaskSpan { first: from, ..span });
     }
     Some((spans, done))
 }
@@ -168,24 +168,24 @@
 }
 
 /// A number behind a mark, 1 if there is none, and what is before it.
-fn suffix(text: &str, mark: char) -> Option<(&str, u64)> {
+fn split_suffix_number(text: &str, mark: char) -> Option<(&str, u64)> {
     match text.split_once(mark) {
         Some((before, number)) => Some((before, number.parse().ok()?)),
         None => Some((text, 1)),
     }
 }
 
-fn words<T>(text: &str, mark: char, read: impl Fn(&str) -> Option<T>) -> Option<Vec<T>> {
+fn parse_list<T>(text: &str, mark: char, read: impl Fn(&str) -> Option<T>) -> Option<Vec<T>> {
     text.split(mark).filter(|w| !w.is_empty()).map(read).collect()
 }
 
-fn bounds(text: &str) -> Option<(u32, u32)> {
+fn parse_bounds(text: &str) -> Option<(u32, u32)> {
     let (a, b) = text.split_once('-').unwrap_or((text, text));
     let (a, b) = (a.parse().ok()?, b.parse().ok()?);
     (a <= b).then_some((a, b))
 }
 
-fn write_bounds(to: &mut String, a: u32, b: u32) {
+fn write_range(to: &mut String, a: u32, b: u32) {
     let _ = write!(to, "{a}");
     if a != b {
         let _ = write!(to, "-{b}");
@@ -193,7 +193,7 @@
 }
 
 /// Last attempts, neighbours with the same one together.
-fn write_tries(to: &mut String, tries: &BTreeMap<u32, u64>) {
+fn write_attempts(to: &mut String, tries: &BTreeMap<u32, u64>) {
     let mut runs: Vec<(u32, u32, u64)> = Vec::new();
     for (index, attempt) in tries {
         match runs.last_mut() {
@@ -205,37 +205,37 @@
         if n > 0 {
             to.push(',');
         }
-        write_bounds(to, a, b);
+        write_range(to, a, b);
         let _ = write!(to, "*{attempt}");
     }
 }
 
-fn read_tries(text: &str) -> Option<BTreeMap<u32, u64>> {
+fn parse_attempts(text: &str) -> Option<BTreeMap<u32, u64>> {
     let one = |w: &str| {
         let (tasks, attempt) = w.split_once('*')?;
-        Some((bounds(tasks)?, attempt.parse::<u64>().ok()?))
+        Some((parse_bounds(tasks)?, attempt.parse::<u64>().ok()?))
     };
-    let runs = words(text, ',', one)?;
+    let runs = parse_list(text, ',', one)?;
     Some(runs.into_iter().flat_map(|((a, b), n)| (a..=b).map(move |i| (i, n))).collect())
 }
 
 impl SegmentRecord {
     /// The groups of neighbours on each machine, and what is left of the
     /// completed tasks when those between neighbours are written with them.
-    fn written(&self) -> (BTreeMap<&String, Vec<Group<'_>>>, BTreeMap<&String, Ranges>) {
+    fn group_for_storage(&self) -> (BTreeMap<&String, Vec<SpanGroup<'_>>>, BTreeMap<&String, Ranges>) {
         let mut left: BTreeMap<&String, Ranges> = self.done.iter().map(|(id, r)| (id, r.clone())).collect();
         let done = |job: u32, a: u32, b: u32| {
             let ranges = self.jobs.get(job as usize).and_then(|id| self.done.get(id));
-            ranges.is_some_and(|r| r.covers(a, b))
+            ranges.is_some_and(|r| r.contains_all(a, b))
         };
         let mut machines = BTreeMap::new();
         for (machine, spans) in &self.machines {
-            let own = groups(spans, done);
+            let own = group_spans(spans, done);
             for pair in own.iter().flat_map(|g| g.parts.windows(2)) {
                 if let Some(left) = self.jobs.get(pair[0].job as usize).and_then(|id| left.get_mut(id)) {
                     let between =
-                        Ranges::from_pieces(vec![(pair[0].last + 1, pair[1].first.saturating_sub(1))]);
-                    *left = left.without(&between);
+                        Ranges::from_bounds(vec![(pair[0].last + 1, pair[1].first.saturating_sub(1))]);
+                    *left = left.difference(&between);
                 }
             }
             machines.insert(machine, own);
@@ -246,7 +246,7 @@
 
     /// The sizes of the groups of neighbours that the record is written with.
     pub fn group_sizes(&self) -> Vec<u32> {
-        let (machines, _) = self.written();
+        let (machines, _) = self.group_for_storage();
         machines.values().flatten().map(|g| g.span.last - g.span.first + 1).collect()
     }
 }
@@ -263,16 +263,16 @@
                 jobs.len() as u32 - 1
             })
         };
-        let (groups, left) = self.written();
-        let mut written = Written::default();
+        let (groups, left) = self.group_for_storage();
+        let mut written = StoredSegment::default();
         let space = |to: &str| if to.is_empty() { "" } else { " " };
         for (id, done) in left {
             let _ = write!(written.done, "{}{}:", space(&written.done), position(id));
-            done.write(&mut written.done);
+            done.write_text(&mut written.done);
         }
-        for (id, own) in &self.tries {
-            let _ = write!(written.tries, "{}{}:", space(&written.tries), position(id));
-            write_tries(&mut written.tries, own);
+        for (id, own) in &self.last_attempts {
+            let _ = write!(written.last_attempts, "{}{}:", space(&written.last_attempts), position(id));
+            write_attempts(&mut written.last_attempts, own);
         }
         let mut last = "";
         for (machine, groups) in groups {
@@ -289,7 +289,12 @@
             }
         }
         for id in &jobs {
-            let _ = write!(written.jobs, "{}{}", space(&written.jobs), id.strip_prefix(ID).unwrap_or(id));
+            let _ = write!(
+                written.jobs,
+                "{}{}",
+                space(&written.jobs),
+                id.strip_prefix(JOB_ID_PREFIX).unwrap_or(id)
+            );
         }
         written.serialize(serializer)
     }
@@ -297,25 +302,25 @@
 
 impl<'de> Deserialize<'de> for SegmentRecord {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let written = Written::deserialize(deserializer)?;
-        read_segment(&written).map_err(D::Error::custom)
+        let written = StoredSegment::deserialize(deserializer)?;
+        parse_stored_segment(&written).map_err(D::Error::custom)
     }
 }
 
-fn read_segment(written: &Written) -> Result<SegmentRecord, &'static str> {
+fn parse_stored_segment(written: &StoredSegment) -> Result<SegmentRecord, &'static str> {
     let jobs: Vec<String> =
-        written.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{ID}{w}")).collect();
+        written.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{JOB_ID_PREFIX}{w}")).collect();
     let name = |n: &str| n.parse::<usize>().ok().and_then(|n| jobs.get(n)).cloned();
     let of = |w: &str| {
         let (n, rest) = w.split_once(':')?;
         Some((name(n)?, rest.to_string()))
     };
     let mut record = SegmentRecord::default();
-    for (id, text) in words(&written.done, ' ', of).ok_or("completed tasks of no job")? {
+    for (id, text) in parse_list(&written.done, ' ', of).ok_or("completed tasks of no job")? {
         record.done.insert(id, text.parse()?);
     }
-    for (id, text) in words(&written.tries, ' ', of).ok_or("attempts of no job")? {
-        record.tries.insert(id, read_tries(&text).ok_or("unreadable attempts")?);
+    for (id, text) in parse_list(&written.last_attempts, ' ', of).ok_or("attempts of no job")? {
+        record.last_attempts.insert(id, parse_attempts(&text).ok_or("unreadable attempts")?);
     }
     let mut machines: Vec<(String, &str)> = Vec::new();
     for entry in written.machines.split(';').filter(|e| !e.is_empty()) {
@@ -328,12 +333,12 @@
     machines.extend(written.others.iter().map(|(m, text)| (m.clone(), text.as_str())));
     for (machine, text) in machines {
         let mut spans = Vec::new();
-        for (own, done) in words(text, ' ', read_group).ok_or("unreadable tasks")? {
+        for (own, done) in parse_list(text, ' ', parse_span_group).ok_or("unreadable tasks")? {
             let job = own.first().map(|s| s.job as usize).ok_or("tasks that have all ended")?;
             let id = jobs.get(job).ok_or("a task of a job without a name")?;
             if !done.is_empty() {
                 let all = record.done.entry(id.clone()).or_default();
-                *all = all.union(&Ranges::ascending(done));
+                *all = all.union(&Ranges::from_ascending(done));
             }
             spans.extend(own);
         }
@@ -345,12 +350,12 @@
 
 impl Ranges {
     /// `0-3,7`.
-    fn write(&self, to: &mut String) {
-        for (n, (a, b)) in self.pieces().iter().enumerate() {
+    fn write_text(&self, to: &mut String) {
+        for (n, (a, b)) in self.bounds().iter().enumerate() {
             if n > 0 {
                 to.push(',');
             }
-            write_bounds(to, *a, *b);
+            write_range(to, *a, *b);
         }
     }
 }
@@ -358,7 +363,7 @@
 impl Serialize for Ranges {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut text = String::new();
-        self.write(&mut text);
+        self.write_text(&mut text);
         serializer.serialize_str(&text)
     }
 }
@@ -367,7 +372,7 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Ranges, &'static str> {
-        words(text, ',', bounds).map(Ranges::from_pieces).ok_or("unreadable numbers")
+        parse_list(text, ',', parse_bounds).map(Ranges::from_bounds).ok_or("unreadable numbers")
     }
 }
 
--- a/crates/dapplecroft-controller/src/records/tests.rs
+++ b/crates/dapplecroft-controller/src/records/tests.rs
@@ -10,9 +10,9 @@
         (completed_tasks_key("run-1", 2), Key::CompletedTasks("run-1", 2)),
         (shard_key(12), Key::Shard(12)),
         (drain_key(12), Key::Drain(12)),
-        (group_key("dc-7-1.2"), Key::Group("dc-7-1.2")),
-        (mark_key("c-0"), Key::Mark("c-0")),
-        (live_key("c-0"), Key::Live("c-0")),
+        (group_key("dc-7-1.2"), Key::MachineGroup("dc-7-1.2")),
+        (known_layout_key("c-0"), Key::KnownLayout("c-0")),
+        (liveness_key("c-0"), Key::Liveness("c-0")),
         (catalog_key(1), Key::Catalog(Some(1))),
     ] {
         assert_eq!(Key::parse(&key), Some(parsed));
@@ -31,7 +31,7 @@
 // Other processes read what was stored before its fields had names.
 #[test]
 fn the_moves_of_a_drain_are_stored_as_lists() {
-    let moved = DrainMove { job: "run-1".into(), index: 3, attempt: 2, to: "i-9".into() };
+    let moved = DrainMove { job: "run-1".into(), index: 3, attempt: 2, destination: "i-9".into() };
     let record = DrainRecord { machine: "i-1".into(), for_job: "run-2".into(), moves: vec![moved] };
     let stored = serde_json::json!({"machine": "i-1", "for_job": "run-2", "moves": [["run-1", 3, 2, "i-9"]]});
     assert_eq!(serde_json::to_value(&record).unwrap(), stored);
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -177,7 +177,7 @@
             allocated: Default::default(),
             legacy_done: Default::default(),
             done: None,
-            at: self.wall_seconds(),
+            submitted_at: self.wall_seconds(),
             spec: Some(spec.clone()),
             away: None,
             origin: None,
