--- a/crates/dapplecroft-controller/src/legacy.rs
+++ b/crates/dapplecroft-controller/src/legacy.rs
@@ -1,15 +1,16 @@
-//! The records as the first version writes and reads them, which other
-//! controllers may still run until the layout is switched.
+//! Records in the first layout, which the first version of the program reads and
+//! writes. Other controllers may still run that version until the cluster switches
+//! to the second layout.
 //!
-//! Everything about them is here: reading them at any time, writing them while
-//! any member may be of the first version, and (in [`crate::core`]'s `moving`)
-//! what takes their place. A later version deletes this module whole and reads
-//! with `serde_json::from_value` instead.
+//! Records of the first layout are read at any time, and written as long as any
+//! member may run the first version. The `migration` module of [`crate::core`]
+//! replaces them with records of the second layout. Once no first-layout records are
+//! left anywhere, this module can be deleted and `serde_json::from_value` used instead.
 //!
-//! What the first version does with what it doesn't know: keys other than its
-//! own are logged and left alone; unknown fields are passed over, and lost when
-//! it writes the record again; a value that misses a field or has an unknown
-//! variant is logged as unreadable and not acted upon.
+//! The first version treats unknown data as follows. It logs unknown keys and leaves
+//! them alone. It ignores unknown fields and loses them when it writes the record
+//! again. A value that lacks a field or has an unknown variant is logged as
+//! unreadable and ignored.
 
 use crate::ranges::Ranges;
 use crate::records::{GroupRecord, JobRecord, JobStage, MachineRecord, SegmentRecord, TaskSpan};
@@ -19,8 +20,10 @@
 use serde_json::{Error, Value};
 use std::collections::BTreeMap;
 
+/// A set of task indices as inclusive bounds, the first layout's form of [`Ranges`].
 type RangeBounds = Vec<(u32, u32)>;
 
+/// First-layout form of a [`JobRecord`].
 #[derive(Serialize, Deserialize)]
 struct LegacyJob {
     stage: JobStage,
@@ -37,10 +40,13 @@
     spec: Option<JobSpec>,
 }
 
+/// First-layout form of a [`SegmentRecord`], which covers a whole shard.
 #[derive(Serialize, Deserialize)]
 struct LegacySegment {
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
     jobs: Vec<String>,
+    /// Spans of tasks on each machine, each as the numbers of a [`TaskSpan`] in the order
+    /// of its fields. Numbers at the end that have their usual values are left out.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeMap::is_empty")]
     machines: BTreeMap<String, Vec<Vec<u64>>>,
     #[serde(rename = "d", default, skip_serializing_if = "BTreeMap::is_empty")]
@@ -49,6 +55,7 @@
     last_attempts: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
+/// First-layout form of a [`GroupRecord`].
 #[derive(Serialize, Deserialize)]
 struct LegacyGroup {
     #[serde(rename = "block")]
@@ -60,6 +67,7 @@
     machines: BTreeMap<String, LegacyMachine>,
 }
 
+/// First-layout form of a [`MachineRecord`].
 #[derive(Serialize, Deserialize)]
 struct LegacyMachine {
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
@@ -68,14 +76,14 @@
     given_up: bool,
 }
 
-/// Reads a value of the first layout if it has a field that only that has, and
-/// one of the second if not.
-fn read_either_layout<O: DeserializeOwned, N: DeserializeOwned>(
+/// Reads a record of either layout. A value that has `first_layout_field`, a field that
+/// only the first layout has, is read in the first layout and converted.
+fn read_either_layout<L: DeserializeOwned, R: DeserializeOwned>(
     value: Value,
-    field: &str,
-    convert: impl Fn(O) -> N,
-) -> Result<N, Error> {
-    if value.get(field).is_some() {
+    first_layout_field: &str,
+    convert: impl Fn(L) -> R,
+) -> Result<R, Error> {
+    if value.get(first_layout_field).is_some() {
         serde_json::from_value(value).map(convert)
     } else {
         serde_json::from_value(value)
@@ -86,12 +94,16 @@
     ranges.bounds().to_vec()
 }
 
-/// A job's record of either layout.
+/// Reads a job's record of either layout.
 pub fn read_job(value: Value) -> Result<JobRecord, Error> {
     read_either_layout(value, "stage", |old: LegacyJob| JobRecord {
         stage: old.stage,
         tasks: old.tasks,
-        allocated: old.allocated.into_iter().map(|(b, p)| (b, Ranges::from_bounds(p))).collect(),
+        allocated: old
+            .allocated
+            .into_iter()
+            .map(|(shard, tasks)| (shard, Ranges::from_bounds(tasks)))
+            .collect(),
         legacy_done: Ranges::from_bounds(old.legacy_done),
         done: old.done,
         submitted_at: old.submitted_at,
@@ -102,12 +114,12 @@
     })
 }
 
-/// A job's record as the first version reads it.
+/// Returns a job's record in the first layout.
 pub fn write_job(job: &JobRecord) -> Value {
-    value(&LegacyJob {
+    to_value(&LegacyJob {
         stage: job.stage,
         tasks: job.tasks,
-        allocated: job.allocated.iter().map(|(b, r)| (*b, to_bounds(r))).collect(),
+        allocated: job.allocated.iter().map(|(shard, tasks)| (*shard, to_bounds(tasks))).collect(),
         legacy_done: to_bounds(&job.legacy_done),
         done: job.done,
         submitted_at: job.submitted_at,
@@ -115,13 +127,13 @@
     })
 }
 
-/// What runs in a whole shard.
+/// Reads a first-layout record of the task placements in a whole shard.
 pub fn read_segment(value: Value) -> Result<SegmentRecord, Error> {
     let old: LegacySegment = serde_json::from_value(value)?;
     let mut machines = BTreeMap::new();
     for (machine, spans) in old.machines {
         let spans: Option<Vec<TaskSpan>> = spans.iter().map(|s| read_span(s)).collect();
-        let spans = spans.ok_or_else(|| serde::de::Error::custom("unreadable tasks"))?;
+        let spans = spans.ok_or_else(|| serde::de::Error::custom("malformed tasks of a machine"))?;
         machines.insert(machine, spans);
     }
     Ok(SegmentRecord {
@@ -132,10 +144,10 @@
     })
 }
 
-/// What runs in a whole shard, as the first version reads it.
+/// Returns the record of the task placements in a whole shard in the first layout.
 pub fn write_segment(segment: &SegmentRecord) -> Value {
     let spans = |spans: &Vec<TaskSpan>| spans.iter().map(write_span).collect();
-    value(&LegacySegment {
+    to_value(&LegacySegment {
         jobs: segment.jobs.clone(),
         machines: segment.machines.iter().map(|(m, s)| (m.clone(), spans(s))).collect(),
         done: segment.done.iter().map(|(id, r)| (id.clone(), to_bounds(r))).collect(),
@@ -155,7 +167,8 @@
     })
 }
 
-/// The shorter the more of its numbers have their usual values.
+/// Writes a span as a list of numbers, leaving out those at the end that have their
+/// usual values.
 fn write_span(span: &TaskSpan) -> Vec<u64> {
     let all = [u64::from(span.job), u64::from(span.first), u64::from(span.last), span.attempt, span.session];
     let length = match (span.last == span.first, span.attempt, span.session) {
@@ -167,7 +180,7 @@
     all[..length].to_vec()
 }
 
-/// A group of machines of either layout.
+/// Reads the record of a group of machines of either layout.
 pub fn read_group(value: Value) -> Result<GroupRecord, Error> {
     read_either_layout(value, "block", |old: LegacyGroup| GroupRecord {
         shard: old.shard,
@@ -182,19 +195,19 @@
     })
 }
 
-/// A group of machines as the first version reads it.
+/// Returns the record of a group of machines in the first layout.
 pub fn write_group(group: &GroupRecord) -> Value {
-    let member = |m: &MachineRecord| LegacyMachine { address: m.address.clone(), given_up: m.given_up };
-    value(&LegacyGroup {
+    let machine = |m: &MachineRecord| LegacyMachine { address: m.address.clone(), given_up: m.given_up };
+    to_value(&LegacyGroup {
         shard: group.shard,
         machine_type: group.machine_type.clone(),
         zone: group.zone.clone(),
         spot: group.spot,
-        machines: group.machines.iter().map(|(id, m)| (id.clone(), member(m))).collect(),
+        machines: group.machines.iter().map(|(id, m)| (id.clone(), machine(m))).collect(),
     })
 }
 
-fn value<T: Serialize>(record: &T) -> Value {
+fn to_value<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or_default()
 }
 
--- a/crates/dapplecroft-controller/src/legacy/tests.rs
+++ b/crates/dapplecroft-controller/src/legacy/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use serde_json::json;
 
-// Values that the first version wrote; see `fixtures/README.md`.
-const WRITTEN: &str = include_str!("../../fixtures/first-layout.json");
+// Values that the first version of the program wrote; see `fixtures/README.md`.
+const FIRST_VERSION_VALUES: &str = include_str!("../../fixtures/first-layout.json");
 
 #[test]
-fn what_the_first_version_wrote_is_read_and_written_back_as_it_was() {
-    let written: BTreeMap<String, Value> = serde_json::from_str(WRITTEN).unwrap();
+fn first_version_records_are_read_and_written_back_unchanged() {
+    let written: BTreeMap<String, Value> = serde_json::from_str(FIRST_VERSION_VALUES).unwrap();
     let mut seen = [0; 3];
     for (key, value) in written {
         let (again, kind) = match key.split('/').nth(1) {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_second_layout_of_a_job_has_no_field_that_the_first_version_needs() {
+fn first_version_cannot_read_second_layout_job_records() {
     let old = json!({"stage": "open", "tasks": 4, "to": {"0": [[0, 3]]}, "at": 5.0});
     let record = read_job(old.clone()).unwrap();
     assert_eq!(record.allocated[&0].len(), 4);
@@ -32,8 +32,8 @@
     assert_eq!(read_job(new).unwrap(), record);
 }
 
-// The name of a stored field is not that of the code: no value of the first
-// version that is kept here has it, so that a rename once went unnoticed.
+// The stored name of `legacy_done` is `folded`. None of the values in the fixture has
+// this field, so that a rename of the stored name once went unnoticed.
 #[test]
 fn completed_tasks_keep_their_stored_name() {
     let old = json!({"stage": "open", "tasks": 4, "folded": [[0, 1]], "at": 5.0});
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn spans_of_the_first_layout_are_as_short_as_they_can_be() {
+fn first_layout_spans_omit_usual_values_at_the_end() {
     for text in ["[3,7]", "[3,7,9]", "[3,7,7,2]", "[3,7,9,1,4]"] {
         let numbers: Vec<u64> = serde_json::from_str(text).unwrap();
         assert_eq!(write_span(&read_span(&numbers).unwrap()), numbers);
--- a/crates/dapplecroft-controller/src/lib.rs
+++ b/crates/dapplecroft-controller/src/lib.rs
@@ -1,8 +1,8 @@
-//! The controller: election, the lease of machines, the loops that bring what
-//! is to what is wanted, workers' sessions and the users' interface.
+//! The controller: leader election, leases of machine shards, the reconciliation
+//! loops, workers' sessions and the users' API.
 //!
-//! [`Node`] is one controller. It talks through a [`Transport`] and [`Peers`],
-//! so that tests run whole clusters in memory.
+//! [`Node`] is one controller process. It does all its communication through a
+//! [`Transport`] and [`Peers`], so that tests can run whole clusters in memory.
 //!
 //! [`Transport`]: dapplecroft_net::Transport
 
--- a/crates/dapplecroft-controller/src/machines.rs
+++ b/crates/dapplecroft-controller/src/machines.rs
@@ -1,4 +1,5 @@
-//! Machines as their workers report them.
+//! A controller's view of the machines: what the records and the workers'
+//! heartbeats say of them.
 
 use crate::jobs::TaskId;
 use dapplecroft_sched::Resources;
@@ -7,93 +8,98 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bits of a fencing token below the shard's epoch. A holder raises them for
-/// one worker without a write to the state service.
+/// Number of low bits of a fencing token that hold a counter, below the shard's epoch.
+/// The shard's holder raises the counter to get a higher token for one worker without
+/// a write to the state service.
 const COUNTER_BITS: u32 = 20;
 
-/// What is to become of a machine.
+/// Whether a machine takes tasks or is to be released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// It takes work.
+    /// The machine takes tasks.
     Active,
-    /// It takes no more work, and is returned once it is empty.
+    /// The machine takes no more tasks, and is released once it is empty.
     Returning,
-    /// It is released whatever is on it.
+    /// The machine is unusable: it did not come up, fell silent, no longer accepts commands or
+    /// failed. It is released whatever runs on it.
     Lost,
 }
 
-/// A machine.
+/// A machine as this controller knows it.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine.
     pub id: Arc<str>,
-    /// The shard that it belongs to.
+    /// Shard that the machine belongs to.
     pub shard: u32,
-    /// The segment of the shard in whose record it is, or will be; none yet.
+    /// Segment of the shard whose record lists the machine, or will list it. `None`
+    /// until one is assigned.
     pub segment: Option<u32>,
-    /// The group whose record has it; none once it was released.
+    /// Group whose record lists the machine; `None` once the machine was released.
     pub group: Option<Arc<str>>,
-    /// What it has; nothing while its type is unknown.
+    /// Resources of the machine; zero while its type is unknown.
     pub capacity: Resources,
-    /// Its type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Where its worker listens.
+    /// Address on which the machine's worker listens.
     pub address: Option<String>,
-    /// When this process learned of it, or last became holder.
+    /// When this process learned of the machine, or last became the holder of its shard.
     pub known_since: Instant,
-    /// When its worker was last heard.
+    /// When this process last received a heartbeat from the worker.
     pub last_heartbeat: Option<Instant>,
-    /// Since when its reports show that it has not taken the present token.
+    /// Since when the worker's heartbeats have shown that it has not accepted the current
+    /// fencing token.
     pub unsynced_since: Option<Instant>,
-    /// The worker's session.
+    /// Session of the worker, 0 while none is known.
     pub session: u64,
-    /// Number of its newest message.
+    /// Sequence number of the worker's newest heartbeat.
     pub sequence: u64,
-    /// The highest token that it says to have seen.
+    /// Highest fencing token that the worker reports to have seen.
     pub seen_token: u64,
-    /// Raised when an outcome is unknown, and when all that was known of the
-    /// worker is forgotten: what was sent before is void then, also if the same
-    /// process goes on under the same epoch.
+    /// Low part of the machine's fencing token. Raised when the outcome of a command is
+    /// unknown, and when the state of the worker is forgotten. Commands that were sent
+    /// before are then void, even if the same process continues in the same epoch.
     pub token_counter: u64,
-    /// The counter when that was last forgotten: outcomes of commands under a
-    /// lower one say nothing any more.
+    /// Value of `token_counter` when the state of the worker was last forgotten.
+    /// Outcomes of commands with a lower counter are ignored.
     counter_at_reset: u64,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims the machine, if it has announced that.
     pub reclaim_at: Option<Instant>,
-    /// Tasks in its newest message.
+    /// Tasks in the worker's newest heartbeat, with their status.
     pub reported: BTreeMap<TaskId, TaskStatus>,
-    /// Tasks booked on it.
+    /// Tasks for which resources of the machine are booked.
     pub tasks: BTreeSet<TaskId>,
-    /// What they take.
+    /// Resources that the booked tasks take.
     pub booked: Resources,
-    /// Images that it has or fetches; `true` once a task ran with it.
+    /// Images that the machine has (`true`, once a task ran with the image) or is
+    /// fetching (`false`).
     images: BTreeMap<String, bool>,
-    /// Whether direct commands are on their way.
+    /// Whether a request with direct commands to the worker is in flight.
     pub command_in_flight: bool,
-    /// No direct commands before.
+    /// No direct commands are sent before this time.
     pub commands_paused_until: Option<Instant>,
-    /// Whether a probe is on its way, and how many in a row failed.
+    /// Whether a probe of the worker is in flight.
     pub probe_in_flight: bool,
-    /// Probes in a row without an answer.
+    /// Number of consecutive probes without an answer.
     pub missed_probes: u32,
-    /// What is to become of it.
+    /// Whether the machine takes tasks or is to be released.
     pub phase: MachinePhase,
-    /// Whether its record says that its holder has given it up.
+    /// Whether the group's record says that the shard's holder has given the machine up.
     pub given_up: bool,
-    /// Whether a release is on its way.
+    /// Whether a request to release the machine is in flight.
     pub release_in_flight: bool,
-    /// Jobs that failed on it without failing elsewhere.
+    /// Jobs whose tasks failed on this machine and on no other.
     pub failed_jobs: BTreeSet<Arc<str>>,
-    /// Since when nothing is booked on it.
+    /// Since when no task is booked on the machine.
     pub idle_since: Option<Instant>,
 }
 
 impl Machine {
-    /// A machine that has not been heard.
+    /// Returns a machine from which no heartbeat has been received.
     pub fn new(id: &str, shard: u32, now: Instant) -> Self {
         Machine {
             id: id.into(),
@@ -130,48 +136,52 @@
         }
     }
 
-    /// The fencing token under which it is commanded in an epoch.
+    /// Current fencing token for commands to the machine's worker, in a given epoch of
+    /// the shard's lease.
     pub fn token(&self, epoch: u64) -> u64 {
         (epoch << COUNTER_BITS) | self.token_counter.min((1 << COUNTER_BITS) - 1)
     }
 
-    /// Whether its newest message came under the current token, so that what it
-    /// says of tasks is proof.
+    /// Whether the worker had accepted the current fencing token when it sent its newest
+    /// heartbeat. Only then does the heartbeat prove which tasks run on the machine.
     pub fn is_synced(&self, epoch: u64) -> bool {
         self.session > 0 && self.seen_token == self.token(epoch)
     }
 
-    /// Makes every command sent so far void, once the worker has seen the new
-    /// token.
+    /// Raises the fencing token, which voids all commands sent so far once the worker has
+    /// seen the new token.
     pub fn raise_token(&mut self) {
         self.token_counter += 1;
     }
 
-    /// Whether a token was chosen since this process last forgot what it knew of
-    /// the worker.
+    /// Whether `token` was issued in this epoch after this process last forgot the state
+    /// of the worker.
     pub fn is_token_since_reset(&self, token: u64, epoch: u64) -> bool {
         token >= (epoch << COUNTER_BITS) | self.counter_at_reset && token <= self.token(epoch)
     }
 
-    /// Notes that it fetches an image, or (`there`) has it.
-    pub fn record_image(&mut self, image: String, there: bool) {
-        *self.images.entry(image).or_insert(there) |= there;
+    /// Records that the machine has an image (`fetched`) or is fetching it.
+    pub fn record_image(&mut self, image: String, fetched: bool) {
+        *self.images.entry(image).or_insert(fetched) |= fetched;
     }
 
-    /// Whether it has an image; `None` if nothing is known of that.
+    /// Whether the machine has an image (`true`) or is fetching it (`false`); `None` if
+    /// neither is known.
     pub fn has_image(&self, image: &str) -> Option<bool> {
         self.images.get(image).copied()
     }
 
-    /// What is left on it.
+    /// Resources of the machine that no task is booked for.
     pub fn free_resources(&self) -> Resources {
         self.capacity - self.booked
     }
 
-    /// Whether it takes tasks: its worker has accepted the present token, and
-    /// is heard.
-    pub fn accepts_tasks(&self, epoch: u64, silence: Duration, now: Instant) -> bool {
-        self.last_heartbeat.is_some_and(|at| now.saturating_duration_since(at) <= silence)
+    /// Whether tasks may be placed on the machine, as its shard's holder sees it. Its
+    /// worker must have accepted the current fencing token and sent a heartbeat within
+    /// `heartbeat_timeout`, and the machine must be neither reclaimed, released nor given
+    /// up, nor be the only one on which two or more jobs failed.
+    pub fn accepts_tasks(&self, epoch: u64, heartbeat_timeout: Duration, now: Instant) -> bool {
+        self.last_heartbeat.is_some_and(|at| now.saturating_duration_since(at) <= heartbeat_timeout)
             && self.is_synced(epoch)
             && self.phase == MachinePhase::Active
             && !self.given_up
@@ -180,14 +190,15 @@
             && self.failed_jobs.len() < 2
     }
 
-    /// Whether it takes tasks as far as anyone but its holder knows: it has come
-    /// up, and has not been given up.
+    /// Whether the machine takes tasks as far as controllers other than its shard's holder
+    /// can tell from the records: its worker has registered an address, and the machine
+    /// has not been given up.
     pub fn likely_accepts_tasks(&self) -> bool {
         self.group.is_some() && self.address.is_some() && !self.given_up && self.capacity.cpus > 0
     }
 
-    /// Forgets what an earlier holder knew: sessions, tokens and lists are
-    /// believed only when told to this holder.
+    /// Forgets the state of the worker from an earlier lease of the shard. Sessions, tokens
+    /// and task lists count only if the worker reported them under the present lease.
     pub fn forget_worker_state(&mut self, now: Instant) {
         self.known_since = now;
         self.last_heartbeat = None;
--- a/crates/dapplecroft-controller/src/ranges/tests.rs
+++ b/crates/dapplecroft-controller/src/ranges/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn ranges_behave_as_sets_of_numbers() {
-    // Every pair of subsets of seven numbers.
+    // Compares `Ranges` with `BTreeSet` for every pair of subsets of seven numbers.
     let set = |bits: u32| (0..7).filter(|n| bits & (1 << n) != 0).collect::<BTreeSet<u32>>();
     for x in 0..128u32 {
         for y in 0..128u32 {
@@ -12,10 +12,10 @@
                 (Ranges::from_ascending(a.iter().copied()), Ranges::from_ascending(b.iter().copied()));
             assert_eq!(ra.union(&rb), Ranges::from_ascending(set(x | y)));
             assert_eq!(ra.difference(&rb), Ranges::from_ascending(set(x & !y)));
-            let (mut put, mut cut) = (ra.clone(), ra.clone());
-            b.iter().for_each(|n| put.insert(*n));
-            b.iter().for_each(|n| cut.remove(*n));
-            assert_eq!((put, cut), (ra.union(&rb), ra.difference(&rb)));
+            let (mut inserted, mut removed) = (ra.clone(), ra.clone());
+            b.iter().for_each(|n| inserted.insert(*n));
+            b.iter().for_each(|n| removed.remove(*n));
+            assert_eq!((inserted, removed), (ra.union(&rb), ra.difference(&rb)));
             let bridged = ra.bridge_gaps(&rb);
             assert_eq!(bridged.difference(&rb), ra.difference(&rb));
             assert!(ra.difference(&bridged).is_empty() && bridged.bounds().len() <= ra.bounds().len());
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -1,7 +1,9 @@
-//! What the state service holds. Nothing else survives a process.
+//! Keys and records in the state service, which is the only storage that
+//! survives the restart of a controller.
 //!
-//! This is the second layout. That of the first version is in [`crate::legacy`],
-//! which alone knows how it was written; all other code knows only these types.
+//! The types here are those of the second layout. [`crate::legacy`] converts
+//! the records of the first layout from and to these types, so that no other
+//! code needs to know how the first layout is encoded.
 
 use crate::ranges::Ranges;
 use dapplecroft_admission::CreditTag;
@@ -17,103 +19,107 @@
 pub use group::{GroupRecord, MachineRecord};
 pub use segment::{SegmentRecord, TaskSpan};
 
-/// The newest layout that this program reads and writes.
+/// Number of the newest record layout that this program can read and write.
 pub const NEWEST_LAYOUT: u32 = 2;
-/// Prefix of all keys, so that one watch sees every change.
+/// Prefix of all keys, so that a single watch reports every change.
 pub const KEY_PREFIX: &str = "dc/";
-/// The leader's key; its version is the leader's term.
+/// Key of the leader's record. The version of the record is the leader's term.
 pub const LEADER_KEY: &str = "dc/leader";
-/// The layout that is in force, once every member can read it.
+/// Key of the layout in force; written once every member can read that layout.
 pub const LAYOUT_KEY: &str = "dc/format";
-/// The machine types, as the first version wrote them.
+/// Key under which the first version of the program stored all machine types.
 pub const CATALOG_KEY: &str = "dc/catalog";
 
-/// The policy of admission control.
+/// Key of the policy of admission control.
 pub const ADMISSION_POLICY_KEY: &str = "dc/a/p";
-/// Credit that is kept for single jobs.
+/// Key of the admission credit that is reserved for single jobs.
 pub const RESERVATIONS_KEY: &str = "dc/a/s";
 
-/// The key of a controller's epoch in admission control.
+/// Key of a controller's epoch in admission control.
 pub fn admission_epoch_key(host: &str) -> String {
     format!("dc/a/e/{host}")
 }
 
-/// The key of a page of grants.
+/// Key of a page of admission grants.
 pub fn grants_key(page: u32) -> String {
     format!("dc/a/g/{page}")
 }
 
-/// A part of the machine types.
+/// Key of one part of the list of machine types.
 pub fn catalog_key(part: u32) -> String {
     format!("dc/c/{part}")
 }
 
-/// A shard's key.
+/// Key of a shard's lease record.
 pub fn shard_key(shard: u32) -> String {
     format!("dc/b/{shard}")
 }
 
-/// The key of the drain under way in a shard.
+/// Key of the drain in progress in a shard.
 pub fn drain_key(shard: u32) -> String {
     format!("dc/d/{shard}")
 }
 
-/// A job's key.
+/// Key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("dc/j/{id}")
 }
 
-/// The key of tasks that a job had completed when its record was moved over.
+/// Key of one part of the tasks that a job had completed when its record was
+/// migrated to the second layout.
 pub fn completed_tasks_key(id: &str, part: u32) -> String {
     format!("dc/f/{id}/{part}")
 }
 
-/// The key of a group of machines.
+/// Key of the record of a group of machines.
 pub fn group_key(name: &str) -> String {
     format!("dc/m/{name}")
 }
 
-/// A controller's liveness key.
+/// Key of the record that exists while a controller is alive.
 pub fn liveness_key(host: &str) -> String {
     format!("dc/n/{host}")
 }
 
-/// The key of the layout that a controller was once seen to know.
+/// Key of the newest layout that a controller has been seen to support.
 pub fn known_layout_key(host: &str) -> String {
     format!("dc/v/{host}")
 }
 
-/// The key of a transfer from another cell that was refused or given back.
+/// Key of a transfer from another cell that this cell refused or returned.
 pub fn refusal_key(cell: &str, incarnation: u64, job: &str) -> String {
     format!("dc/x/r/{cell}/{incarnation}/{job}")
 }
 
-/// The key of what another cell has finished of its transfers to this one.
+/// Key of the watermark up to which another cell has finished its transfers to
+/// this cell.
 pub fn watermark_key(cell: &str) -> String {
     format!("dc/x/w/{cell}")
 }
 
-/// A segment of what runs in a shard: a bounded record of some of its machines.
+/// Identifies a segment: a record of bounded size with the task placements on
+/// some of a shard's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// The segment; none: the whole shard's record, as the first version has it.
+    /// Number of the segment within the shard. `None` stands for the single record
+    /// that holds the whole shard in the first layout.
     pub segment: Option<u32>,
 }
 
 impl SegmentId {
-    /// A segment of a shard.
+    /// Identifies a numbered segment of a shard.
     pub fn new(shard: u32, segment: u32) -> SegmentId {
         SegmentId { shard, segment: Some(segment) }
     }
 
-    /// A shard's one record of the first layout.
+    /// Identifies a shard's single record in the first layout.
     pub fn whole(shard: u32) -> SegmentId {
         SegmentId { shard, segment: None }
     }
 
-    /// The key.
+    /// Key of the segment's record.
     pub fn key(&self) -> String {
         match self.segment {
             Some(segment) => format!("dc/q/{}/{segment}", self.shard),
@@ -122,47 +128,52 @@
     }
 }
 
-/// A key, taken apart.
+/// A parsed key of the state service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// The leader.
+    /// The leader's record.
     Leader,
-    /// The layout in force.
+    /// The record of the layout in force.
     LayoutInForce,
-    /// The machine types, all or (a number) a part.
+    /// The machine types: a numbered part of them, or (`None`) all of them in the
+    /// first layout.
     Catalog(Option<u32>),
-    /// The drain in a shard.
+    /// The drain in progress in the shard of this number.
     Drain(u32),
-    /// A shard.
+    /// The lease record of the shard of this number.
     Shard(u32),
-    /// A job.
+    /// The record of the job with this id.
     Job(&'a str),
-    /// Completed tasks of a job that was moved over.
+    /// Completed tasks of a job whose record was migrated to the second layout: the
+    /// job's id and the number of the part.
     CompletedTasks(&'a str, u32),
-    /// What runs in a shard, or a segment of it.
+    /// Task placements in a segment of a shard or, in the first layout, in a whole shard.
     Segment(SegmentId),
-    /// A group of machines.
+    /// The group of machines with this name.
     MachineGroup(&'a str),
-    /// A controller.
+    /// The liveness record of the controller with this host name.
     Liveness(&'a str),
-    /// The layout that a controller was once seen to know.
+    /// The newest layout that the controller with this host name has been seen to
+    /// support.
     KnownLayout(&'a str),
-    /// A refused transfer: the other cell, its incarnation, and the job.
+    /// A refused or returned transfer: the other cell, its incarnation, and the job.
     Refusal(&'a str, u64, &'a str),
-    /// What another cell has finished of its transfers.
+    /// The watermark up to which the named cell has finished its transfers to this
+    /// cell.
     Watermark(&'a str),
     /// The policy of admission control.
     AdmissionPolicy,
-    /// A controller's epoch in admission control.
+    /// The epoch in admission control of the controller with this host name.
     AdmissionEpoch(&'a str),
-    /// A page of grants.
+    /// The page of admission grants of this number.
     Grants(u32),
-    /// Credit that is kept for single jobs.
+    /// Admission credit that is reserved for single jobs.
     Reservations,
 }
 
 impl<'a> Key<'a> {
-    /// Takes a key apart; `None` for keys of other versions of the program.
+    /// Parses a key. Returns `None` for keys that this version of the program does
+    /// not know.
     pub fn parse(key: &'a str) -> Option<Key<'a>> {
         Some(match key.strip_prefix(KEY_PREFIX)? {
             "leader" => Key::Leader,
@@ -216,74 +227,79 @@
     }
 }
 
-/// How many bytes a value takes in the state service at most, however it writes
-/// what is not ASCII.
+/// Upper bound of the bytes that a value takes in the state service, however the
+/// service escapes characters outside ASCII.
 pub fn stored_size(value: &Value) -> usize {
     value.to_string().chars().map(|c| if c.is_ascii() { 1 } else { 6 * c.len_utf16() }).sum()
 }
 
-/// Where a job stands. A version that knows nothing of other cells can read neither
-/// `Away` nor `Hosted`: it leaves such records as they are, and acts on none.
+/// Stage of a job's life. Versions of the program without federation can read
+/// neither `Away` nor `Hosted`: they leave such records unchanged and ignore the jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStage {
-    /// Accepted and not over.
+    /// Accepted, and neither completed nor cancelled.
     Open,
     /// All tasks completed.
     Done,
     /// Cancelled by its user.
     #[serde(rename = "withdrawn")]
     Cancelled,
-    /// Offered to another cell, which may have it: nothing of it starts here.
+    /// Offered to another cell, which may have accepted the job: no task of the job
+    /// starts in this cell.
     Away,
-    /// Accepted for another cell, which answers for it to its user.
+    /// Accepted on behalf of another cell, the home cell, which answers the user's
+    /// requests about the job.
     #[serde(rename = "visiting")]
     Hosted,
 }
 
-/// A job. Once it is over and none of its tasks is left on a machine, the
-/// specification is dropped and the rest is kept for ever.
+/// Record of a job. Once the job has completed or been cancelled and none of its
+/// tasks is left on a machine, the specification is dropped and the rest is kept
+/// forever.
 ///
-/// The names of its fields are none of the first version's: a late process of
-/// that version could not read a service as something that it knows.
+/// Its stored field names differ from the names that the first layout requires. A
+/// process of the first version that still runs therefore rejects the record,
+/// instead of misreading a service as a kind of job that it knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Where it stands.
+    /// Stage of the job.
     #[serde(rename = "s")]
     pub stage: JobStage,
-    /// Number of tasks.
+    /// Number of tasks of the job.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Tasks that the leader has allocated to each shard. Only the holder of
-    /// that shard places them. Completed tasks between them may be named too.
+    /// Tasks that the leader has allocated to each shard; only the shard's holder
+    /// places them. The ranges may include completed tasks between the others.
     #[serde(rename = "to", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub allocated: BTreeMap<u32, Ranges>,
-    /// Completed tasks that a record of the first layout named; in this one
-    /// they have records of their own ([`Key::CompletedTasks`]).
+    /// Completed tasks that were listed in a job record of the first layout. The
+    /// second layout keeps them in separate records ([`Key::CompletedTasks`]).
     #[serde(skip)]
     pub legacy_done: Ranges,
-    /// Completed tasks, once the job is over.
+    /// Number of completed tasks, once the job has completed or been cancelled.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Seconds since 1970 at its submission, by the accepting node's clock.
+    /// Time of submission in seconds since 1970, by the clock of the accepting
+    /// controller.
     #[serde(rename = "at", default)]
     pub submitted_at: f64,
-    /// The specification.
+    /// The job's specification, as submitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// The transfer under way, while it is away.
+    /// State of the transfer to another cell, while the job is `Away`.
     #[serde(rename = "aw", default, skip_serializing_if = "Option::is_none")]
     pub away: Option<AwayRecord>,
-    /// Where it comes from, if another cell answers for it.
+    /// Where the job comes from, if another cell is its home cell.
     #[serde(rename = "or", default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
-    /// What it was charged by admission control, and to which grant; kept for ever.
+    /// What admission control charged for the job, and to which grant; kept forever.
     #[serde(rename = "cr", default, skip_serializing_if = "Option::is_none")]
     pub credit: Option<CreditTag>,
 }
 
 impl JobRecord {
-    /// The compact form of a job that is over.
+    /// Returns the compact record of a job that has completed or been cancelled.
     pub fn compact(&self, stage: JobStage, done: u32) -> JobRecord {
         JobRecord {
             stage,
@@ -300,34 +316,35 @@
     }
 }
 
-/// Some completed tasks of a job.
+/// One part of the completed tasks of a job, see [`Key::CompletedTasks`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedTasksRecord {
-    /// Which.
+    /// Indices of the completed tasks.
     #[serde(rename = "d")]
     pub done: Ranges,
 }
 
-/// The leader.
+/// Record of the current leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Its name.
+    /// Host name of the leader.
     pub host: String,
-    /// The identity of its process.
+    /// Identity of the leader's process.
     pub identity: String,
 }
 
-/// A live controller process.
+/// Record of a live controller process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessRecord {
-    /// The identity of the process; a restart is another process.
+    /// Identity of the process; a restarted controller gets a new one.
     pub identity: String,
-    /// The lease on which its keys hang.
+    /// Lease in the state service that the controller's keys are attached to.
     pub lease: u64,
-    /// The newest layout that it knows; the first version does not say.
+    /// Newest layout that the controller supports. The first version does not write
+    /// this field.
     #[serde(default = "first_layout")]
     pub layout: u32,
-    /// Whether it takes part in admission control.
+    /// Whether the controller takes part in admission control.
     #[serde(default, skip_serializing_if = "is_false")]
     pub admission: bool,
 }
@@ -340,46 +357,48 @@
     1
 }
 
-/// The layout in force, or known to a controller.
+/// Record of a layout number: that of the layout in force, or of the newest layout
+/// that a controller supports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LayoutRecord {
-    /// Its number.
+    /// Number of the layout.
     pub layout: u32,
 }
 
-/// A shard of machines, leased by the leader to a holder.
+/// Lease of a shard of machines, which the leader grants to a controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The holder's name.
+    /// Host name of the shard's holder.
     pub host: String,
-    /// The identity of the holder's process.
+    /// Identity of the holder's process.
     pub identity: String,
-    /// Grows with every lease; the high part of the fencing tokens.
+    /// Epoch of the lease, which grows with every new lease of the shard. It forms
+    /// the high bits of the fencing tokens.
     pub epoch: u64,
 }
 
-/// The drain under way.
+/// A drain in progress: tasks move off a machine to make room for a waiting task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// The machine that is emptied.
+    /// Machine that is emptied.
     pub machine: String,
-    /// The job whose waiting task takes it.
+    /// Job whose waiting task will use the emptied machine.
     pub for_job: String,
-    /// What moves where.
+    /// Tasks to move, with the machines that they move to.
     pub moves: Vec<DrainMove>,
 }
 
-/// A task that a drain moves; stored as a list of its fields.
+/// A task that a drain moves. Stored as a JSON array of its fields, in this order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredDrainMove", into = "StoredDrainMove")]
 pub struct DrainMove {
-    /// The job.
+    /// Job of the task.
     pub job: String,
-    /// The task's index within it.
+    /// Index of the task within its job.
     pub index: u32,
-    /// The attempt that is stopped.
+    /// Attempt of the task that is stopped.
     pub attempt: u64,
-    /// The machine that it goes to.
+    /// Machine that the task moves to.
     pub destination: String,
 }
 
--- a/crates/dapplecroft-controller/src/records/group.rs
+++ b/crates/dapplecroft-controller/src/records/group.rs
@@ -1,38 +1,40 @@
-//! Groups of machines.
+//! Records of groups of machines.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Machines that were rented together, or taken in together. They are one
-/// record, since a record each would use up the state service's writes. A
-/// machine leaves it only once its release was answered: that is the proof, for
-/// every controller, that nothing runs there any more.
+/// Record of machines that were rented, or adopted from the cloud's list, together.
+/// They share one record because a record for each machine would exhaust the state
+/// service's write rate. A machine is removed from the record only after the cloud
+/// has confirmed its release, so its absence proves to every controller that
+/// nothing runs on it any more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredGroup", into = "StoredGroup")]
 pub struct GroupRecord {
-    /// The shard that the machines belong to, for good.
+    /// Number of the shard that the machines belong to; never changes.
     pub shard: u32,
-    /// Their type.
+    /// Type of the machines.
     pub machine_type: String,
-    /// Their zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// The machines by name.
+    /// Machines of the group by name.
     pub machines: BTreeMap<String, MachineRecord>,
 }
 
-/// A machine of a group.
+/// A machine in a group's record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MachineRecord {
-    /// Where its worker listens, once it has reported.
+    /// Address on which the machine's worker listens, known after its first heartbeat.
     pub address: Option<String>,
-    /// Whether the shard's holder has given it up: the leader releases it.
+    /// Whether the shard's holder has given the machine up, so that the leader
+    /// releases it.
     pub given_up: bool,
 }
 
-/// How a group is written: each machine with its address, and the names of
-/// those that are given up.
+/// Stored form of a [`GroupRecord`]: the address of each machine (empty if not known
+/// yet), and the names of the machines that are given up.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredGroup {
     #[serde(rename = "b")]
@@ -50,76 +52,80 @@
 }
 
 impl From<StoredGroup> for GroupRecord {
-    fn from(w: StoredGroup) -> Self {
-        let member = |id: &String, address: String| MachineRecord {
+    fn from(stored: StoredGroup) -> Self {
+        let machine = |id: &String, address: String| MachineRecord {
             address: (!address.is_empty()).then_some(address),
-            given_up: w.given_up.contains(id),
+            given_up: stored.given_up.contains(id),
         };
-        let machines = w.machines.into_iter().map(|(id, a)| {
-            let member = member(&id, a);
-            (id, member)
+        let machines = stored.machines.into_iter().map(|(id, address)| {
+            let machine = machine(&id, address);
+            (id, machine)
         });
         GroupRecord {
-            shard: w.shard,
-            machine_type: w.machine_type,
-            zone: w.zone,
-            spot: w.spot,
+            shard: stored.shard,
+            machine_type: stored.machine_type,
+            zone: stored.zone,
+            spot: stored.spot,
             machines: machines.collect(),
         }
     }
 }
 
 impl From<GroupRecord> for StoredGroup {
-    fn from(g: GroupRecord) -> Self {
+    fn from(group: GroupRecord) -> Self {
         StoredGroup {
-            shard: g.shard,
-            machine_type: g.machine_type,
-            zone: g.zone,
-            spot: g.spot,
-            given_up: g.machines.iter().filter(|(_, m)| m.given_up).map(|(id, _)| id.clone()).collect(),
-            machines: g.machines.into_iter().map(|(id, m)| (id, m.address.unwrap_or_default())).collect(),
+            shard: group.shard,
+            machine_type: group.machine_type,
+            zone: group.zone,
+            spot: group.spot,
+            given_up: group.machines.iter().filter(|(_, m)| m.given_up).map(|(id, _)| id.clone()).collect(),
+            machines: group.machines.into_iter().map(|(id, m)| (id, m.address.unwrap_or_default())).collect(),
         }
     }
 }
 
-/// Bytes that an address may take in a group's record: an IPv4 address with its
-/// port, in quotes.
+/// Largest number of bytes that an address usually takes in a group's record: an
+/// IPv4 address with its port, in quotes.
 const MAX_ADDRESS_BYTES: usize = 24;
 
 impl GroupRecord {
-    /// The most bytes that the record may come to take while its machines come
-    /// up and are given up; unlike their number, that must not outgrow a value.
+    /// Upper bound of the bytes that the record takes at any time, with all addresses
+    /// known and all machines given up. The bound must stay within the state service's
+    /// value size limit, because addresses and given-up names are added after the group
+    /// was formed.
     pub fn max_stored_bytes(&self) -> usize {
-        let head = 60 + self.machine_type.len() * 6 + self.zone.len() * 6;
-        let each = |(id, m): (&String, &MachineRecord)| {
+        let header = 60 + self.machine_type.len() * 6 + self.zone.len() * 6;
+        let machine_bytes = |(id, m): (&String, &MachineRecord)| {
             2 * (id.len() + 3)
                 + 1
                 + m.address.as_ref().map_or(MAX_ADDRESS_BYTES, |a| a.len().max(MAX_ADDRESS_BYTES))
         };
-        head + self.machines.iter().map(each).sum::<usize>()
+        header + self.machines.iter().map(machine_bytes).sum::<usize>()
     }
 
-    /// Bytes that the record takes with all addresses and none given up.
+    /// Number of bytes that the record takes with all addresses known and no machine
+    /// given up.
     pub fn stored_bytes(&self) -> usize {
         let address = |m: &MachineRecord| m.address.as_ref().map_or(MAX_ADDRESS_BYTES, |a| a.len() + 2);
         let machines = self.machines.iter().map(|(id, m)| id.len() + 4 + address(m));
         60 + self.machine_type.len() * 6 + self.zone.len() * 6 + machines.sum::<usize>()
     }
 
-    /// The same machines in as many groups as it takes for each to fit a value.
-    pub fn split_to_fit(self, value: usize) -> Vec<GroupRecord> {
+    /// Splits the group into as many groups as needed for each record to take at most
+    /// `value_limit` bytes.
+    pub fn split_to_fit(self, value_limit: usize) -> Vec<GroupRecord> {
         let empty = GroupRecord { machines: BTreeMap::new(), ..self.clone() };
         let mut groups = vec![empty.clone()];
-        for (id, member) in self.machines {
-            let mut with = groups.pop().unwrap_or_else(|| empty.clone());
-            with.machines.insert(id.clone(), member);
-            if with.max_stored_bytes() > value && with.machines.len() > 1 {
-                let member = with.machines.remove(&id).unwrap_or_default();
-                groups.push(with);
-                with = empty.clone();
-                with.machines.insert(id, member);
+        for (id, machine) in self.machines {
+            let mut group = groups.pop().unwrap_or_else(|| empty.clone());
+            group.machines.insert(id.clone(), machine);
+            if group.max_stored_bytes() > value_limit && group.machines.len() > 1 {
+                let machine = group.machines.remove(&id).unwrap_or_default();
+                groups.push(group);
+                group = empty.clone();
+                group.machines.insert(id, machine);
             }
-            groups.push(with);
+            groups.push(group);
         }
         groups
     }
--- a/crates/dapplecroft-controller/src/records/group/tests.rs
+++ b/crates/dapplecroft-controller/src/records/group/tests.rs
@@ -2,7 +2,7 @@
 use crate::records::stored_size;
 
 #[test]
-fn groups_are_split_so_that_each_fits_with_all_addresses_and_all_given_up() {
+fn split_groups_fit_the_value_limit_with_all_addresses_and_all_given_up() {
     let machines: BTreeMap<String, MachineRecord> =
         (0..200).map(|n| (format!("i-{n:06}"), MachineRecord::default())).collect();
     let group = GroupRecord { shard: 3, machine_type: "m".into(), zone: "z".into(), spot: true, machines };
@@ -11,8 +11,8 @@
     let mut all = BTreeMap::new();
     for mut group in groups {
         all.extend(group.machines.clone());
-        for member in group.machines.values_mut() {
-            *member = MachineRecord { address: Some("255.255.255.255:65535".into()), given_up: true };
+        for machine in group.machines.values_mut() {
+            *machine = MachineRecord { address: Some("255.255.255.255:65535".into()), given_up: true };
         }
         let value = serde_json::to_value(&group).unwrap();
         assert!(stored_size(&value) <= 2048);
--- a/crates/dapplecroft-controller/src/records/segment.rs
+++ b/crates/dapplecroft-controller/src/records/segment.rs
@@ -1,5 +1,6 @@
-//! How what runs on some machines of a shard is written, as briefly as can be:
-//! a value has a limit, and a shard may have thousands of tasks.
+//! Segment records: the task placements on some machines of a shard. They are
+//! stored in a compact text form, because the state service limits the size of a
+//! value and a shard may run thousands of tasks.
 
 use crate::ranges::Ranges;
 use serde::de::Error;
@@ -8,91 +9,101 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-/// What runs on some machines of a shard; written by its holder alone. One
-/// record for all jobs, so that what its holder writes follows the machines and
-/// the time between two writes, and not the number of jobs.
+/// Task placements on some machines of a shard, written only by the shard's
+/// holder. A record covers all jobs, so that the number of writes depends on the
+/// number of machines and the interval between writes, and not on the number of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SegmentRecord {
-    /// Names of jobs, to which spans refer by position.
+    /// Ids of jobs; the spans refer to them by position.
     pub jobs: Vec<String>,
-    /// Tasks on each machine. One that is named speaks for that machine, also
-    /// with nothing on it, whatever a record of the first layout says.
+    /// Tasks on each machine. For a machine that is listed here, even without tasks,
+    /// this record takes precedence over a record of the first layout.
     pub machines: BTreeMap<String, Vec<TaskSpan>>,
-    /// Completed tasks of jobs that are not over. Several records may have them.
+    /// Completed tasks of jobs that are still open. Several segments may list the same
+    /// job.
     pub done: BTreeMap<String, Ranges>,
-    /// Last attempts of tasks that are neither done nor on a machine; of
-    /// several, the highest counts.
+    /// Last attempt numbers of tasks that are neither completed nor on a machine, by
+    /// job and task index. If several segments list a task, the highest number counts.
     pub last_attempts: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
-/// Neighbouring tasks of a job on a machine.
+/// Consecutive tasks of one job on one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskSpan {
-    /// The job's position among the record's names.
+    /// Position of the job in [`SegmentRecord::jobs`].
     pub job: u32,
-    /// The first task.
+    /// Index of the first task.
     pub first: u32,
-    /// The last task; usually the first.
+    /// Index of the last task, inclusive; usually equal to `first`.
     pub last: u32,
-    /// Their attempt; usually 1.
+    /// Attempt number of the tasks; usually 1.
     pub attempt: u64,
-    /// The worker's session that they were placed in; usually 1.
+    /// Session of the worker in which the tasks were placed; usually 1.
     pub session: u64,
 }
 
-/// How a record of what runs is written. Jobs are named by the digits of their
-/// ids. `3:7-20*2@4/0a` are the tasks 7 to 20 of the fourth job, attempt 2, in
-/// the worker's session 4; behind the stroke are those of them that have
-/// completed meanwhile, four to a digit. So what is placed together takes little
-/// room until all of it has ended, in whatever order. Machines come in the order
-/// of their names, each with a letter for how much of the last name it begins
-/// with: `ai-000231=0:3;h45=1:7` are `i-000231` and `i-000245`.
+/// Stored form of a [`SegmentRecord`].
+///
+/// Job ids are stored without their prefix, separated by spaces. `3:7-20*2@4/0a`
+/// stands for tasks 7 to 20 of the fourth job, attempt 2, placed in session 4 of the
+/// worker. The hexadecimal digits after the slash are a bit set, lowest bit first, of
+/// the tasks in that range that have completed, four tasks to a digit. Tasks that
+/// were placed together therefore take little space until all of them have ended, in
+/// whatever order they end.
+///
+/// Machines are sorted by name. Each entry starts with a letter that says how many
+/// leading characters its name shares with the previous one (`a` for none):
+/// `ai-000231=0:3;h45=1:7` lists the machines `i-000231` and `i-000245`.
 #[derive(Default, Serialize, Deserialize)]
 struct StoredSegment {
     #[serde(rename = "j", default, skip_serializing_if = "String::is_empty")]
     jobs: String,
     #[serde(rename = "m", default, skip_serializing_if = "String::is_empty")]
     machines: String,
-    /// Those whose names have other signs than most.
+    /// Machines whose names contain characters that have a meaning in `machines`.
     #[serde(rename = "o", default, skip_serializing_if = "BTreeMap::is_empty")]
     others: BTreeMap<String, String>,
-    /// `3:0-5,7`.
+    /// Completed tasks by position of the job, such as `3:0-5,7`.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     done: String,
-    /// `3:0-5*1,7*2`.
+    /// Last attempts by position of the job, such as `3:0-5*1,7*2`.
     #[serde(rename = "t", default, skip_serializing_if = "String::is_empty")]
     last_attempts: String,
 }
 
-/// What ids of jobs begin with.
+/// Prefix of all job ids, omitted in the stored form.
 const JOB_ID_PREFIX: &str = "run-";
-/// Neighbours are written together across so many that have completed.
+/// Largest distance from the last task of a span to the first task of the next one for
+/// both to be stored as one group, given that all tasks between them have completed.
 const MAX_COMPLETED_GAP: u32 = 48;
 
-/// Neighbouring tasks with what has completed between them.
+/// Spans of one job on one machine that are stored together, because all tasks between
+/// them have completed.
 struct SpanGroup<'a> {
+    /// Range from the first to the last task of the group.
     span: TaskSpan,
-    parts: &'a [TaskSpan],
+    /// The tasks that still run.
+    running: &'a [TaskSpan],
 }
 
 impl SpanGroup<'_> {
     fn write(&self, to: &mut String) {
-        let s = &self.span;
-        let _ = write!(to, "{}{}:{}", if to.is_empty() { "" } else { " " }, s.job, s.first);
-        if s.last != s.first {
-            let _ = write!(to, "-{}", s.last);
+        let span = &self.span;
+        let _ = write!(to, "{}{}:{}", if to.is_empty() { "" } else { " " }, span.job, span.first);
+        if span.last != span.first {
+            let _ = write!(to, "-{}", span.last);
         }
-        if s.attempt != 1 {
-            let _ = write!(to, "*{}", s.attempt);
+        if span.attempt != 1 {
+            let _ = write!(to, "*{}", span.attempt);
         }
-        if s.session != 1 {
-            let _ = write!(to, "@{}", s.session);
+        if span.session != 1 {
+            let _ = write!(to, "@{}", span.session);
         }
-        if self.parts.len() > 1 {
-            let mut digits = vec![0u32; ((s.last - s.first) / 4 + 1) as usize];
-            for pair in self.parts.windows(2) {
+        if self.running.len() > 1 {
+            let mut digits = vec![0u32; ((span.last - span.first) / 4 + 1) as usize];
+            for pair in self.running.windows(2) {
                 for i in pair[0].last + 1..pair[1].first {
-                    digits[((i - s.first) / 4) as usize] |= 1 << ((i - s.first) % 4);
+                    digits[((i - span.first) / 4) as usize] |= 1 << ((i - span.first) % 4);
                 }
             }
             to.push('/');
@@ -101,15 +112,16 @@
     }
 }
 
-/// Joins spans of a machine where all between them has completed.
-fn group_spans<'a>(spans: &'a [TaskSpan], done: impl Fn(u32, u32, u32) -> bool) -> Vec<SpanGroup<'a>> {
+/// Groups the spans of a machine between which all tasks have completed.
+/// `all_done(job, first, last)` tells whether a range of tasks has completed.
+fn group_spans<'a>(spans: &'a [TaskSpan], all_done: impl Fn(u32, u32, u32) -> bool) -> Vec<SpanGroup<'a>> {
     let mut groups: Vec<(usize, usize)> = Vec::new();
-    for (n, s) in spans.iter().enumerate() {
-        let joins = n.checked_sub(1).map(|before| &spans[before]).is_some_and(|b| {
-            (b.job, b.attempt, b.session) == (s.job, s.attempt, s.session)
-                && b.last < s.first
-                && s.first - b.last <= MAX_COMPLETED_GAP
-                && (b.last + 1 == s.first || done(s.job, b.last + 1, s.first - 1))
+    for (n, span) in spans.iter().enumerate() {
+        let joins = n.checked_sub(1).map(|before| &spans[before]).is_some_and(|previous| {
+            (previous.job, previous.attempt, previous.session) == (span.job, span.attempt, span.session)
+                && previous.last < span.first
+                && span.first - previous.last <= MAX_COMPLETED_GAP
+                && (previous.last + 1 == span.first || all_done(span.job, previous.last + 1, span.first - 1))
         });
         match groups.last_mut().filter(|_| joins) {
             Some((_, end)) => *end = n + 1,
@@ -117,13 +129,14 @@
         }
     }
     let group = |(from, to): (usize, usize)| {
-        let parts = &spans[from..to];
-        SpanGroup { span: TaskSpan { last: parts[parts.len() - 1].last, ..parts[0] }, parts }
+        let running = &spans[from..to];
+        SpanGroup { span: TaskSpan { last: running[running.len() - 1].last, ..running[0] }, running }
     };
     groups.into_iter().map(group).collect()
 }
 
-/// Reads neighbouring tasks: those that run, and those that have completed.
+/// Parses a group of spans into the spans that still run and the indices of the
+/// completed tasks.
 fn parse_span_group(text: &str) -> Option<(Vec<TaskSpan>, Vec<u32>)> {
     let (text, digits) = text.split_once('/').unwrap_or((text, ""));
     let (text, session) = split_suffix_number(text, '@')?;
@@ -162,12 +175,14 @@
     Some((spans, done))
 }
 
-/// Whether a machine's name has no sign that a record is written with.
+/// Whether a machine's name has only characters without a meaning in
+/// [`StoredSegment::machines`].
 fn is_plain(name: &str) -> bool {
     !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:/".contains(&b))
 }
 
-/// A number behind a mark, 1 if there is none, and what is before it.
+/// Splits `text` at `mark` into the text before the mark and the number after it,
+/// which is 1 if there is no mark.
 fn split_suffix_number(text: &str, mark: char) -> Option<(&str, u64)> {
     match text.split_once(mark) {
         Some((before, number)) => Some((before, number.parse().ok()?)),
@@ -175,76 +190,83 @@
     }
 }
 
-fn parse_list<T>(text: &str, mark: char, read: impl Fn(&str) -> Option<T>) -> Option<Vec<T>> {
-    text.split(mark).filter(|w| !w.is_empty()).map(read).collect()
+/// Parses a list of items between separators. Returns `None` if any item is malformed.
+fn parse_list<T>(text: &str, separator: char, parse: impl Fn(&str) -> Option<T>) -> Option<Vec<T>> {
+    text.split(separator).filter(|item| !item.is_empty()).map(parse).collect()
 }
 
 fn parse_bounds(text: &str) -> Option<(u32, u32)> {
-    let (a, b) = text.split_once('-').unwrap_or((text, text));
-    let (a, b) = (a.parse().ok()?, b.parse().ok()?);
-    (a <= b).then_some((a, b))
+    let (first, last) = text.split_once('-').unwrap_or((text, text));
+    let (first, last) = (first.parse().ok()?, last.parse().ok()?);
+    (first <= last).then_some((first, last))
 }
 
-fn write_range(to: &mut String, a: u32, b: u32) {
-    let _ = write!(to, "{a}");
-    if a != b {
-        let _ = write!(to, "-{b}");
+fn write_range(to: &mut String, first: u32, last: u32) {
+    let _ = write!(to, "{first}");
+    if first != last {
+        let _ = write!(to, "-{last}");
     }
 }
 
-/// Last attempts, neighbours with the same one together.
-fn write_attempts(to: &mut String, tries: &BTreeMap<u32, u64>) {
+/// Writes last attempts, with consecutive tasks of the same attempt number as one
+/// range.
+fn write_attempts(to: &mut String, last_attempts: &BTreeMap<u32, u64>) {
     let mut runs: Vec<(u32, u32, u64)> = Vec::new();
-    for (index, attempt) in tries {
+    for (index, attempt) in last_attempts {
         match runs.last_mut() {
             Some((_, last, n)) if *last + 1 == *index && n == attempt => *last = *index,
             _ => runs.push((*index, *index, *attempt)),
         }
     }
-    for (n, (a, b, attempt)) in runs.into_iter().enumerate() {
+    for (n, (first, last, attempt)) in runs.into_iter().enumerate() {
         if n > 0 {
             to.push(',');
         }
-        write_range(to, a, b);
+        write_range(to, first, last);
         let _ = write!(to, "*{attempt}");
     }
 }
 
 fn parse_attempts(text: &str) -> Option<BTreeMap<u32, u64>> {
-    let one = |w: &str| {
-        let (tasks, attempt) = w.split_once('*')?;
+    let parse_run = |text: &str| {
+        let (tasks, attempt) = text.split_once('*')?;
         Some((parse_bounds(tasks)?, attempt.parse::<u64>().ok()?))
     };
-    let runs = parse_list(text, ',', one)?;
-    Some(runs.into_iter().flat_map(|((a, b), n)| (a..=b).map(move |i| (i, n))).collect())
+    let runs = parse_list(text, ',', parse_run)?;
+    Some(
+        runs.into_iter()
+            .flat_map(|((first, last), attempt)| (first..=last).map(move |i| (i, attempt)))
+            .collect(),
+    )
 }
 
 impl SegmentRecord {
-    /// The groups of neighbours on each machine, and what is left of the
-    /// completed tasks when those between neighbours are written with them.
+    /// Returns the groups of spans on each machine, and the completed tasks that are not
+    /// already stored within one of these groups.
     fn group_for_storage(&self) -> (BTreeMap<&String, Vec<SpanGroup<'_>>>, BTreeMap<&String, Ranges>) {
         let mut left: BTreeMap<&String, Ranges> = self.done.iter().map(|(id, r)| (id, r.clone())).collect();
-        let done = |job: u32, a: u32, b: u32| {
-            let ranges = self.jobs.get(job as usize).and_then(|id| self.done.get(id));
-            ranges.is_some_and(|r| r.contains_all(a, b))
+        let all_done = |job: u32, first: u32, last: u32| {
+            let done = self.jobs.get(job as usize).and_then(|id| self.done.get(id));
+            done.is_some_and(|ranges| ranges.contains_all(first, last))
         };
         let mut machines = BTreeMap::new();
         for (machine, spans) in &self.machines {
-            let own = group_spans(spans, done);
-            for pair in own.iter().flat_map(|g| g.parts.windows(2)) {
+            let groups = group_spans(spans, all_done);
+            for pair in groups.iter().flat_map(|g| g.running.windows(2)) {
                 if let Some(left) = self.jobs.get(pair[0].job as usize).and_then(|id| left.get_mut(id)) {
                     let between =
                         Ranges::from_bounds(vec![(pair[0].last + 1, pair[1].first.saturating_sub(1))]);
                     *left = left.difference(&between);
                 }
             }
-            machines.insert(machine, own);
+            machines.insert(machine, groups);
         }
         left.retain(|_, r| !r.is_empty());
         (machines, left)
     }
 
-    /// The sizes of the groups of neighbours that the record is written with.
+    /// Number of tasks, completed ones included, in each group of spans that is stored
+    /// together.
     pub fn group_sizes(&self) -> Vec<u32> {
         let (machines, _) = self.group_for_storage();
         machines.values().flatten().map(|g| g.span.last - g.span.first + 1).collect()
@@ -254,36 +276,38 @@
 impl Serialize for SegmentRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut jobs = self.jobs.clone();
-        let mut known: BTreeMap<String, u32> =
+        let mut positions: BTreeMap<String, u32> =
             jobs.iter().enumerate().map(|(n, id)| (id.clone(), n as u32)).collect();
-        // What only has completed tasks or attempts is named behind the others.
+        // Jobs without tasks on these machines, which only have completed tasks or last
+        // attempts, are listed after the others.
         let mut position = |id: &String| {
-            *known.entry(id.clone()).or_insert_with(|| {
+            *positions.entry(id.clone()).or_insert_with(|| {
                 jobs.push(id.clone());
                 jobs.len() as u32 - 1
             })
         };
         let (groups, left) = self.group_for_storage();
         let mut written = StoredSegment::default();
-        let space = |to: &str| if to.is_empty() { "" } else { " " };
+        let separator = |to: &str| if to.is_empty() { "" } else { " " };
         for (id, done) in left {
-            let _ = write!(written.done, "{}{}:", space(&written.done), position(id));
+            let _ = write!(written.done, "{}{}:", separator(&written.done), position(id));
             done.write_text(&mut written.done);
         }
-        for (id, own) in &self.last_attempts {
-            let _ = write!(written.last_attempts, "{}{}:", space(&written.last_attempts), position(id));
-            write_attempts(&mut written.last_attempts, own);
+        for (id, attempts) in &self.last_attempts {
+            let _ = write!(written.last_attempts, "{}{}:", separator(&written.last_attempts), position(id));
+            write_attempts(&mut written.last_attempts, attempts);
         }
-        let mut last = "";
+        let mut previous = "";
         for (machine, groups) in groups {
             let mut text = String::new();
             groups.iter().for_each(|g| g.write(&mut text));
             if is_plain(machine) {
-                let same = machine.bytes().zip(last.bytes()).take_while(|(a, b)| a == b).count().min(25);
-                let mark = char::from(b'a' + same as u8);
-                let stop = if last.is_empty() { "" } else { ";" };
-                let _ = write!(written.machines, "{stop}{mark}{}={text}", &machine[same..]);
-                last = machine;
+                let shared =
+                    machine.bytes().zip(previous.bytes()).take_while(|(a, b)| a == b).count().min(25);
+                let mark = char::from(b'a' + shared as u8);
+                let separator = if previous.is_empty() { "" } else { ";" };
+                let _ = write!(written.machines, "{separator}{mark}{}={text}", &machine[shared..]);
+                previous = machine;
             } else {
                 written.others.insert(machine.clone(), text);
             }
@@ -292,7 +316,7 @@
             let _ = write!(
                 written.jobs,
                 "{}{}",
-                space(&written.jobs),
+                separator(&written.jobs),
                 id.strip_prefix(JOB_ID_PREFIX).unwrap_or(id)
             );
         }
@@ -310,37 +334,50 @@
 fn parse_stored_segment(written: &StoredSegment) -> Result<SegmentRecord, &'static str> {
     let jobs: Vec<String> =
         written.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{JOB_ID_PREFIX}{w}")).collect();
-    let name = |n: &str| n.parse::<usize>().ok().and_then(|n| jobs.get(n)).cloned();
-    let of = |w: &str| {
-        let (n, rest) = w.split_once(':')?;
-        Some((name(n)?, rest.to_string()))
+    let job_id = |n: &str| n.parse::<usize>().ok().and_then(|n| jobs.get(n)).cloned();
+    let parse_entry = |text: &str| {
+        let (position, rest) = text.split_once(':')?;
+        Some((job_id(position)?, rest.to_string()))
     };
     let mut record = SegmentRecord::default();
-    for (id, text) in parse_list(&written.done, ' ', of).ok_or("completed tasks of no job")? {
+    for (id, text) in
+        parse_list(&written.done, ' ', parse_entry).ok_or("completed tasks of an unlisted job")?
+    {
         record.done.insert(id, text.parse()?);
     }
-    for (id, text) in parse_list(&written.last_attempts, ' ', of).ok_or("attempts of no job")? {
-        record.last_attempts.insert(id, parse_attempts(&text).ok_or("unreadable attempts")?);
+    for (id, text) in
+        parse_list(&written.last_attempts, ' ', parse_entry).ok_or("last attempts of an unlisted job")?
+    {
+        record.last_attempts.insert(id, parse_attempts(&text).ok_or("malformed last attempts")?);
     }
     let mut machines: Vec<(String, &str)> = Vec::new();
     for entry in written.machines.split(';').filter(|e| !e.is_empty()) {
-        let (name, text) = entry.split_once('=').ok_or("a machine without tasks")?;
-        let mark = name.bytes().next().filter(u8::is_ascii_lowercase).ok_or("a machine without a name")?;
-        let last = machines.last().map_or("", |(m, _)| m);
-        let same = last.get(..usize::from(mark - b'a')).ok_or("a machine with half a name")?;
-        machines.push((format!("{same}{}", &name[1..]), text));
+        let (name, text) = entry.split_once('=').ok_or("machine entry without '='")?;
+        let mark = name
+            .bytes()
+            .next()
+            .filter(u8::is_ascii_lowercase)
+            .ok_or("machine entry without the length of the shared prefix")?;
+        let previous = machines.last().map_or("", |(m, _)| m);
+        let shared = previous
+            .get(..usize::from(mark - b'a'))
+            .ok_or("shared prefix is longer than the previous machine's name")?;
+        machines.push((format!("{shared}{}", &name[1..]), text));
     }
     machines.extend(written.others.iter().map(|(m, text)| (m.clone(), text.as_str())));
     for (machine, text) in machines {
         let mut spans = Vec::new();
-        for (own, done) in parse_list(text, ' ', parse_span_group).ok_or("unreadable tasks")? {
-            let job = own.first().map(|s| s.job as usize).ok_or("tasks that have all ended")?;
-            let id = jobs.get(job).ok_or("a task of a job without a name")?;
+        for (running, done) in
+            parse_list(text, ' ', parse_span_group).ok_or("malformed tasks of a machine")?
+        {
+            let job =
+                running.first().map(|s| s.job as usize).ok_or("group of spans without a running task")?;
+            let id = jobs.get(job).ok_or("task of an unlisted job")?;
             if !done.is_empty() {
                 let all = record.done.entry(id.clone()).or_default();
                 *all = all.union(&Ranges::from_ascending(done));
             }
-            spans.extend(own);
+            spans.extend(running);
         }
         record.machines.insert(machine, spans);
     }
@@ -349,13 +386,13 @@
 }
 
 impl Ranges {
-    /// `0-3,7`.
+    /// Appends the set in the form `0-3,7`.
     fn write_text(&self, to: &mut String) {
-        for (n, (a, b)) in self.bounds().iter().enumerate() {
+        for (n, (first, last)) in self.bounds().iter().enumerate() {
             if n > 0 {
                 to.push(',');
             }
-            write_range(to, *a, *b);
+            write_range(to, *first, *last);
         }
     }
 }
@@ -372,7 +409,7 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Ranges, &'static str> {
-        parse_list(text, ',', parse_bounds).map(Ranges::from_bounds).ok_or("unreadable numbers")
+        parse_list(text, ',', parse_bounds).map(Ranges::from_bounds).ok_or("malformed ranges")
     }
 }
 
--- a/crates/dapplecroft-controller/src/records/segment/tests.rs
+++ b/crates/dapplecroft-controller/src/records/segment/tests.rs
@@ -2,13 +2,14 @@
 use serde_json::json;
 
 #[test]
-fn what_runs_is_written_compactly_and_read_back_the_same() {
+fn segment_records_are_stored_compactly_and_read_back() {
     let span = |first, last, attempt, session| TaskSpan { job: 0, first, last, attempt, session };
     let mut record = SegmentRecord { jobs: vec!["run-01".into()], ..SegmentRecord::default() };
     let spans = vec![span(7, 7, 1, 1), span(8, 9, 2, 1), span(10, 10, 1, 4), span(11, 12, 3, 5)];
     record.machines.insert("i-1".into(), spans);
     record.machines.insert("i-2".into(), Vec::new());
-    // All between these has completed; what has not keeps the last apart.
+    // All tasks between the first three spans have completed, so that they form one
+    // group. Task 32 has not, which keeps the last span apart.
     let spans = vec![span(20, 21, 1, 1), span(23, 23, 1, 1), span(26, 30, 1, 1), span(33, 33, 1, 1)];
     record.machines.insert("i-3".into(), spans);
     record.machines.insert("i 4".into(), vec![span(50, 50, 1, 1)]);
@@ -46,13 +47,13 @@
 }
 
 #[test]
-fn whatever_has_completed_on_a_machine_is_read_back_as_it_was() {
-    // All subsets of nine tasks that were placed together.
+fn any_set_of_completed_tasks_on_a_machine_is_read_back() {
+    // Tries every subset of nine tasks that were placed together.
     for bits in 0..512u32 {
         let mut record = SegmentRecord { jobs: vec!["run-1".into()], ..SegmentRecord::default() };
-        let runs = Ranges::from_ascending((0..9).filter(|i| bits & (1 << i) == 0));
+        let running = Ranges::from_ascending((0..9).filter(|i| bits & (1 << i) == 0));
         let done = Ranges::from_ascending((0..9).filter(|i| bits & (1 << i) != 0));
-        let spans = runs.bounds().iter().map(|(first, last)| TaskSpan {
+        let spans = running.bounds().iter().map(|(first, last)| TaskSpan {
             job: 0,
             first: *first,
             last: *last,
