--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -1,51 +1,51 @@
-//! What the processors of a holder's machines are used for, for the log: where
-//! paid time goes that no task runs in.
+//! Breakdown of what the CPUs of a shard holder's machines are used for. It is logged
+//! to show where rented machine time is spent without running tasks.
 
 use super::Core;
 use crate::jobs::TaskId;
 use crate::machines::Machine;
 use std::time::Instant;
 
-/// Whole processors by what they are used for.
+/// Numbers of CPUs by what they are used for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CapacityUsage {
-    /// Of machines whose workers have not reported yet.
+    /// CPUs of machines whose workers have not sent a heartbeat yet.
     pub booting: i64,
-    /// Of machines that take no more work.
+    /// Free CPUs on machines that accept no new tasks.
     pub closed: i64,
-    /// Free on machines that take work.
+    /// Free CPUs on machines that accept new tasks.
     pub free: i64,
-    /// Of tasks whose placement is not committed yet.
+    /// CPUs of tasks whose placement is not committed yet.
     pub committing: i64,
-    /// Of tasks that have not been seen running yet: they wait for their start
-    /// command or their image.
+    /// CPUs of tasks that have not been reported running yet: they wait for their start
+    /// command or for their image.
     pub fetching: i64,
-    /// Of running tasks.
+    /// CPUs of running tasks that are not being stopped.
     pub running: i64,
-    /// Of running tasks that are being stopped.
+    /// CPUs of running tasks that are being stopped.
     pub stopping: i64,
 }
 
 impl CapacityUsage {
     fn add_task(&mut self, core: &Core, task: &TaskId) {
         let Some(job) = core.open_job(&task.job) else { return };
-        let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { return };
-        let use_of = match placed {
+        let Some(placed) = job.placed.get(&task.index).filter(|p| !p.resources_freed) else { return };
+        let counter = match placed {
             p if !p.committed => &mut self.committing,
-            p if p.running.is_none() => &mut self.fetching,
-            p if p.stop.is_some() => &mut self.stopping,
+            p if p.running_since.is_none() => &mut self.fetching,
+            p if p.stop_reason.is_some() => &mut self.stopping,
             _ => &mut self.running,
         };
-        *use_of += job.requirements.resources.cpus;
+        *counter += job.requirements.resources.cpus;
     }
 
     fn add_machine(&mut self, core: &Core, machine: &Machine, open: bool) {
-        if machine.heard.is_none() {
+        if machine.last_heartbeat.is_none() {
             self.booting += machine.capacity.cpus;
             return;
         }
         let free = if open { &mut self.free } else { &mut self.closed };
-        *free += machine.room().cpus;
+        *free += machine.free_resources().cpus;
         for task in &machine.tasks {
             self.add_task(core, task);
         }
@@ -66,13 +66,13 @@
 }
 
 impl Core {
-    /// What the processors of own shards' machines are used for now.
+    /// What the CPUs of the machines in this controller's shards are used for now.
     pub(super) fn capacity_usage(&self, now: Instant) -> CapacityUsage {
-        let silence = self.silence();
+        let max_heartbeat_age = self.max_heartbeat_age();
         let mut usage = CapacityUsage::default();
         for machine in self.machines.values() {
             let Some(lease) = self.role.leased_shards.get(&machine.shard) else { continue };
-            usage.add_machine(self, machine, machine.open(lease.epoch, silence, now));
+            usage.add_machine(self, machine, machine.accepts_tasks(lease.epoch, max_heartbeat_age, now));
         }
         usage.in_whole_cpus()
     }
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -1,62 +1,75 @@
-//! Adaptive repacking: at most one drain at a time in a holder's shards, each
-//! with a record.
+//! Adaptive repacking: empties a lightly used machine so that a waiting task fits on
+//! it. A controller runs at most one drain at a time across the shards it holds, and
+//! keeps a record of the drain in the state service.
 
 use super::Core;
-use crate::jobs::{OpenJob, Stop, TaskId};
+use crate::jobs::{OpenJob, StopReason, TaskId};
 use crate::records::{self, DrainMove, DrainRecord, stored_size};
-use dapplecroft_sched::{RepackRules, Resident, Slot, TaskRequirements, plan_repack};
+use dapplecroft_sched::{MachineSnapshot, PlacedTask, RepackLimits, TaskRequirements, plan_repack};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks, which go over a shard's machines.
+/// Minimum time between two checks for a new drain; a check scans a shard's machines.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a holder remembers of drains and of how full machines were.
+/// A shard holder's in-memory state of drains and of how full its machines were.
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
-    looked: Option<Instant>,
-    last: Option<Instant>,
-    seen: Option<(u64, Instant)>,
-    shares: VecDeque<(Instant, f64)>,
-    turn: u32,
-    /// Whether a write of a drain's record is on its way.
-    writing: bool,
+    /// When this controller last checked whether a drain would help.
+    last_check: Option<Instant>,
+    /// When this controller last started a drain.
+    last_drain: Option<Instant>,
+    /// Version of the current drain's record, and when this controller first saw it.
+    current_seen: Option<(u64, Instant)>,
+    /// Highest booked share of any open machine at each check within the drain window.
+    highest_shares: VecDeque<(Instant, f64)>,
+    /// Shard to check next; shards are checked in rotation.
+    next_shard: u32,
+    /// Whether a write of a drain's record is in flight.
+    write_pending: bool,
 }
 
 impl Core {
-    /// The next step of repacking: a change of a drain's record, if any.
+    /// Continues the current drain, or starts a new one if a waiting task needs it and
+    /// the drain interval has passed. Returns the update of the drain's record to
+    /// commit, if any.
     pub fn drain_step(&mut self, now: Instant) -> Option<AtomicUpdate> {
-        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.draining.writing {
+        if self.role.leased_shards.is_empty() || !self.in_contact(now) || self.drain_state.write_pending {
             return None;
         }
-        let begun = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
-        if let Some((&shard, (record, version))) = begun {
+        let current = self.drains.iter().find(|(shard, _)| self.is_holder(**shard));
+        if let Some((&shard, (record, version))) = current {
             let (record, version) = (record.clone(), *version);
             return self.continue_drain(shard, &record, version, now);
         }
-        if self.draining.looked.is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL) {
+        if self
+            .drain_state
+            .last_check
+            .is_some_and(|at| now.saturating_duration_since(at) < DRAIN_CHECK_INTERVAL)
+        {
             return None;
         }
-        self.draining.looked = Some(now);
-        self.note_shares(now);
+        self.drain_state.last_check = Some(now);
+        self.record_highest_booked_share(now);
         let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_every;
-        if self.draining.last.is_some_and(recent) {
+        if self.drain_state.last_drain.is_some_and(recent) {
             return None;
         }
-        // One shard at a look, in turn, beginning with the first.
-        let turn = self.draining.turn;
+        // Each check looks at one shard, in rotation.
+        let next_shard = self.drain_state.next_shard;
         let held = &self.role.leased_shards;
-        let shard = held.range(turn..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
-        self.draining.turn = shard + 1;
-        let record = self.new_drain(shard, now)?;
+        let shard = held.range(next_shard..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
+        self.drain_state.next_shard = shard + 1;
+        let record = self.plan_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
         if stored_size(&value) > self.limits().value {
-            // So many tasks are not moved at a time.
+            // The drain moves so many tasks that its record would exceed the state
+            // service's limit on the size of a value.
             return None;
         }
-        self.draining.last = Some(now);
+        self.drain_state.last_drain = Some(now);
         tracing::info!(
             machine = record.machine,
             for_job = record.for_job,
@@ -65,77 +78,84 @@
         );
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version: 0 }];
-        self.draining.writing = true;
+        self.drain_state.write_pending = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// Notes the end of a write of a drain's record.
-    pub fn drain_written(&mut self) {
-        self.draining.writing = false;
+    /// Called when a write of a drain's record has finished, with whatever result.
+    pub fn drain_write_finished(&mut self) {
+        self.drain_state.write_pending = false;
     }
 
+    /// Condition that this controller still holds the shard's lease.
     fn shard_condition(&self, shard: u32) -> Option<Condition> {
         let shard_lease = self.role.leased_shards.get(&shard)?;
         Some(Condition { key: records::shard_key(shard), version: shard_lease.version })
     }
 
-    /// The cap on what a drain fills: the highest share within the window, and
-    /// the whole machine until anything was seen.
-    fn note_shares(&mut self, now: Instant) {
-        let silence = self.silence();
+    /// Samples the highest booked share among the open machines of the leased shards,
+    /// and drops samples older than the drain window.
+    fn record_highest_booked_share(&mut self, now: Instant) {
+        let silence = self.max_heartbeat_age();
         let highest = self
             .machines
             .values()
-            .filter(|m| self.role.leased_shards.get(&m.shard).is_some_and(|h| m.open(h.epoch, silence, now)))
-            .map(|m| m.booked.share_of(&m.capacity))
+            .filter(|m| {
+                self.role.leased_shards.get(&m.shard).is_some_and(|h| m.accepts_tasks(h.epoch, silence, now))
+            })
+            .map(|m| m.booked.dominant_share_of(&m.capacity))
             .fold(0.0, f64::max);
         let window = self.options.drain_window;
-        let shares = &mut self.draining.shares;
+        let shares = &mut self.drain_state.highest_shares;
         shares.retain(|(at, _)| now.saturating_duration_since(*at) <= window);
         shares.push_back((now, highest));
     }
 
-    fn cap(&self, now: Instant) -> f64 {
-        let whole = self
-            .draining
-            .shares
+    /// The booked share up to which a drain may fill other machines: the highest share
+    /// seen within the drain window, or the whole machine while the samples cover less
+    /// than half of the window.
+    fn max_fill_share(&self, now: Instant) -> f64 {
+        let history_too_short = self
+            .drain_state
+            .highest_shares
             .front()
             .is_none_or(|(at, _)| now.saturating_duration_since(*at) < self.options.drain_window / 2);
-        if whole {
+        if history_too_short {
             return 1.0;
         }
-        self.draining.shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
+        self.drain_state.highest_shares.iter().map(|(_, s)| *s).fold(0.0, f64::max).min(1.0)
     }
 
-    /// Jobs with a waiting task that fits nowhere in a shard, and what it needs. Jobs
-    /// that are put off after failures are not among them.
-    fn without_room_in(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
+    /// Jobs with a waiting task that fits on no machine of the shard, and the
+    /// requirements of their tasks. Jobs that back off after failures are left out.
+    fn jobs_without_room(&self, shard: u32, now: Instant) -> Vec<(&str, TaskRequirements)> {
         let leads = self.leads(now);
         let may_start = |job: &OpenJob| {
-            let ready = job.is_open() && job.not_before.is_none_or(|at| at <= now) && job.failures == 0;
+            let ready = job.is_open() && job.backoff_until.is_none_or(|at| at <= now) && job.failures == 0;
             let team = self.teams.get(&job.spec.team);
             let may_be_allocated = leads
                 && !job.unallocated.is_empty()
-                && team.is_some_and(|t| t.allocates(&job.requirements.resources));
+                && team.is_some_and(|t| t.limit_allows(&job.requirements.resources));
             ready && (job.waiting_in(shard) > 0 || may_be_allocated)
         };
-        let waiting = self.waiting.iter().filter_map(|id| Some((id, self.open_job(id)?)));
+        let waiting = self.waiting_jobs.iter().filter_map(|id| Some((id, self.open_job(id)?)));
         waiting
             .filter(|(_, job)| may_start(job))
-            .filter(|(id, job)| self.candidates(id, job, shard, &Default::default(), now).is_empty())
+            .filter(|(id, job)| self.candidate_machines(id, job, shard, &Default::default(), now).is_empty())
             .map(|(id, job)| (&**id, (*job.requirements).clone()))
             .collect()
     }
 
-    fn new_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
-        let waiting = self.without_room_in(shard, now);
+    /// Plans a drain of one machine of the shard for a waiting task that fits on none.
+    fn plan_drain(&self, shard: u32, now: Instant) -> Option<DrainRecord> {
+        let waiting = self.jobs_without_room(shard, now);
         if waiting.is_empty() {
             return None;
         }
         let task_requirements: Vec<TaskRequirements> = waiting.iter().map(|(_, n)| n.clone()).collect();
-        let mut slots: Vec<Slot> = Vec::new();
+        let mut slots: Vec<MachineSnapshot> = Vec::new();
         let mut tasks: Vec<TaskId> = Vec::new();
-        let mut residents: Vec<Resident> = Vec::new();
+        let mut residents: Vec<PlacedTask> = Vec::new();
         for machine in self.machines.values().filter(|m| m.shard == shard) {
             for (task, resident) in self.residents(machine, slots.len(), self.options.drain_every, now) {
                 tasks.push(task);
@@ -143,31 +163,33 @@
             }
             slots.push(self.slot(machine, now));
         }
-        let rules = RepackRules {
-            trigger: self.options.drain_trigger,
-            cap: self.cap(now),
-            oldest: self.options.drain_every,
+        let rules = RepackLimits {
+            max_source_share: self.options.drain_trigger,
+            max_target_share: self.max_fill_share(now),
+            max_task_age: self.options.drain_every,
         };
         let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
         let moves = plan
             .moves
             .iter()
             .filter_map(|m| {
-                let task = &tasks[m.resident];
+                let task = &tasks[m.task];
                 let attempt = self.open_job(&task.job)?.placed.get(&task.index)?.attempt;
-                let to = slots[m.to].machine.clone();
-                Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, to })
+                let to = slots[m.to].name.clone();
+                Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, destination: to })
             })
             .collect();
         Some(DrainRecord {
-            machine: slots[plan.slot].machine.clone(),
-            for_job: waiting[plan.waiting].0.to_string(),
+            machine: slots[plan.machine].name.clone(),
+            for_job: waiting[plan.waiting_task].0.to_string(),
             moves,
         })
     }
 
-    /// Stops the tasks of the drained machine, and ends the drain when they are
-    /// elsewhere, or when it has taken too long.
+    /// Stops the tasks that still run on the drained machine. Returns the deletion of
+    /// the drain's record once those tasks have finished or run elsewhere and the
+    /// waiting job no longer waits for the empty machine, or once the drain has taken
+    /// more than twice the drain interval.
     fn continue_drain(
         &mut self,
         shard: u32,
@@ -175,37 +197,38 @@
         version: u64,
         now: Instant,
     ) -> Option<AtomicUpdate> {
-        let begun = match self.draining.seen {
+        let first_seen = match self.drain_state.current_seen {
             Some((seen, at)) if seen == version => at,
             _ => {
-                self.draining.seen = Some((version, now));
+                self.drain_state.current_seen = Some((version, now));
                 now
             }
         };
-        let mut left = false;
+        let mut tasks_remain = false;
         for DrainMove { job, index, attempt, .. } in &record.moves {
             let task = TaskId { job: job.as_str().into(), index: *index };
             let Some(placed) = self.open_job(job).and_then(|j| j.placed.get(index)) else {
-                // Done, or waiting to be placed where the record says.
-                let waits = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
-                left |= self.open_job(job).is_some_and(waits);
+                // The task has finished, or waits to be placed on the machine that the
+                // drain's record names.
+                let is_waiting = |j: &OpenJob| j.waiting.get(&shard).is_some_and(|r| r.contains(*index));
+                tasks_remain |= self.open_job(job).is_some_and(is_waiting);
                 continue;
             };
             if *placed.machine == *record.machine && placed.attempt == *attempt {
-                left = true;
-                self.stop(&task, Stop::Drained, now);
+                tasks_remain = true;
+                self.stop_committed_task(&task, StopReason::Drained, now);
             }
         }
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
-        let waits = self.waiting.contains(record.for_job.as_str());
-        let long = now.saturating_duration_since(begun) > self.options.drain_every * 2;
-        if (left || (emptied && waits)) && !long {
+        let target_waits = self.waiting_jobs.contains(record.for_job.as_str());
+        let overdue = now.saturating_duration_since(first_seen) > self.options.drain_every * 2;
+        if (tasks_remain || (emptied && target_waits)) && !overdue {
             return None;
         }
         let key = records::drain_key(shard);
         let conditions = vec![self.shard_condition(shard)?, Condition { key: key.clone(), version }];
-        self.draining.writing = true;
+        self.drain_state.write_pending = true;
         Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -78,8 +78,8 @@
     }
 
     pub(in crate::core) fn leader_condition(&self) -> Option<Condition> {
-        let version = self.role.leadership?;
-        Some(Condition { key: records::LEADER.into(), version })
+        let version = self.role.leader_key_version?;
+        Some(Condition { key: records::LEADER_KEY.into(), version })
     }
 
     pub(in crate::core) fn unchanged(&self, key: String) -> Condition {
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -1,8 +1,9 @@
-//! The wanted fleet, and what is to be done about the difference.
+//! Compares the fleet that the waiting tasks need with the machines that exist, and plans the
+//! rentals, releases, probes and record updates that make up the difference.
 
 use super::{Core, GroupUpdate};
 use crate::machines::{Machine, MachinePhase};
-use crate::records::{GroupRecord, MemberRecord};
+use crate::records::{GroupRecord, MachineRecord};
 use dapplecroft_cloud::MAX_RENT;
 use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
@@ -11,150 +12,160 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// ScaleOutRequest requests that may be on their way at a time even if the cloud takes
-/// fewer a second.
-const MIN_RENTING: usize = 4;
-/// Pause after the first refusal of a kind of machine, doubled by each further
-/// one up to the longest.
-const REFUSED_PAUSE: Duration = Duration::from_secs(5);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+/// Rent requests that may always be in flight, even if the cloud accepts fewer per second.
+const MIN_CONCURRENT_RENT_REQUESTS: usize = 4;
+/// Backoff after the cloud first has no capacity for a kind of machine. It doubles with
+/// each further refusal in a row that brought no machine, up to `CAPACITY_BACKOFF_MAX`.
+const CAPACITY_BACKOFF_INITIAL: Duration = Duration::from_secs(5);
+const CAPACITY_BACKOFF_MAX: Duration = Duration::from_secs(30);
 
-/// How long released machines are remembered, so that late messages and lists
-/// don't bring them back; far longer than either can be late.
-const REMEMBER_GONE: Duration = Duration::from_secs(3600);
+/// How long released machines are remembered, so that late heartbeats and outdated machine
+/// lists do not bring them back. Neither can be late by nearly as much.
+const RELEASED_MACHINE_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Silent machines about which the others are asked at a time.
-pub const MAX_CONSULTED: usize = 128;
-/// A kind of machine that the cloud may have or not have at a time.
+/// Maximum number of silent machines about which the peers are asked in one request.
+pub const MAX_CONSULTED_MACHINES: usize = 128;
+
+/// A kind of machine for which the cloud has capacity or not, independently of other kinds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct MachineKind {
-    /// Its type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// A refusal of a kind of machine.
+/// The last refusal of a kind of machine for lack of capacity.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Refusal {
-    /// It is not asked for again before.
-    pub until: Instant,
-    /// How often in a row nothing at all was to be had.
-    times: u32,
+pub(super) struct CapacityRefusal {
+    /// Time before which no machine of that kind is requested again.
+    pub retry_at: Instant,
+    /// Number of refusals in a row that brought no machine at all.
+    consecutive_empty: u32,
 }
 
-/// What the leader remembers of the cloud.
+/// The leader's in-memory state of the fleet and the cloud.
 #[derive(Debug, Default)]
 pub(super) struct FleetState {
-    began: Option<Instant>,
-    requests: u64,
-    renting: BTreeMap<String, (RentRequest, u32)>,
-    pub(super) refused: HashMap<MachineKind, Refusal>,
-    /// Machines whose release was answered and that a record still names.
-    released: BTreeSet<Arc<str>>,
-    /// Machines that report and that no record names.
-    found: BTreeMap<Arc<str>, Machine>,
-    pub(super) addresses_at: Option<Instant>,
+    /// When this process, as leader, started to manage the fleet.
+    started_at: Option<Instant>,
+    /// Number of request names that have been given out.
+    request_count: u64,
+    /// Rent requests in flight by name, with the shard that gets their machines.
+    pending_rentals: BTreeMap<String, (RentRequest, u32)>,
+    pub(super) capacity_refusals: HashMap<MachineKind, CapacityRefusal>,
+    /// Machines whose release the cloud has confirmed and that a group record still names.
+    released_in_records: BTreeSet<Arc<str>>,
+    /// Machines that send heartbeats or are on the cloud's list but that no record names.
+    unrecorded_machines: BTreeMap<Arc<str>, Machine>,
+    /// When an update of the workers' addresses in the group records was last prepared.
+    pub(super) addresses_updated_at: Option<Instant>,
 }
 
 impl FleetState {
-    /// Whether the leader has begun its work.
-    pub(super) fn ready(&self) -> bool {
-        self.began.is_some()
+    /// Whether the leader has started to manage the fleet.
+    pub(super) fn has_started(&self) -> bool {
+        self.started_at.is_some()
     }
 
-    pub(super) fn begin(&mut self, now: Instant) {
-        self.began = Some(now);
+    /// Marks the leader's management of the fleet as started.
+    pub(super) fn start(&mut self, now: Instant) {
+        self.started_at = Some(now);
     }
 
-    pub(super) fn next_number(&mut self) -> u64 {
-        self.requests += 1;
-        self.requests
+    /// Next number for the name of a request; unique within this process.
+    pub(super) fn next_request_number(&mut self) -> u64 {
+        self.request_count += 1;
+        self.request_count
     }
 }
 
-/// What the fleet needs done.
+/// The actions that one comparison of the fleet calls for.
 #[derive(Debug, Default)]
 pub struct FleetActions {
-    /// ScaleOutRequest requests to send.
+    /// Rent requests to send to the cloud.
     pub rent: Vec<RentRequest>,
     /// Machines to release.
     pub release: Vec<Arc<str>>,
-    /// Workers to ask for their status: machine and address.
+    /// Workers to probe for their status: machine and address.
     pub probe: Vec<(Arc<str>, String)>,
-    /// Silent machines: name and address. Others should be asked about them.
+    /// Silent machines about which peers should be asked: name and address.
     pub silent: Vec<(Arc<str>, String)>,
-    /// How many machines are silent, asked about or not.
-    pub quiet: usize,
-    /// Records to write.
-    pub records: Vec<GroupUpdate>,
+    /// Number of machines without a recent heartbeat, whether peers are asked about
+    /// them or not.
+    pub silent_count: usize,
+    /// Updates of group records to commit.
+    pub group_updates: Vec<GroupUpdate>,
 }
 
 impl Core {
-    /// Compares the wanted fleet with the known one.
+    /// Updates the phases of the machines in the leased shards and returns the actions to
+    /// take. Only the leader rents and releases machines.
     pub fn fleet_step(&mut self, now: Instant) -> FleetActions {
         let mut actions = FleetActions::default();
         if !self.loaded || !self.has_role() || !self.in_contact(now) {
             return actions;
         }
         self.move_replicas(now);
-        self.released_machines.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
-        let due = self.judge_machines(&mut actions, now);
-        self.prove_released(now);
-        // The cloud checks no token: a leader that may have been replaced leaves
-        // machines alone, well before it stops answering workers.
+        self.released_machines
+            .retain(|_, at| now.saturating_duration_since(*at) < RELEASED_MACHINE_RETENTION);
+        let due = self.update_machine_phases(&mut actions, now);
+        self.clear_orphaned_machines(now);
+        // The cloud checks no fencing token, so a leader that may have been replaced must
+        // not rent or release. It stops well before it stops answering workers.
         let age = self.contact_age(now);
         let mut give_up = BTreeSet::new();
         if self.leads(now) && age.is_some_and(|a| a <= self.options.node_lease) {
-            self.releases(due, &mut actions);
-            self.take_in_found();
-            self.rentals(&mut actions, now);
+            self.plan_releases(due, &mut actions);
+            self.adopt_unrecorded_machines();
+            self.plan_rentals(&mut actions, now);
         } else if !self.leads(now) {
             give_up = due;
         }
         let machines = &self.machines;
-        self.fleet.released.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
-        let released = self.fleet.released.clone();
-        actions.records = self.group_updates(&give_up, &released, now);
+        self.fleet.released_in_records.retain(|id| machines.get(id).is_some_and(|m| m.group.is_some()));
+        let released = self.fleet.released_in_records.clone();
+        actions.group_updates = self.group_updates(&give_up, &released, now);
         actions
     }
 
-    /// What is to be released: what is due in the leader's own shards, and what
-    /// other holders have given up or the cloud says has stopped.
-    fn releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
+    /// Plans the release of the machines that are due in the leader's own shards, that
+    /// other shard holders have given up, or that the cloud reports as failed.
+    fn plan_releases(&mut self, due: BTreeSet<Arc<str>>, actions: &mut FleetActions) {
         let leased_shards = &self.role.leased_shards;
         for machine in self.machines.values_mut() {
             let wanted = due.contains(&machine.id)
                 || machine.given_up
                 || (machine.phase == MachinePhase::Lost && !leased_shards.contains_key(&machine.shard));
-            let waits = machine.releasing || machine.group.is_none();
-            if wanted && !waits && !self.fleet.released.contains(&machine.id) {
-                machine.releasing = true;
+            let not_now = machine.release_in_flight || machine.group.is_none();
+            if wanted && !not_now && !self.fleet.released_in_records.contains(&machine.id) {
+                machine.release_in_flight = true;
                 tracing::info!(machine = &*machine.id, fate = ?machine.phase, "releasing a machine");
                 actions.release.push(machine.id.clone());
             }
         }
     }
 
-    fn take_in_found(&mut self) {
-        let found = std::mem::take(&mut self.fleet.found);
+    /// Adds the machines that no record names to the leader's groups.
+    fn adopt_unrecorded_machines(&mut self) {
+        let found = std::mem::take(&mut self.fleet.unrecorded_machines);
         let unknown: Vec<Machine> = found
             .into_values()
             .filter(|m| !self.is_grouped(&m.id) && !self.released_machines.contains_key(&m.id))
             .collect();
         if !unknown.is_empty() {
-            tracing::info!(machines = unknown.len(), "machines that nobody expected are taken in");
+            tracing::info!(machines = unknown.len(), "adopting machines that no group record names");
             self.adopt_machines(unknown);
         }
     }
 
-    /// A placement on a machine that no group has is proven over: machines are
-    /// recorded before anything is placed on them, and leave their group only
-    /// once their release was answered. It counts once the copy of the records
-    /// has caught up with the placement.
-    fn prove_released(&mut self, now: Instant) {
+    /// Ends the placements on machines that no group record names, and forgets those
+    /// machines. Such a machine is certainly gone: machines are recorded before a task is
+    /// placed on them, and leave their group only once the cloud has confirmed their
+    /// release. This holds once the record replica has caught up with the placements.
+    fn clear_orphaned_machines(&mut self, now: Instant) {
         let orphans: Vec<Arc<str>> = self
             .machines
             .values()
@@ -168,11 +179,11 @@
         }
     }
 
-    /// Gives up on machines that nobody reaches: they are released, and what is
-    /// on them runs elsewhere once that is answered.
+    /// Gives up machines that no controller reaches. They are released, and their tasks
+    /// run elsewhere once the cloud has confirmed the release.
     pub fn mark_lost(&mut self, ids: &[Arc<str>]) {
         for id in ids {
-            // One that has answered meanwhile is spared.
+            // A machine that has answered a probe meanwhile is kept.
             if let Some(machine) = self.machines.get_mut(id)
                 && machine.missed_probes >= 1
             {
@@ -182,44 +193,44 @@
         self.wakeups.fleet = true;
     }
 
-    /// How many machines of own shards have come up.
-    pub fn heard_machines(&self) -> usize {
+    /// Number of machines in the leased shards that have come up.
+    pub fn booted_machine_count(&self) -> usize {
         let own = self.machines.values().filter(|m| self.is_holder(m.shard));
-        own.filter(|m| m.heard.is_some() || m.address.is_some()).count()
+        own.filter(|m| m.last_heartbeat.is_some() || m.address.is_some()).count()
     }
 
-    /// Notes the end of a probe without an answer.
+    /// Called when a probe got no answer.
     pub fn probe_missed(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.probing = false;
+            machine.probe_in_flight = false;
             machine.missed_probes += 1;
         }
     }
 
-    /// Notes the end of a probe with an answer.
+    /// Called when a probe was answered.
     pub fn probe_answered(&mut self, id: &str) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.probing = false;
+            machine.probe_in_flight = false;
             machine.missed_probes = 0;
         }
     }
 
-    /// All machines that take or will take work, and what is on its way, counted
-    /// by kind and room. Those that are up count too: a machine that has just
-    /// come up gets its tasks in the next round, and nothing must be rented for
-    /// them meanwhile.
-    pub(super) fn coming(&self) -> Vec<PendingCapacity> {
+    /// Free room on all machines that take or will take tasks and on those being rented,
+    /// counted by kind and room. Running machines count too: a machine that has just come
+    /// up gets its tasks in the next placement round, and no other machine must be
+    /// rented for those tasks meanwhile.
+    pub(super) fn pending_capacity(&self) -> Vec<PendingCapacity> {
         let mut kinds: BTreeMap<(&str, &str, bool, i64, i64, i64), i64> = BTreeMap::new();
         for machine in self.machines.values() {
-            let lost = machine.phase != MachinePhase::Active
+            let unavailable = machine.phase != MachinePhase::Active
                 || machine.given_up
                 || machine.group.is_none()
-                || machine.taken_at.is_some()
+                || machine.reclaim_at.is_some()
                 || machine.missed_probes > 0;
-            if lost || machine.capacity.cpus == 0 {
+            if unavailable || machine.capacity.cpus == 0 {
                 continue;
             }
-            let room = machine.room();
+            let room = machine.free_resources();
             let key =
                 (&*machine.machine_type, &*machine.zone, machine.spot, room.cpus, room.gpus, room.memory);
             *kinds.entry(key).or_default() += 1;
@@ -234,52 +245,57 @@
                 count,
             })
             .collect();
-        let asked = self
+        let requested = self
             .fleet
-            .renting
+            .pending_rentals
             .values()
             .map(|(r, _)| (r.machine_type.clone(), r.zone.clone(), r.spot, i64::from(r.count)));
         let uncommitted = self.groups.values().filter(|g| g.version == 0).map(|g| {
             let r = &g.record;
             (r.machine_type.clone(), r.zone.clone(), r.spot, r.machines.len() as i64)
         });
-        for (machine_type, zone, spot, count) in asked.chain(uncommitted) {
-            let room = self.capacity(&machine_type).unwrap_or_default();
+        for (machine_type, zone, spot, count) in requested.chain(uncommitted) {
+            let room = self.machine_type_capacity(&machine_type).unwrap_or_default();
             rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
         rooms
     }
 
-    fn rentals(&mut self, actions: &mut FleetActions, now: Instant) {
-        let Some(leadership) = self.role.leadership else { return };
-        let most = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_RENTING);
-        if (self.unplaced.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
+    /// Plans rent requests for the tasks that found no room, and for standby machines. Each
+    /// request is for one shard with space for its machines.
+    fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
+        let Some(leadership) = self.role.leader_key_version else { return };
+        let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
+        if (self.unplaced_demand.is_empty() && self.standby() == 0)
+            || self.fleet.pending_rentals.len() >= max_requests
+        {
             return;
         }
         let thrift = self.options.thrift;
         let offers = self.offers(now);
-        let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
-        let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
+        let machines = MAX_RENT * (max_requests - self.fleet.pending_rentals.len()) as u32;
+        let mut plan =
+            plan_scale_out(&self.unplaced_demand, self.pending_capacity(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_rental(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
-        for (request, shard) in self.fleet.renting.values() {
+        for (request, shard) in self.fleet.pending_rentals.values() {
             *taken.entry(*shard).or_default() += request.count as usize;
         }
         for rental in plan {
             let offer = &offers[rental.offer];
             let mut left = rental.count;
-            while left > 0 && self.fleet.renting.len() < most {
+            while left > 0 && self.fleet.pending_rentals.len() < max_requests {
                 let (shard, space) = self.shard_with_room(&taken);
                 let count = left.min(MAX_RENT).min(space.max(1) as u32);
                 left -= count;
                 *taken.entry(shard).or_default() += count as usize;
-                // The name is unique without a write of its own: the version of
-                // the leader's key, committed before, belongs to this
-                // leadership alone.
+                // The name is unique without a write to the state service: the version
+                // of the leader's key was committed before and belongs to this
+                // leadership term alone.
                 let request = RentRequest {
-                    request: format!("dc-{leadership}-{}", self.fleet.next_number()),
+                    request: format!("dc-{leadership}-{}", self.fleet.next_request_number()),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -292,49 +308,55 @@
                     block = shard,
                     "renting machines"
                 );
-                self.fleet.renting.insert(request.request.clone(), (request.clone(), shard));
+                self.fleet.pending_rentals.insert(request.request.clone(), (request.clone(), shard));
                 actions.rent.push(request);
             }
         }
     }
 
-    /// Notes the machines that a request brought; none: there is no capacity.
-    pub fn rented(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
-        let Some((_, shard)) = self.fleet.renting.remove(&request.request) else { return };
+    /// Called when the cloud has answered a rent request. Fewer machines than requested,
+    /// or none, mean that the cloud has no more capacity of that kind.
+    pub fn rent_completed(&mut self, request: &RentRequest, machines: &[String], now: Instant) {
+        let Some((_, shard)) = self.fleet.pending_rentals.remove(&request.request) else { return };
         let kind = MachineKind {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
         };
-        let pausing = self.fleet.refused.get(&kind).is_some_and(|refusal| refusal.until > now);
+        let pausing = self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
         if machines.len() < request.count as usize && pausing {
-            // Asked before an earlier refusal was known, it says nothing new: the
-            // pause must not double with each of several requests at a time.
+            // The request was sent before an earlier refusal was known, so this refusal
+            // says nothing new. The backoff must not double with each of several
+            // requests sent at the same time.
             tracing::debug!(
                 machine_type = kind.machine_type,
                 spot = kind.spot,
                 got = machines.len(),
-                "refused as well"
+                "cloud has no more capacity; backing off already"
             );
         } else if machines.len() < request.count as usize {
-            let times = self.fleet.refused.get(&kind).map_or(0, |refusal| refusal.times);
-            let pause = (REFUSED_PAUSE * 2u32.pow(times.min(4))).min(LONGEST_PAUSE);
+            let consecutive_empty =
+                self.fleet.capacity_refusals.get(&kind).map_or(0, |refusal| refusal.consecutive_empty);
+            let pause =
+                (CAPACITY_BACKOFF_INITIAL * 2u32.pow(consecutive_empty.min(4))).min(CAPACITY_BACKOFF_MAX);
             tracing::info!(
                 machine_type = kind.machine_type,
                 spot = kind.spot,
                 got = machines.len(),
                 ?pause,
-                "no more capacity"
+                "cloud has no more capacity; backing off"
             );
-            let times = if machines.is_empty() { times + 1 } else { 0 };
-            self.fleet.refused.insert(kind, Refusal { until: now + pause, times });
+            let consecutive_empty = if machines.is_empty() { consecutive_empty + 1 } else { 0 };
+            self.fleet
+                .capacity_refusals
+                .insert(kind, CapacityRefusal { retry_at: now + pause, consecutive_empty });
         } else {
-            self.fleet.refused.remove(&kind);
+            self.fleet.capacity_refusals.remove(&kind);
         }
-        let machines: BTreeMap<String, MemberRecord> = machines
+        let machines: BTreeMap<String, MachineRecord> = machines
             .iter()
             .filter(|id| !self.released_machines.contains_key(id.as_str()) && !self.is_grouped(id))
-            .map(|id| (id.clone(), MemberRecord::default()))
+            .map(|id| (id.clone(), MachineRecord::default()))
             .collect();
         if !machines.is_empty() {
             let (machine_type, zone) = (request.machine_type.clone(), request.zone.clone());
@@ -344,38 +366,39 @@
         self.wakeups.fleet = true;
     }
 
-    /// Notes that a request will not be carried out by this process any more.
-    pub fn rent_dropped(&mut self, request: &RentRequest) {
-        self.fleet.renting.remove(&request.request);
+    /// Called when this process stops repeating a rent request because it no longer leads.
+    pub fn rent_abandoned(&mut self, request: &RentRequest) {
+        self.fleet.pending_rentals.remove(&request.request);
     }
 
-    /// Notes a machine that reports and that no record names.
-    pub(super) fn found(&mut self, report: &Heartbeat, now: Instant) {
+    /// Remembers a machine that sends heartbeats and that no record names.
+    pub(super) fn handle_unrecorded_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let id: Arc<str> = report.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
         machine.machine_type.clone_from(&report.machine_type);
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
         machine.address = Some(report.address.clone());
-        self.fleet.found.insert(id, machine);
+        self.fleet.unrecorded_machines.insert(id, machine);
         self.wakeups.fleet = true;
     }
 
-    /// Takes over a list of machines; it lags, and may be older than the last.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    /// Applies the cloud's list of machines. The list lags behind the cloud's actual state,
+    /// and may be older than the previous one.
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         if !self.leads(now) {
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
-        // Before that, a list may still show what an earlier leader released.
-        let settled = self.fleet.began.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
+        // Until then the list may still show machines that an earlier leader released.
+        let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
                 continue;
             }
             match self.machines.get_mut(listed.id.as_str()).filter(|m| m.group.is_some()) {
                 Some(machine) if listed.state == "failed" && machine.phase != MachinePhase::Lost => {
-                    tracing::info!(machine = &*machine.id, "a machine stopped on its own");
+                    tracing::info!(machine = &*machine.id, "cloud reports a machine as failed");
                     machine.phase = MachinePhase::Lost;
                     self.wakeups.fleet = true;
                 }
@@ -386,28 +409,28 @@
                     machine.machine_type.clone_from(&listed.machine_type);
                     machine.zone.clone_from(&listed.zone);
                     machine.spot = listed.spot;
-                    self.fleet.found.insert(id, machine);
+                    self.fleet.unrecorded_machines.insert(id, machine);
                 }
                 None => {}
             }
         }
     }
 
-    /// Notes machines whose release was answered: they are gone with all that
-    /// was on them. Other holders learn it from the machines' records.
-    pub fn released(&mut self, ids: &[Arc<str>], now: Instant) {
+    /// Called when the cloud has confirmed the release of machines: they are gone, and
+    /// their tasks with them. Other shard holders learn this from the group records.
+    pub fn release_completed(&mut self, ids: &[Arc<str>], now: Instant) {
         for id in ids {
-            self.fleet.released.insert(id.clone());
+            self.fleet.released_in_records.insert(id.clone());
             self.machine_gone(id, now);
         }
         self.wakeups.fleet = true;
     }
 
-    /// Notes that a release was not carried out; it is tried again.
+    /// Called when a release was not confirmed; a later step requests it again.
     pub fn release_failed(&mut self, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.releasing = false;
+                machine.release_in_flight = false;
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -3,9 +3,9 @@
 //! Machines that the leader has released are removed from it.
 
 use super::layout::to_value;
-use super::{Core, Group, reindex};
+use super::{Core, Group, update_free_cpu_index};
 use crate::machines::Machine;
-use crate::records::{self, GroupRecord, MemberRecord, stored_size};
+use crate::records::{self, GroupRecord, MachineRecord, stored_size};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,10 +90,10 @@
     /// would not fit a value, the machines are split among several groups.
     pub(super) fn new_group(&mut self, name: &str, record: GroupRecord) {
         let records =
-            if self.uses_legacy_layout() { vec![record] } else { record.split(self.limits().value) };
+            if self.uses_legacy_layout() { vec![record] } else { record.split_to_fit(self.limits().value) };
         for (n, record) in records.into_iter().enumerate() {
             let name = if n == 0 { name.to_string() } else { format!("{name}.{n}") };
-            let group = Group { record, version: 0, writing: false, addresses_unrecorded: false };
+            let group = Group { record, version: 0, write_in_flight: false, addresses_unrecorded: false };
             self.groups.insert(name.into(), group);
         }
         self.wakeups.fleet = true;
@@ -109,7 +109,7 @@
         let max_bytes = self.limits().value * 7 / 8;
         !self.uses_legacy_layout()
             && group.version > 0
-            && (group.record.bytes() > max_bytes || group.record.machines.keys().any(is_elsewhere))
+            && (group.record.stored_bytes() > max_bytes || group.record.machines.keys().any(is_elsewhere))
     }
 
     /// The next step of splitting a group. It writes some of the remaining machines into
@@ -119,7 +119,7 @@
     fn split_update(&self, name: &Arc<str>, group: &Group) -> Option<AtomicUpdate> {
         let key = records::group_key(name);
         let mut conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER_KEY.into(), version: self.role.leader_key_version? },
             Condition { key: key.clone(), version: group.version },
         ];
         let mut remaining = group.record.clone();
@@ -133,7 +133,7 @@
         if remaining.machines.is_empty() {
             return Some(AtomicUpdate { conditions, changes: vec![Change::Drop { key }] });
         }
-        let part = remaining.split(self.limits().value).into_iter().next()?;
+        let part = remaining.split_to_fit(self.limits().value).into_iter().next()?;
         let is_unused = |n: &u32| !self.groups.contains_key(format!("{name}.{n}").as_str());
         let key = records::group_key(&format!("{name}.{}", (1..).find(is_unused)?));
         conditions.push(Condition { key: key.clone(), version: 0 });
@@ -146,10 +146,10 @@
     /// then was released, and the cloud has confirmed the release.
     pub(super) fn remove_departed_machines(&mut self, now: Instant) {
         let applied_revision = self.applied_revision;
-        let departed = std::mem::take(&mut self.departed);
+        let departed = std::mem::take(&mut self.departed_machines);
         let (known, later): (Vec<DepartedMachine>, Vec<DepartedMachine>) =
             departed.into_iter().partition(|departed| departed.revision <= applied_revision);
-        self.departed = later;
+        self.departed_machines = later;
         for DepartedMachine { machine: id, group, .. } in known {
             let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
             let here = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
@@ -211,7 +211,7 @@
         let mut updates = Vec::new();
         let mut write_addresses = self
             .fleet
-            .addresses_at
+            .addresses_updated_at
             .is_none_or(|at| now.saturating_duration_since(at) >= ADDRESS_WRITE_INTERVAL);
         self.split_large_uncommitted_groups();
         let released_groups = self.groups_containing(released);
@@ -240,7 +240,7 @@
             let held = self.is_holder(group.record.shard);
             if !unchanged && group.addresses_unrecorded && held {
                 write_addresses = false;
-                self.fleet.addresses_at = Some(now);
+                self.fleet.addresses_updated_at = Some(now);
             }
             let Some(group) = self.groups.get_mut(&name) else { continue };
             group.addresses_unrecorded &= !(unchanged || held);
@@ -265,8 +265,8 @@
         let large: Vec<Arc<str>> = self
             .groups
             .iter()
-            .filter(|(_, g)| !self.uses_legacy_layout() && g.version == 0 && !g.writing)
-            .filter(|(_, g)| g.record.most_bytes() > limit && g.record.machines.len() > 1)
+            .filter(|(_, g)| !self.uses_legacy_layout() && g.version == 0 && !g.write_in_flight)
+            .filter(|(_, g)| g.record.max_stored_bytes() > limit && g.record.machines.len() > 1)
             .map(|(name, _)| name.clone())
             .collect();
         for name in large {
@@ -288,9 +288,9 @@
         given_up: &BTreeSet<Arc<str>>,
         write_addresses: bool,
     ) -> Vec<Arc<str>> {
-        let leads = self.role.leadership.is_some();
+        let leads = self.role.leader_key_version.is_some();
         let priority = |name: &Arc<str>, group: &Group| match () {
-            () if group.writing => None,
+            () if group.write_in_flight => None,
             // Tasks of released machines are placed elsewhere only after this write.
             () if released.contains(name) => Some(GroupWritePriority::Released),
             () if group.version == 0 => Some(GroupWritePriority::New),
@@ -323,7 +323,7 @@
                 }
             }
         }
-        if self.role.leadership.is_some() {
+        if self.role.leader_key_version.is_some() {
             record.machines.retain(|id, _| !released.contains(id.as_str()));
         }
         if !self.uses_legacy_layout() {
@@ -340,8 +340,8 @@
         let mut conditions = vec![Condition { key: key.clone(), version: group.version }];
         let by_leader = group.version == 0 || record.machines.len() < group.record.machines.len();
         if by_leader {
-            match self.role.leadership {
-                Some(version) => conditions.push(Condition { key: records::LEADER.into(), version }),
+            match self.role.leader_key_version {
+                Some(version) => conditions.push(Condition { key: records::LEADER_KEY.into(), version }),
                 None if group.version == 0 => return GroupWrite::Forget,
                 None => return GroupWrite::NotAllowed,
             }
@@ -360,21 +360,21 @@
     /// Marks a group's record as being written.
     fn begin_group_write(&mut self, name: &Arc<str>, update: AtomicUpdate) -> GroupUpdate {
         if let Some(group) = self.groups.get_mut(name) {
-            group.writing = true;
+            group.write_in_flight = true;
         }
         GroupUpdate { name: name.clone(), update }
     }
 
     /// Number of group records with a commit in flight.
     pub fn group_writes_in_flight(&self) -> usize {
-        self.groups.values().filter(|g| g.writing).count()
+        self.groups.values().filter(|g| g.write_in_flight).count()
     }
 
     /// Marks the write of a group's record as finished, whatever its outcome. Changes that
     /// were not committed are found again by the next [`Core::group_updates`].
     pub fn finish_group_write(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
-            group.writing = false;
+            group.write_in_flight = false;
             group.addresses_unrecorded = true;
         }
         self.wakeups.fleet = true;
@@ -383,7 +383,7 @@
     /// Creates groups, as leader, for machines that a heartbeat or the cloud's list has
     /// shown and that are in no group's record.
     pub(super) fn adopt_machines(&mut self, found: Vec<Machine>) {
-        let Some(term) = self.role.leadership else { return };
+        let Some(term) = self.role.leader_key_version else { return };
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         let mut groups: BTreeMap<(u32, String, String, bool), Vec<Machine>> = BTreeMap::new();
         for machine in found {
@@ -393,10 +393,10 @@
             groups.entry(key).or_default().push(machine);
         }
         for ((shard, machine_type, zone, spot), members) in groups {
-            let name = format!("dc-{term}-{}", self.fleet.next_number());
+            let name = format!("dc-{term}-{}", self.fleet.next_request_number());
             let machines = members
                 .into_iter()
-                .map(|m| (m.id.to_string(), MemberRecord { address: m.address, given_up: false }))
+                .map(|m| (m.id.to_string(), MachineRecord { address: m.address, given_up: false }))
                 .collect();
             self.new_group(&name, GroupRecord { shard, machine_type, zone, spot, machines });
         }
@@ -422,7 +422,7 @@
                 machine: id.as_str().into(),
                 group: name.clone(),
             };
-            self.departed.extend(gone.map(departed));
+            self.departed_machines.extend(gone.map(departed));
         }
         if let Some(record) = record {
             let mut addresses_unrecorded = false;
@@ -451,8 +451,11 @@
                     _ => {}
                 }
             }
-            let writing = old.is_some_and(|g| g.writing);
-            self.groups.insert(name.clone(), Group { record, version, writing, addresses_unrecorded });
+            let writing = old.is_some_and(|g| g.write_in_flight);
+            self.groups.insert(
+                name.clone(),
+                Group { record, version, write_in_flight: writing, addresses_unrecorded },
+            );
             self.set_machine_capacities();
         }
         self.remove_departed_machines(now);
@@ -466,7 +469,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.group = None;
         if machine.tasks.is_empty() {
-            let (room, shard, id) = (machine.room().cpus, machine.shard, machine.id.clone());
+            let (room, shard, id) = (machine.free_resources().cpus, machine.shard, machine.id.clone());
             if let Some(shard) = self.machines_by_free_cpus.get_mut(&shard) {
                 shard.remove(&(room, id.clone()));
             }
@@ -486,9 +489,9 @@
         for machine in self.machines.values_mut() {
             let Some(size) = sizes.get(machine.machine_type.as_str()) else { continue };
             if machine.capacity != *size {
-                let before = machine.room().cpus;
+                let before = machine.free_resources().cpus;
                 machine.capacity = *size;
-                reindex(&mut self.machines_by_free_cpus, machine, before);
+                update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
             }
         }
     }
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use crate::legacy;
-use crate::records::{self, GroupRecord, JobRecord, LAYOUT, LayoutRecord, SegmentId, SegmentRecord};
+use crate::records::{self, GroupRecord, JobRecord, LayoutRecord, NEWEST_LAYOUT, SegmentId, SegmentRecord};
 use dapplecroft_wire::settings::SizeLimits;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use serde::Serialize;
@@ -23,7 +23,7 @@
     /// Whether records are still written in layout 1, because a member may still run
     /// the first version of the program.
     pub fn uses_legacy_layout(&self) -> bool {
-        self.format < LAYOUT
+        self.active_layout < NEWEST_LAYOUT
     }
 
     /// Size limits of the state service that records and transactions must respect. In
@@ -52,23 +52,23 @@
     /// Applies the record of the layout in force. If this program does not support that
     /// layout, the process ends.
     pub(super) fn apply_layout(&mut self, layout: u32, now: Instant) {
-        if layout > LAYOUT {
+        if layout > NEWEST_LAYOUT {
             // This process could neither read the records nor write valid ones.
-            self.ended = Some(format!(
-                "records use layout {layout}, but this program supports layouts up to {LAYOUT}"
+            self.shutdown_reason = Some(format!(
+                "records use layout {layout}, but this program supports layouts up to {NEWEST_LAYOUT}"
             ));
-            self.wakeups.end = true;
+            self.wakeups.shutdown = true;
             return;
         }
-        if layout <= self.format {
+        if layout <= self.active_layout {
             return;
         }
-        self.format = layout;
+        self.active_layout = layout;
         tracing::info!(layout, "all members support the new record layout; it is now in force");
         let held: Vec<u32> = self.role.leased_shards.keys().copied().collect();
         held.into_iter().for_each(|shard| self.plan_migration(shard, now));
         self.wakeups.role = true;
-        self.wakeups.flush = true;
+        self.wakeups.commit = true;
         self.wakeups.fleet = true;
     }
 
@@ -76,31 +76,32 @@
     /// recorded yet.
     pub fn supported_layout_transaction(&self) -> Option<Transaction> {
         let host = &self.settings.host_name;
-        if self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT) {
+        if self.known_layouts.get(host).is_some_and(|known| *known >= NEWEST_LAYOUT) {
             return None;
         }
-        let key = records::mark_key(host);
+        let key = records::known_layout_key(host);
         let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
-        let value = to_value(&LayoutRecord { layout: LAYOUT });
+        let value = to_value(&LayoutRecord { layout: NEWEST_LAYOUT });
         Some(Transaction { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// The transaction that switches the layout, if this process leads, its replica has
     /// caught up with the start of its term, and all members support the new layout.
     pub fn layout_switch_transaction(&self) -> Option<Transaction> {
-        let leadership = self.role.leadership.filter(|l| *l <= self.applied_revision)?;
+        let leadership = self.role.leader_key_version.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
-        let all = members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= LAYOUT));
-        if !self.uses_legacy_layout() || !all || self.version(records::FORMAT) > 0 {
+        let all =
+            members.all(|host| self.known_layouts.get(host).is_some_and(|known| *known >= NEWEST_LAYOUT));
+        if !self.uses_legacy_layout() || !all || self.version(records::LAYOUT_KEY) > 0 {
             return None;
         }
         let conditions = vec![
-            Condition { key: records::LEADER.into(), version: leadership },
-            Condition { key: records::FORMAT.into(), version: 0 },
+            Condition { key: records::LEADER_KEY.into(), version: leadership },
+            Condition { key: records::LAYOUT_KEY.into(), version: 0 },
         ];
-        let value = to_value(&LayoutRecord { layout: LAYOUT });
-        let change = Change::Set { key: records::FORMAT.into(), value, lease: None };
+        let value = to_value(&LayoutRecord { layout: NEWEST_LAYOUT });
+        let change = Change::Set { key: records::LAYOUT_KEY.into(), value, lease: None };
         Some(Transaction { conditions, changes: vec![change] })
     }
 }
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -35,7 +35,7 @@
         if self.uses_legacy_layout() || !self.segments.contains_key(&whole) {
             return;
         }
-        self.inherited.retain(|id, _| id.shard != shard);
+        self.inherited_results.retain(|id, _| id.shard != shard);
         let Some(old) = self.segments.get(&whole).map(|l| l.record.clone()) else { return };
         let (done, tries) = self.unmigrated_history(shard, &old);
         let mut segments: Vec<SegmentId> = Vec::new();
@@ -59,20 +59,23 @@
         }
         let limit = self.limits().value;
         for piece in pieces {
-            let own =
-                SegmentRecord { done: piece.done.clone(), tries: piece.tries.clone(), ..Default::default() };
+            let own = SegmentRecord {
+                done: piece.done.clone(),
+                last_attempts: piece.tries.clone(),
+                ..Default::default()
+            };
             let weight = super::segments::record_weight(&own);
             let known = self.segment_numbers(shard);
             let fits = |n: &u32| {
                 let id = SegmentId::new(shard, *n);
-                let has = self.segments.get(&id).map_or(0, |l| l.weight);
-                has + self.pending.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
+                let has = self.segments.get(&id).map_or(0, |l| l.max_size_bytes);
+                has + self.proposed_bytes.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
             };
             let number = known.iter().copied().find(fits).or_else(|| (0..).find(|n| !known.contains(n)));
             let Some(number) = number else { return };
             let id = SegmentId::new(shard, number);
-            *self.pending.entry(id).or_default() += weight;
-            let segment = self.inherited.entry(id).or_default();
+            *self.proposed_bytes.entry(id).or_default() += weight;
+            let segment = self.inherited_results.entry(id).or_default();
             for (job, done) in piece.done {
                 let all = segment.done.entry(job).or_default();
                 *all = all.union(&done);
@@ -89,8 +92,8 @@
             segments = segments.len(),
             "migrating the shard's placements to segments"
         );
-        segments.into_iter().for_each(|segment| self.mark_segment(segment, false));
-        self.mark_segment(whole, false);
+        segments.into_iter().for_each(|segment| self.queue_segment_commit(segment, false));
+        self.queue_segment_commit(whole, false);
     }
 
     /// Completed tasks and last attempts of a layout 1 record that are still needed and
@@ -104,23 +107,23 @@
         let mut tries: LastAttempts = BTreeMap::new();
         for (id, ranges) in &old.done {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
-            let mut left = ranges.without(&job.recorded_done());
+            let mut left = ranges.difference(&job.recorded_done());
             for (_, load) in self.segments_of(shard).filter(|(id, _)| id.segment.is_some()) {
                 if let Some(have) = load.record.done.get(id) {
-                    left = left.without(have);
+                    left = left.difference(have);
                 }
             }
             if !left.is_empty() {
                 done.insert(id.clone(), left);
             }
         }
-        for (id, own) in &old.tries {
+        for (id, own) in &old.last_attempts {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
             let whole = SegmentId::whole(shard);
             let left: BTreeMap<u32, u64> = own
                 .iter()
-                .filter(|(i, n)| !job.done.contains(**i) && !job.outdates(whole, **i, **n))
-                .filter(|(i, n)| !job.tries.iter().any(|(p, t)| *p != whole && t.get(i) >= Some(n)))
+                .filter(|(i, n)| !job.done.contains(**i) && !job.has_later_attempt(whole, **i, **n))
+                .filter(|(i, n)| !job.last_attempts.iter().any(|(p, t)| *p != whole && t.get(i) >= Some(n)))
                 .map(|(i, n)| (*i, *n))
                 .collect();
             if !left.is_empty() {
@@ -133,7 +136,7 @@
     /// Whether segments have taken over everything in a shard's layout 1 record.
     pub(super) fn is_migration_complete(&self, shard: u32) -> bool {
         let Some(old) = self.segments.get(&SegmentId::whole(shard)) else { return false };
-        let open = |span: &crate::records::Span| {
+        let open = |span: &crate::records::TaskSpan| {
             old.record.jobs.get(span.job as usize).is_some_and(|id| self.open_job(id).is_some())
         };
         let all = old
@@ -153,9 +156,9 @@
             return;
         }
         if self.is_migration_complete(shard) {
-            self.mark_segment(whole, false);
-        } else if !self.commits.is_shard_in_flight(shard) {
-            let planned = self.inherited.keys().any(|id| id.shard == shard);
+            self.queue_segment_commit(whole, false);
+        } else if !self.commit_queue.is_shard_in_flight(shard) {
+            let planned = self.inherited_results.keys().any(|id| id.shard == shard);
             if !planned && self.machines.values().all(|m| m.shard != shard || m.segment.is_some()) {
                 self.plan_migration(shard, now);
             }
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/offers.rs
@@ -4,10 +4,10 @@
 use super::Core;
 use super::fleet::MachineKind;
 use super::layout::to_value;
-use super::record_replica::CatalogSegment;
+use super::record_replica::CatalogPage;
 use crate::machines::MachinePhase;
 use crate::records::{self, stored_size};
-use dapplecroft_sched::{Offer, PendingCapacity, Resources, ScaleOutRequest};
+use dapplecroft_sched::{MachineOffer, PendingCapacity, Resources, ScaleOutRequest};
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::cloud::{Catalog, MachineType};
 use dapplecroft_wire::state::{Change, Condition};
@@ -30,9 +30,9 @@
             c
         };
         let changed = self.catalog.as_ref().is_none_or(|old| plain(old) != plain(&catalog));
-        let recorded = match self.recorded_types() {
+        let recorded = match self.recorded_catalog() {
             Some(_) => true,
-            None => self.version(records::CATALOG) > 0,
+            None => self.version(records::CATALOG_KEY) > 0,
         };
         let unrecorded = !recorded;
         self.catalog = Some(catalog);
@@ -49,15 +49,15 @@
             AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }
         };
         if self.uses_legacy_layout() {
-            return vec![set(records::CATALOG.into(), to_value(catalog))];
+            return vec![set(records::CATALOG_KEY.into(), to_value(catalog))];
         }
         let segments = catalog_segments(&catalog.machine_types, self.limits().value);
         let numbered = (0..).zip(segments);
-        let changed = numbered.filter(|(number, segment)| self.catalog_segments.get(number) != Some(segment));
+        let changed = numbered.filter(|(number, segment)| self.catalog_pages.get(number) != Some(segment));
         changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
-    pub(super) fn offers(&self, now: Instant) -> Vec<Offer> {
+    pub(super) fn offers(&self, now: Instant) -> Vec<MachineOffer> {
         let Some(catalog) = &self.catalog else { return Vec::new() };
         let mut offers = Vec::new();
         for machine_type in &catalog.machine_types {
@@ -65,10 +65,10 @@
                 for spot in [false, true] {
                     let kind =
                         MachineKind { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
-                    if self.fleet.refused.get(&kind).is_some_and(|refusal| refusal.until > now) {
+                    if self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now) {
                         continue;
                     }
-                    offers.push(Offer {
+                    offers.push(MachineOffer {
                         machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
@@ -115,7 +115,7 @@
 
     /// Machines on which replicas of services are.
     pub(super) fn replica_machines(&self) -> BTreeSet<Arc<str>> {
-        let jobs = self.open.iter().filter_map(|id| self.open_job(id)).filter(|j| j.is_service());
+        let jobs = self.open_jobs.iter().filter_map(|id| self.open_job(id)).filter(|j| j.is_service());
         jobs.flat_map(|j| j.placed.values().filter(|p| p.committed).map(|p| p.machine.clone())).collect()
     }
 
@@ -140,9 +140,9 @@
 
     /// The kind of machine to rent for services to come, and how many: the one
     /// that is up soonest and has an image soonest.
-    pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
+    pub(super) fn standby_rental(&self, offers: &[MachineOffer]) -> Option<ScaleOutRequest> {
         let ordinary = |r: &PendingCapacity| if r.spot { 0 } else { r.count };
-        let there: i64 = self.coming().iter().map(ordinary).sum();
+        let there: i64 = self.pending_capacity().iter().map(ordinary).sum();
         let missing = (self.standby() as i64 - there).max(0) as u32;
         let catalog = self.catalog.as_ref()?;
         let fetch = |name: &str| {
@@ -151,7 +151,7 @@
         };
         let ordinary = offers.iter().enumerate().filter(|(_, o)| !o.spot);
         let best = ordinary.min_by(|(_, a), (_, b)| {
-            let soon = |o: &Offer| o.boot_s + fetch(&o.machine_type);
+            let soon = |o: &MachineOffer| o.boot_s + fetch(&o.machine_type);
             soon(a).total_cmp(&soon(b))
         });
         best.filter(|_| missing > 0).map(|(offer, _)| ScaleOutRequest { offer, count: missing })
@@ -160,9 +160,9 @@
 
 /// Splits machine types into records that each fit a value of `limit` bytes. A
 /// type that fits none by itself is left out.
-fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogSegment> {
+fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogPage> {
     let fits = |machine_types: &[MachineType]| {
-        let segment = CatalogSegment { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
+        let segment = CatalogPage { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
         stored_size(&to_value(&segment)) <= limit
     };
     let mut segments: Vec<Vec<MachineType>> = Vec::new();
@@ -175,7 +175,7 @@
         }
     }
     let total = segments.len() as u32;
-    segments.into_iter().map(|machine_types| CatalogSegment { total, machine_types }).collect()
+    segments.into_iter().map(|machine_types| CatalogPage { total, machine_types }).collect()
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -1,9 +1,9 @@
-//! A round of placement: jobs in the order in which they are served, each by
-//! best fit decreasing on the dominant share inside this holder's shards.
+//! The placement round: places the waiting jobs, in serving order, on machines of the
+//! shards that this controller holds, by best fit decreasing on the dominant share.
 
 use super::Core;
-use super::serving_order::STARTER_TASKS;
-use crate::jobs::{Job, OpenJob, Placed, TaskId};
+use super::serving_order::MAX_BOOSTED_TASKS;
+use crate::jobs::{Job, OpenJob, Placement, TaskId};
 use crate::machines::Machine;
 use crate::records::DrainMove;
 use dapplecroft_sched::{
@@ -14,106 +14,122 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most placements of one round, so that a round never holds up reports.
-const MAX_PER_ROUND: usize = 200;
-/// Other work has so long to give way to replicas before machines are rented.
-const GIVE_WAY: Duration = Duration::from_secs(2);
+/// Maximum number of placements per round, so that a round does not delay the
+/// processing of heartbeats.
+const MAX_PLACEMENTS_PER_ROUND: usize = 200;
+/// How long waiting service replicas try to preempt other tasks before machines are
+/// rented for them.
+const SERVICE_SCALE_OUT_DELAY: Duration = Duration::from_secs(2);
 
-/// What a round has decided so far.
+/// State of a placement round: its limits, and what it has decided so far.
 #[derive(Debug, Default)]
-pub(super) struct Round {
-    /// Placements that may still be made.
-    pub left: usize,
-    /// Room that the leader counts on in other holders' shards.
-    pub reserved: HashMap<Arc<str>, Resources>,
-    /// Processors of work that other holders have waiting, by shard.
-    pub backlog: BTreeMap<u32, i64>,
-    /// What found too little room in a shard, or (`None`) in all shards: room
-    /// only shrinks within a round, so what needs no less finds none either.
-    pub full: Vec<(Option<u32>, Arc<TaskRequirements>)>,
-    /// Processors of the machines that are up, by shard.
-    pub sizes: BTreeMap<u32, i64>,
-    /// The same of the ordinary ones alone.
-    pub ordinary: BTreeMap<u32, i64>,
-    /// No other holder takes ahead what needs as many processors.
-    pub ahead_full: Option<i64>,
-    /// Whether changes of records are scarce.
-    pub scarce: bool,
-    /// Most tasks of the job whose turn it is.
-    pub most: usize,
-    /// What teams will use once the work found no place for has one.
-    pub books: HashMap<String, TeamQuota>,
+pub(super) struct PlacementRound {
+    /// Number of placements that this round may still make.
+    pub placements_left: usize,
+    /// On machines of other holders' shards: resources that the leader reserves for
+    /// tasks that are allocated there but not placed yet.
+    pub reserved_by_machine: HashMap<Arc<str>, Resources>,
+    /// CPUs of the tasks that are allocated to a shard and wait there, by shard, in
+    /// thousandths.
+    pub backlog_cpus_by_shard: BTreeMap<u32, i64>,
+    /// Requirements of tasks that did not fit in a shard, or (`None`) in any shard. Free
+    /// room only shrinks within a round, so tasks with equal or stricter requirements do
+    /// not fit there either and are skipped.
+    pub without_room: Vec<(Option<u32>, Arc<TaskRequirements>)>,
+    /// CPUs of the machines that are up, by shard, in thousandths.
+    pub cpus_by_shard: BTreeMap<u32, i64>,
+    /// CPUs of the on-demand (not spot) machines that are up, by shard, in thousandths.
+    pub on_demand_cpus_by_shard: BTreeMap<u32, i64>,
+    /// Tasks that need at least so many CPUs (in thousandths) fit into no shard's
+    /// backlog any more, so the leader does not try to allocate them in advance.
+    pub min_cpus_exceeding_backlog: Option<i64>,
+    /// Whether few writes to the state service are possible just now.
+    pub writes_scarce: bool,
+    /// Maximum number of tasks that may be placed of the job that is being served.
+    pub max_tasks_of_job: usize,
+    /// Quotas of the teams with unplaced tasks; their usage includes the unplaced tasks
+    /// for which machines are wanted.
+    pub team_quotas: HashMap<String, TeamQuota>,
 }
 
-impl Round {
-    /// Whether it is known that a need finds no room any more.
-    pub fn is_full(&self, shard: Option<u32>, requirements: &TaskRequirements) -> bool {
-        self.full.iter().any(|(b, full)| {
-            (*b == shard || b.is_none())
-                && full.resources.fits(&requirements.resources)
-                && (full.types.is_none() || full.types == requirements.types)
-                && (full.zone.is_none() || full.zone == requirements.zone)
-                && (full.spot || !requirements.spot)
+impl PlacementRound {
+    /// Whether tasks with these requirements are known not to fit in the shard (`None`:
+    /// in any shard), because tasks with equal or looser requirements did not fit.
+    pub fn lacks_room_for(&self, shard: Option<u32>, requirements: &TaskRequirements) -> bool {
+        self.without_room.iter().any(|(full_shard, unplaced)| {
+            (*full_shard == shard || full_shard.is_none())
+                && unplaced.resources.fits(&requirements.resources)
+                && (unplaced.machine_types.is_none() || unplaced.machine_types == requirements.machine_types)
+                && (unplaced.zone.is_none() || unplaced.zone == requirements.zone)
+                && (unplaced.spot_allowed || !requirements.spot_allowed)
         })
     }
 }
 
-/// Work that found no place: the job, and how much of it.
-pub(super) struct Unplaced {
+/// The tasks of one job that a placement round could not place.
+pub(super) struct UnplacedTasks {
     pub job: Arc<str>,
     pub requirements: Arc<TaskRequirements>,
-    /// Tasks that wait in each own shard, and (`None`) those that the leader may
-    /// still allocate to any.
-    pub here: BTreeMap<Option<u32>, i64>,
-    /// All tasks for which machines are wanted.
+    /// Number of tasks that wait in each shard that this controller holds, and (`None`)
+    /// number of tasks that the leader may still allocate to any shard.
+    pub waiting_by_shard: BTreeMap<Option<u32>, i64>,
+    /// Number of tasks for which machines are wanted, in all shards.
     pub count: i64,
 }
 
 impl Core {
-    /// What a machine of a type has.
-    pub(super) fn capacity(&self, machine_type: &str) -> Option<Resources> {
+    /// Resources of a machine of this type; `None` if the type is unknown.
+    pub(super) fn machine_type_capacity(&self, machine_type: &str) -> Option<Resources> {
         let catalog = self.catalog.as_ref()?;
         let machine_type = catalog.machine_types.iter().find(|t| t.name == machine_type)?;
         Some(Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
     }
 
-    /// How quickly machines of a type fetch images, in megabytes a second.
-    pub(super) fn fetch_rate(&self, machine_type: &str) -> u32 {
+    /// Rate at which machines of this type fetch images, in megabytes per second; 0 if
+    /// the type is unknown.
+    pub(super) fn image_fetch_mb_per_s(&self, machine_type: &str) -> u32 {
         let machine_types = self.catalog.iter().flat_map(|c| &c.machine_types);
         let rate = machine_types.filter(|h| h.name == machine_type).map(|h| h.fetch_gb_per_s).next();
         (rate.unwrap_or(0.0) * 1000.0) as u32
     }
 
-    /// One round. Proposals become commands only once they are committed.
-    /// `wall_clock_s` is the time of day in seconds since 1970; `scarce` says that few
-    /// changes of records can be made just now.
-    pub fn place(&mut self, wall_clock_s: f64, scarce: bool, now: Instant) {
+    /// Runs one placement round. A proposed placement leads to a start command only once
+    /// its record is committed. `wall_clock_s` is the time in seconds since the Unix
+    /// epoch; `writes_scarce` says that few writes to the state service are possible
+    /// just now.
+    pub fn place(&mut self, wall_clock_s: f64, writes_scarce: bool, now: Instant) {
         if !self.loaded || !self.has_role() || !self.in_contact(now) || self.catalog.is_none() {
             return;
         }
         self.wall_clock_s = wall_clock_s;
         let leads = self.leads(now);
         let order = self.serving_order(wall_clock_s, now);
-        let mut round = Round { left: MAX_PER_ROUND, scarce, ..Round::default() };
+        let mut round = PlacementRound {
+            placements_left: MAX_PLACEMENTS_PER_ROUND,
+            writes_scarce,
+            ..PlacementRound::default()
+        };
         if leads {
-            self.measure_shards(&mut round);
-            self.reserve_backlog(&mut round, now);
+            self.sum_shard_cpus(&mut round);
+            self.reserve_remote_backlog(&mut round, now);
         }
         let mut unplaced = Vec::new();
         for (_, id) in &order {
             let Some(job) = self.open_job(id) else { continue };
-            round.most = if self.effective_rank(job) < job.rank() { STARTER_TASKS } else { usize::MAX };
-            let here: Vec<u32> = job.waiting.keys().copied().filter(|b| self.is_holder(*b)).collect();
-            for shard in here {
-                self.place_in(id, shard, &mut round, now);
+            round.max_tasks_of_job =
+                if self.effective_rank(job) < job.priority_rank() { MAX_BOOSTED_TASKS } else { usize::MAX };
+            let own_shards: Vec<u32> =
+                job.waiting.keys().copied().filter(|shard| self.is_holder(*shard)).collect();
+            for shard in own_shards {
+                self.place_in_shard(id, shard, &mut round, now);
             }
             if leads {
-                self.take_back_stalled(id, &round, now);
+                self.revoke_stalled_allocations(id, &round, now);
                 self.allocate(id, &mut round, now);
             }
-            unplaced.extend(self.left_unplaced(id, &mut round, leads));
+            unplaced.extend(self.unplaced_tasks(id, &mut round, leads));
         }
-        if round.left == 0 {
+        if round.placements_left == 0 {
             self.wakeups.place = true;
         }
         if self.options.preempt {
@@ -123,61 +139,67 @@
             if !unplaced.is_empty() {
                 self.wakeups.fleet = true;
             }
-            self.unplaced = unplaced
+            self.unplaced_demand = unplaced
                 .into_iter()
-                .filter(|u| u.count > 0)
-                .filter_map(|u| {
-                    let job = self.open_job(&u.job)?;
-                    // Other work gives way to replicas at once; machines are rented
-                    // for them only where none does.
-                    let waits = now.saturating_duration_since(job.served) >= GIVE_WAY;
-                    (!job.is_service() || waits).then(|| Demand {
-                        requirements: (*u.requirements).clone(),
-                        count: u.count,
-                        fastest: job.is_service(),
+                .filter(|tasks| tasks.count > 0)
+                .filter_map(|tasks| {
+                    let job = self.open_job(&tasks.job)?;
+                    // Service replicas preempt other tasks at once; machines are rented
+                    // for them only if preemption does not make room.
+                    let waited_for_preemption =
+                        now.saturating_duration_since(job.last_placed_at) >= SERVICE_SCALE_OUT_DELAY;
+                    (!job.is_service() || waited_for_preemption).then(|| Demand {
+                        requirements: (*tasks.requirements).clone(),
+                        count: tasks.count,
+                        prefer_fastest_boot: job.is_service(),
                     })
                 })
                 .collect();
         }
     }
 
-    /// What of a job found no place; machines are wanted only for what its
-    /// team's limit lets start.
-    fn left_unplaced(&self, id: &Arc<str>, round: &mut Round, leads: bool) -> Option<Unplaced> {
+    /// The tasks of a job that were not placed in this round. Unallocated tasks count
+    /// only as far as the team's quota limit lets them start.
+    fn unplaced_tasks(
+        &self,
+        id: &Arc<str>,
+        round: &mut PlacementRound,
+        leads: bool,
+    ) -> Option<UnplacedTasks> {
         let job = self.open_job(id)?;
         let requirements = &job.requirements;
-        let mut here = BTreeMap::new();
+        let mut waiting_by_shard = BTreeMap::new();
         let mut waiting = 0;
         for (shard, ranges) in &job.waiting {
             waiting += i64::from(ranges.len());
             if self.is_holder(*shard) {
-                here.insert(Some(*shard), i64::from(ranges.len()));
+                waiting_by_shard.insert(Some(*shard), i64::from(ranges.len()));
             }
         }
         if leads && !job.unallocated.is_empty() {
-            let book = round
-                .books
+            let quota = round
+                .team_quotas
                 .entry(job.spec.team.clone())
                 .or_insert_with(|| self.teams.get(&job.spec.team).cloned().unwrap_or_default());
-            let room = book.headroom(&requirements.resources).min(i64::from(job.unallocated.len()));
-            book.used += requirements.resources.times(room);
+            let room = quota.headroom(&requirements.resources).min(i64::from(job.unallocated.len()));
+            quota.used += requirements.resources.times(room);
             if room > 0 {
-                here.insert(None, room);
+                waiting_by_shard.insert(None, room);
             }
             waiting += room;
         }
-        (waiting > 0).then(|| Unplaced {
+        (waiting > 0).then(|| UnplacedTasks {
             job: id.clone(),
             requirements: requirements.clone(),
-            here,
+            waiting_by_shard,
             count: waiting,
         })
     }
 
-    /// Machines of a shard on which a task of a job may start now, as far as
-    /// this process knows: in its own shards exactly, in others by what their
-    /// holders have committed.
-    pub(super) fn candidates(
+    /// Machines of a shard on which a task of a job may start now. For shards that this
+    /// controller holds the result is exact; for others it follows from the records
+    /// that their holders have committed.
+    pub(super) fn candidate_machines(
         &self,
         id: &Arc<str>,
         job: &OpenJob,
@@ -192,22 +214,23 @@
             return Vec::new();
         };
         let epoch = self.role.leased_shards.get(&shard).map(|h| h.epoch);
-        let silence = self.silence();
-        let kept = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
+        let max_heartbeat_age = self.max_heartbeat_age();
+        let other_drain = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
-        // Where it failed, unless it fails everywhere.
-        let avoid = job.failed_on.len() < 2;
-        let hints = if epoch.is_none() { self.hinted(shard, now) } else { Vec::new() };
-        let consider = |name: &Arc<str>| {
+        // Machines on which the job failed are avoided. If it failed on several, the job
+        // is at fault rather than the machines, and none is avoided.
+        let avoid_failed_machines = job.failed_machines.len() < 2;
+        let hints = if epoch.is_none() { self.current_room_hints(shard, now) } else { Vec::new() };
+        let to_candidate = |name: &Arc<str>| {
             let machine = self.machines.get(name)?;
             let open = match epoch {
-                Some(epoch) => machine.open(epoch, silence, now),
-                None => machine.seems_open(),
+                Some(epoch) => machine.accepts_tasks(epoch, max_heartbeat_age, now),
+                None => machine.likely_accepts_tasks(),
             };
-            let barred =
-                kept.is_some_and(|d| *d.machine == **name) || (avoid && job.failed_on.contains(&**name));
+            let excluded = other_drain.is_some_and(|d| *d.machine == **name)
+                || (avoid_failed_machines && job.failed_machines.contains(&**name));
             if !open
-                || barred
+                || excluded
                 || self.is_in_full_segment(machine)
                 || !requirements.allows(&machine.machine_type, &machine.zone, machine.spot)
             {
@@ -221,118 +244,138 @@
                 let candidate = Candidate {
                     capacity: machine.capacity,
                     booked,
-                    image: has_image(machine, requirements),
-                    doubtful: !machine.failed_jobs.is_empty(),
-                    sibling: service && machine.tasks.iter().any(|t| t.job == *id),
-                    fetch: if service { self.fetch_rate(&machine.machine_type) } else { 0 },
+                    image: image_presence(machine, requirements),
+                    unreliable: !machine.failed_jobs.is_empty(),
+                    has_service_replica: service && machine.tasks.iter().any(|t| t.job == *id),
+                    image_fetch_mb_per_s: if service {
+                        self.image_fetch_mb_per_s(&machine.machine_type)
+                    } else {
+                        0
+                    },
                 };
                 (name.clone(), candidate)
             })
         };
-        let least: (i64, Arc<str>) = (requirements.resources.cpus, "".into());
-        let mut found: Vec<(Arc<str>, Candidate)> =
-            machines_by_free_cpus.range(least..).filter_map(|(_, name)| consider(name)).collect();
+        let min_key: (i64, Arc<str>) = (requirements.resources.cpus, "".into());
+        let mut candidates: Vec<(Arc<str>, Candidate)> =
+            machines_by_free_cpus.range(min_key..).filter_map(|(_, name)| to_candidate(name)).collect();
         if !hints.is_empty() {
-            // Those that have room only by what was told besides their record.
-            let mut more: Vec<&Arc<str>> = hints
+            // Machines that have room only according to the holder's hints on freed
+            // resources, which are newer than the committed records.
+            let mut hinted_machines: Vec<&Arc<str>> = hints
                 .iter()
                 .flat_map(|h| h.freed.keys())
                 .filter(|name| {
-                    self.machines.get(*name).is_some_and(|m| m.room().cpus < requirements.resources.cpus)
+                    self.machines
+                        .get(*name)
+                        .is_some_and(|m| m.free_resources().cpus < requirements.resources.cpus)
                 })
                 .collect();
-            more.sort_unstable();
-            found.extend(more.into_iter().filter_map(consider));
+            hinted_machines.sort_unstable();
+            candidates.extend(hinted_machines.into_iter().filter_map(to_candidate));
         }
-        found
+        candidates
     }
 
-    /// How long a worker may be silent before it takes no more work.
-    pub(super) fn silence(&self) -> std::time::Duration {
+    /// Age of a worker's last heartbeat beyond which its machine gets no new tasks: 1.5
+    /// heartbeat intervals.
+    pub(super) fn max_heartbeat_age(&self) -> std::time::Duration {
         self.settings.heartbeat_interval().mul_f64(1.5)
     }
 
-    /// Places what waits in a shard of this holder.
-    pub(super) fn place_in(&mut self, id: &Arc<str>, shard: u32, round: &mut Round, now: Instant) {
+    /// Places the tasks of a job that wait in a shard which this controller holds.
+    pub(super) fn place_in_shard(
+        &mut self,
+        id: &Arc<str>,
+        shard: u32,
+        round: &mut PlacementRound,
+        now: Instant,
+    ) {
         let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { return };
         let requirements = job.requirements.clone();
-        let mut waiting = self.placeable(id, job, shard, round);
-        if waiting.is_empty() || round.is_full(Some(shard), &requirements) {
+        let mut waiting = self.placeable_tasks(id, job, shard, round);
+        if waiting.is_empty() || round.lacks_room_for(Some(shard), &requirements) {
             return;
         }
         let before = waiting.len();
-        self.place_drained(id, shard, &mut waiting, now);
+        self.place_drain_moves(id, shard, &mut waiting, now);
         let Some(job) = self.open_job(id) else { return };
-        let (constrained, service) = (job.is_constrained(), job.is_service());
+        let (constrained, service) = (job.has_zone_constraint(), job.is_service());
         while !waiting.is_empty() {
-            let placed = self.place_some(id, shard, &waiting, now);
+            let placed = self.place_best_fit(id, shard, &waiting, now);
             waiting.drain(..placed);
-            // With constraints on zones each task may change what the next may do;
-            // replicas go to one machine each while there is a choice.
+            // With zone constraints, each placed task may change where the next one is
+            // allowed. Service replicas go to different machines as long as there is a
+            // choice, so each pass places at most one per machine.
             if placed == 0 || !(constrained || service) {
                 break;
             }
         }
-        let never_failed = self.open_job(id).is_some_and(|j| j.failed_on.is_empty());
+        let never_failed = self.open_job(id).is_some_and(|j| j.failed_machines.is_empty());
         if !waiting.is_empty() && !constrained && !service && never_failed {
-            round.full.push((Some(shard), requirements));
+            round.without_room.push((Some(shard), requirements));
         }
         let placed = before - waiting.len();
         if placed > 0 {
-            round.left = round.left.saturating_sub(placed);
-            self.rederive(id);
+            round.placements_left = round.placements_left.saturating_sub(placed);
+            self.refresh_job(id);
         }
     }
 
-    /// Tasks of a job that wait in a shard and may be placed in this round. One
-    /// that is still on a machine, against all records, waits.
-    fn placeable(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &Round) -> Vec<u32> {
-        let most = round.left.min(round.most);
-        let is_elsewhere = |index: u32| {
+    /// Tasks of a job that wait in a shard and may be placed in this round. A task that
+    /// a worker still reports although no record places it there has to wait.
+    fn placeable_tasks(&self, id: &Arc<str>, job: &OpenJob, shard: u32, round: &PlacementRound) -> Vec<u32> {
+        let max_tasks = round.placements_left.min(round.max_tasks_of_job);
+        let is_running_unexpectedly = |index: u32| {
             let task = TaskId { job: id.clone(), index };
             !self.unexpected_tasks.is_empty() && self.unexpected_tasks.contains_key(&task)
         };
         let waiting = job.waiting.get(&shard).into_iter().flat_map(|ranges| ranges.iter());
-        waiting.take(most).filter(|index| !is_elsewhere(*index)).collect()
+        waiting.take(max_tasks).filter(|index| !is_running_unexpectedly(*index)).collect()
     }
 
-    /// What a drain moves goes where the drain says, if it still fits.
-    fn place_drained(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
+    /// Places tasks that a drain moves on the machines that the drain's record names, if
+    /// they still fit there.
+    fn place_drain_moves(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
         let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
-        for DrainMove { index, to, .. } in drain.moves.iter().filter(|moved| moved.job == **id) {
-            let Some(position) = waiting.iter().position(|waits| waits == index) else { continue };
+        for DrainMove { index, destination: to, .. } in
+            drain.moves.iter().filter(|task_move| task_move.job == **id)
+        {
+            let Some(position) = waiting.iter().position(|waiting_index| waiting_index == index) else {
+                continue;
+            };
             let to: Arc<str> = to.as_str().into();
             let Some(job) = self.open_job(id) else { return };
-            let machines = self.candidates(id, job, shard, &HashMap::new(), now);
+            let machines = self.candidate_machines(id, job, shard, &HashMap::new(), now);
             if machines.iter().any(|(name, _)| *name == to) {
                 waiting.remove(position);
-                self.propose(&TaskId { job: id.clone(), index: *index }, &to, now);
+                self.propose_placement(&TaskId { job: id.clone(), index: *index }, &to, now);
             }
         }
     }
 
-    /// Places the first of the waiting tasks by best fit, as many as find room at
-    /// once; returns how many.
-    fn place_some(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
+    /// Places as many of the first waiting tasks as one best-fit pass can; returns how
+    /// many were placed.
+    fn place_best_fit(&mut self, id: &Arc<str>, shard: u32, waiting: &[u32], now: Instant) -> usize {
         let Some(job) = self.open_job(id) else { return 0 };
-        let mut machines = self.candidates(id, job, shard, &HashMap::new(), now);
-        if job.is_constrained() {
-            let zones = self.zones_of(job);
+        let mut machines = self.candidate_machines(id, job, shard, &HashMap::new(), now);
+        if job.has_zone_constraint() {
+            let task_counts = self.task_count_by_zone(job);
             machines.retain(|(name, _)| {
-                self.machines.get(name).is_some_and(|m| zone_allows(job, &zones, &m.zone))
+                self.machines.get(name).is_some_and(|m| zone_constraints_allow(job, &task_counts, &m.zone))
             });
         }
-        let count = if job.is_constrained() { 1 } else { waiting.len() as i64 };
-        let each = if job.is_service() { 1 } else { i64::MAX };
+        let count = if job.has_zone_constraint() { 1 } else { waiting.len() as i64 };
+        let max_per_machine = if job.is_service() { 1 } else { i64::MAX };
         let candidates: Vec<Candidate> = machines.iter().map(|(_, candidate)| *candidate).collect();
-        let chosen = best_fit_capped(&candidates, &job.requirements.resources, count, each);
+        let chosen = best_fit_capped(&candidates, &job.requirements.resources, count, max_per_machine);
         let mut placed = 0;
         for (index, tasks) in chosen {
             let machine = machines[index].0.clone();
             for _ in 0..tasks {
                 let Some(task) = waiting.get(placed).copied() else { break };
-                // The machine may have room and its record none.
-                if !self.propose(&TaskId { job: id.clone(), index: task }, &machine, now) {
+                // The machine may have room although its segment is full.
+                if !self.propose_placement(&TaskId { job: id.clone(), index: task }, &machine, now) {
                     break;
                 }
                 placed += 1;
@@ -341,20 +384,22 @@
         placed
     }
 
-    /// How many of a job's tasks each zone has.
-    fn zones_of(&self, job: &OpenJob) -> BTreeMap<String, u32> {
-        let mut zones = BTreeMap::new();
+    /// Number of a job's placed tasks in each zone.
+    fn task_count_by_zone(&self, job: &OpenJob) -> BTreeMap<String, u32> {
+        let mut counts = BTreeMap::new();
         for placed in job.placed.values() {
             if let Some(machine) = self.machines.get(&placed.machine) {
-                *zones.entry(machine.zone.clone()).or_default() += 1;
+                *counts.entry(machine.zone.clone()).or_default() += 1;
             }
         }
-        zones
+        counts
     }
 
-    /// Books a task on a machine until its record is committed or refused; the
-    /// caller derives the job anew. `false`: there is no room in the record.
-    fn propose(&mut self, task: &TaskId, machine: &Arc<str>, now: Instant) -> bool {
+    /// Books a task on a machine and marks the machine's segment for a commit. The
+    /// booking is provisional until the commit succeeds, and is undone if it is refused.
+    /// The caller must rederive the job's state. Returns `false` if the task can't be
+    /// placed, for example because the segment is full.
+    fn propose_placement(&mut self, task: &TaskId, machine: &Arc<str>, now: Instant) -> bool {
         let Some(session) = self.machines.get(machine).map(|m| m.session) else { return false };
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
             return false;
@@ -364,41 +409,43 @@
             return false;
         }
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return false };
-        let waited = now.saturating_duration_since(job.learned);
+        let waited = now.saturating_duration_since(job.learned_at);
         tracing::debug!(%task, class = job.spec.class, machine = &**machine, attempt, ?waited, "placing");
         let urgent = job.spec.priority < Priority::Normal;
-        job.served = now;
+        job.last_placed_at = now;
         job.placed.insert(
             task.index,
-            Placed {
+            Placement {
                 attempt,
                 machine: machine.clone(),
                 segment: segment_id,
                 session,
                 committed: false,
-                since: now,
-                running: None,
-                sent: 0,
-                stop: None,
+                learned_at: now,
+                running_since: None,
+                start_token: 0,
+                stop_reason: None,
                 grace: Duration::ZERO,
-                freed: false,
+                resources_freed: false,
             },
         );
-        self.book(task, machine, segment_id.shard, now);
-        self.mark_segment(segment_id, urgent);
+        self.add_task_to_machine(task, machine, segment_id.shard, now);
+        self.queue_segment_commit(segment_id, urgent);
         true
     }
 }
 
-/// Whether a job's constraints on zones let another of its tasks go to one.
-fn zone_allows(job: &OpenJob, zones: &BTreeMap<String, u32>, zone: &str) -> bool {
-    let here = zones.get(zone).copied().unwrap_or(0);
-    (!job.spec.one_zone || zones.is_empty() || here > 0)
-        && (!job.spec.spread || here < job.record.tasks.div_ceil(2))
+/// Whether a job's zone constraints allow another of its tasks in `zone`, given the
+/// number of its tasks in each zone.
+fn zone_constraints_allow(job: &OpenJob, task_counts: &BTreeMap<String, u32>, zone: &str) -> bool {
+    let tasks_in_zone = task_counts.get(zone).copied().unwrap_or(0);
+    (!job.spec.one_zone || task_counts.is_empty() || tasks_in_zone > 0)
+        && (!job.spec.spread || tasks_in_zone < job.record.tasks.div_ceil(2))
 }
 
-pub(super) fn has_image(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
-    match requirements.image.as_ref().map(|image| machine.image(image)) {
+/// Whether a machine has the image that a task requires.
+pub(super) fn image_presence(machine: &Machine, requirements: &TaskRequirements) -> ImagePresence {
+    match requirements.image.as_ref().map(|image| machine.has_image(image)) {
         None | Some(Some(true)) => ImagePresence::Yes,
         Some(Some(false)) => ImagePresence::Fetching,
         Some(None) => ImagePresence::No,
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -1,153 +1,163 @@
-//! Work that has to give way to waiting work of a higher rank.
+//! Preemption: stops running tasks to make room for waiting jobs of a higher rank.
 
 use super::Core;
-use super::placing::{Unplaced, has_image};
-use crate::jobs::{OpenJob, Stop, TaskId};
+use super::placing::{UnplacedTasks, image_presence};
+use crate::jobs::{OpenJob, StopReason, TaskId};
 use crate::machines::Machine;
-use dapplecroft_sched::{Claim, ImagePresence, Resident, Resources, Slot, TaskRequirements, pick_victims};
+use dapplecroft_sched::{
+    Claim, ImagePresence, MachineSnapshot, PlacedTask, Resources, TaskRequirements, pick_victims,
+};
 use dapplecroft_wire::users::Priority;
 use std::time::{Duration, Instant};
 
-/// Most tasks stopped at a time.
+/// Maximum number of tasks preempted in one pass.
 const MAX_PREEMPTED_TASKS: usize = 40;
-/// What a task that saves is given beyond the time that it needs.
-const SAVE_MARGIN: Duration = Duration::from_secs(1);
-/// Pause between two looks for work to displace, which go over all machines.
+/// Grace time that a preempted task gets on top of the expected time to save its checkpoint.
+const CHECKPOINT_SAVE_MARGIN: Duration = Duration::from_secs(1);
+/// Minimum time between two preemption passes; each pass scans all machines.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A machine with work that may have to give way.
-struct Host {
+/// A machine that runs tasks which may be preempted.
+struct OccupiedMachine {
     shard: u32,
-    slot: Slot,
+    slot: MachineSnapshot,
+    /// The tasks booked on the machine, in the order of `residents`.
     tasks: Vec<TaskId>,
-    residents: Vec<Resident>,
+    residents: Vec<PlacedTask>,
 }
 
-impl Host {
-    /// How many tasks fit once all that is leaving has left.
-    fn fits(&self, requirements: &TaskRequirements) -> i64 {
+impl OccupiedMachine {
+    /// Number of tasks that fit once the tasks that are already being stopped have ended.
+    fn tasks_that_fit(&self, requirements: &TaskRequirements) -> i64 {
         let leaving: Resources =
-            self.residents.iter().filter(|r| r.leaving).map(|r| r.requirements.resources).sum();
-        requirements.resources.times_in(&(self.slot.room() + leaving))
+            self.residents.iter().filter(|r| r.stopping).map(|r| r.requirements.resources).sum();
+        requirements.resources.copies_that_fit(&(self.slot.room() + leaving))
     }
 }
 
-/// What room is to be made for.
-struct RoomRequest<'a> {
-    /// What each waiting task needs.
+/// The waiting tasks to make room for, and the limits on what may be stopped for them.
+struct PreemptionRequest<'a> {
+    /// Requirements of each waiting task.
     requirements: &'a TaskRequirements,
-    /// What entitles it to displace others.
+    /// Rank and quota standing of the waiting job, which decide what it may preempt.
     claim: Claim,
-    /// How many tasks wait.
-    wanted: i64,
-    /// Most tasks that may be stopped.
-    most: usize,
-    /// No task that loses more is stopped.
-    limit: Duration,
+    /// Number of waiting tasks.
+    wanted_tasks: i64,
+    /// Maximum number of tasks to stop.
+    max_preempted: usize,
+    /// Tasks that would lose more machine time than this are not stopped.
+    max_loss: Duration,
 }
 
-/// What is stopped to make room.
+/// The tasks to stop so that waiting tasks fit.
 #[derive(Default)]
-struct Preemption {
+struct PreemptionPlan {
     tasks: Vec<TaskId>,
-    /// Machine time that is lost.
-    lost: Duration,
+    /// Machine time that the stopped tasks lose in total.
+    lost_time: Duration,
 }
 
-/// A machine on which room can be made.
+/// A machine on which a waiting task fits if some tasks are stopped. Options are
+/// ordered by cost first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Choice {
-    /// Machine time that is lost, how long the waiting task has to wait for its
-    /// room, and how long its image takes there.
+struct PreemptionOption {
+    /// Sum of the machine time lost, the wait until the stopped tasks have saved
+    /// their checkpoints, and the time to fetch the waiting task's image.
     cost: Duration,
-    /// Index of the host.
-    host: usize,
-    /// Machine time that is lost.
-    lost: Duration,
-    /// Indices of its residents that are stopped.
+    /// Index into the list of candidate machines.
+    machine: usize,
+    /// Machine time that the stopped tasks lose.
+    lost_time: Duration,
+    /// Indices of the machine's residents to stop.
     victims: Vec<usize>,
 }
 
-/// Chooses what is stopped on some machines so that the wanted tasks fit, where
-/// the least time is lost, theirs until they run included. What is leaving anyway counts as room that will be there.
-fn make_room(
-    hosts: &mut [&mut Host],
-    request: &RoomRequest<'_>,
-    fetch_time: impl Fn(&Host) -> Duration,
-) -> Preemption {
+/// Chooses the tasks to stop so that the wanted tasks fit, taking the cheapest
+/// machines first; the cost includes the delay until a waiting task can run. Room
+/// held by tasks that are already being stopped counts as free and is used first.
+fn plan_preemption(
+    machines: &mut [&mut OccupiedMachine],
+    request: &PreemptionRequest<'_>,
+    image_fetch_time: impl Fn(&OccupiedMachine) -> Duration,
+) -> PreemptionPlan {
     let requirements = request.requirements;
-    let mut wanted = request.wanted;
-    for host in hosts.iter_mut() {
-        let allowed = requirements.allows(&host.slot.machine_type, &host.slot.zone, host.slot.spot);
-        if wanted > 0 && host.slot.open && allowed {
-            let fitting = host.fits(requirements).min(wanted);
-            host.slot.booked += requirements.resources.times(fitting);
-            wanted -= fitting;
+    let mut wanted_tasks = request.wanted_tasks;
+    for machine in machines.iter_mut() {
+        let allowed = requirements.allows(&machine.slot.machine_type, &machine.slot.zone, machine.slot.spot);
+        if wanted_tasks > 0 && machine.slot.schedulable && allowed {
+            let fitting = machine.tasks_that_fit(requirements).min(wanted_tasks);
+            machine.slot.booked += requirements.resources.times(fitting);
+            wanted_tasks -= fitting;
         }
     }
-    let choice = |(index, host): (usize, &&mut Host)| {
-        let found = pick_victims(&host.slot, &host.residents, requirements, request.claim, request.limit)?;
-        let cost = found.lost + found.delay + fetch_time(host);
-        Some(Choice { cost, host: index, lost: found.lost, victims: found.residents })
+    let option_for = |(index, machine): (usize, &&mut OccupiedMachine)| {
+        let found =
+            pick_victims(&machine.slot, &machine.residents, requirements, request.claim, request.max_loss)?;
+        let cost = found.lost_time + found.eviction_delay + image_fetch_time(machine);
+        Some(PreemptionOption { cost, machine: index, lost_time: found.lost_time, victims: found.tasks })
     };
-    let mut choices: Vec<Choice> = hosts.iter().enumerate().filter_map(choice).collect();
-    choices.sort();
-    let mut preemption = Preemption::default();
-    for choice in choices {
-        if wanted <= 0 || preemption.tasks.len() + choice.victims.len() > request.most {
+    let mut options: Vec<PreemptionOption> = machines.iter().enumerate().filter_map(option_for).collect();
+    options.sort();
+    let mut preemption = PreemptionPlan::default();
+    for option in options {
+        if wanted_tasks <= 0 || preemption.tasks.len() + option.victims.len() > request.max_preempted {
             break;
         }
-        let host = &mut hosts[choice.host];
-        for victim in choice.victims {
-            host.residents[victim].leaving = true;
-            preemption.tasks.push(host.tasks[victim].clone());
+        let machine = &mut machines[option.machine];
+        for victim in option.victims {
+            machine.residents[victim].stopping = true;
+            preemption.tasks.push(machine.tasks[victim].clone());
         }
-        preemption.lost += choice.lost;
-        let fitting = host.fits(requirements).clamp(1, wanted);
-        host.slot.booked += requirements.resources.times(fitting);
-        wanted -= fitting;
+        preemption.lost_time += option.lost_time;
+        let fitting = machine.tasks_that_fit(requirements).clamp(1, wanted_tasks);
+        machine.slot.booked += requirements.resources.times(fitting);
+        wanted_tasks -= fitting;
     }
     preemption
 }
 
 impl Core {
-    /// A machine of an own shard as drains and displacement see it.
-    pub(super) fn slot(&self, machine: &Machine, now: Instant) -> Slot {
+    /// Describes a machine as the scheduler's drain and preemption planners need it.
+    /// It is open for new tasks only in a shard whose lease this controller holds.
+    pub(super) fn slot(&self, machine: &Machine, now: Instant) -> MachineSnapshot {
         let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
-        Slot {
-            machine: machine.id.to_string(),
+        MachineSnapshot {
+            name: machine.id.to_string(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             capacity: machine.capacity,
             booked: machine.booked,
-            open: epoch.is_some_and(|e| machine.open(e, self.silence(), now)),
+            schedulable: epoch.is_some_and(|e| machine.accepts_tasks(e, self.max_heartbeat_age(), now)),
         }
     }
 
-    /// The tasks booked on a machine.
+    /// The tasks booked on a machine, without those whose room is free already. `slot`
+    /// is the machine's index in the caller's list; tasks older than `max_movable_age`
+    /// are marked as not movable.
     pub(super) fn residents(
         &self,
         machine: &Machine,
         slot: usize,
-        oldest: Duration,
+        max_movable_age: Duration,
         now: Instant,
-    ) -> Vec<(TaskId, Resident)> {
+    ) -> Vec<(TaskId, PlacedTask)> {
         let mut residents = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.open_job(&task.job) else { continue };
-            let Some(placed) = job.placed.get(&task.index).filter(|p| !p.freed) else { continue };
+            let Some(placed) = job.placed.get(&task.index).filter(|p| !p.resources_freed) else { continue };
             let progress = job.progress(placed, now);
-            let resident = Resident {
-                slot,
+            let resident = PlacedTask {
+                machine: slot,
                 requirements: job.requirements.clone(),
                 age: progress.age,
-                loss: progress.loss(),
-                save_time: progress.time_to_save().unwrap_or_default(),
-                movable: placed.committed && progress.age <= oldest && !job.is_service(),
-                leaving: placed.stop.is_some(),
+                lost_if_stopped: progress.lost_if_stopped(),
+                save_time: progress.checkpoint_grace().unwrap_or_default(),
+                movable: placed.committed && progress.age <= max_movable_age && !job.is_service(),
+                stopping: placed.stop_reason.is_some(),
                 rank: self.effective_rank(job),
-                // A replica gives way to a higher rank alone.
+                // A service replica is preempted only by a higher rank, not because
+                // its team is over quota.
                 over_quota: !job.is_service()
                     && self.teams.get(&job.spec.team).is_some_and(|b| b.over_quota()),
             };
@@ -156,96 +166,115 @@
         residents
     }
 
-    /// Stops work that has to give way to waiting work, where the least
-    /// machine time is lost. What is leaving anyway counts as room that will be there.
-    pub(super) fn preempt(&mut self, unplaced: &[Unplaced], now: Instant) {
-        let urgent = |u: &Unplaced| {
-            !u.here.is_empty() && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
+    /// Preempts tasks in the leased shards for waiting jobs of a priority above normal,
+    /// choosing those that lose the least machine time.
+    pub(super) fn preempt(&mut self, unplaced: &[UnplacedTasks], now: Instant) {
+        let is_urgent = |u: &UnplacedTasks| {
+            !u.waiting_by_shard.is_empty()
+                && self.open_job(&u.job).is_some_and(|j| j.spec.priority < Priority::Normal)
         };
-        // Among ordinary work a guarantee is served first, but stops nothing:
-        // work that is stopped for it waits in its turn, and so on.
-        let claimants: Vec<&Unplaced> = unplaced.iter().filter(|u| urgent(u)).collect();
-        let recent =
+        // Among jobs of normal or lower priority, a guaranteed quota decides the order
+        // but preempts nothing: the preempted job would wait and preempt others in turn.
+        let claimants: Vec<&UnplacedTasks> = unplaced.iter().filter(|u| is_urgent(u)).collect();
+        let checked_recently =
             self.last_preemption.is_some_and(|at| now.saturating_duration_since(at) < PREEMPTION_INTERVAL);
-        if claimants.is_empty() || recent || self.role.leased_shards.is_empty() {
+        if claimants.is_empty() || checked_recently || self.role.leased_shards.is_empty() {
             return;
         }
         self.last_preemption = Some(now);
-        let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.rank());
-        let best = ranks.min().unwrap_or(0);
-        let guaranteed = self.guaranteed();
-        let mut hosts: Vec<Host> = self
+        let ranks = claimants.iter().filter_map(|u| self.open_job(&u.job)).map(|j| j.priority_rank());
+        let highest_rank = ranks.min().unwrap_or(0);
+        let guaranteed = self.jobs_within_guarantee();
+        let mut machines: Vec<OccupiedMachine> = self
             .machines
             .values()
             .filter(|m| {
-                let lower = |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.rank() > best);
-                self.is_holder(m.shard) && m.tasks.iter().any(lower)
+                let outranked =
+                    |t: &TaskId| self.open_job(&t.job).is_some_and(|j| j.priority_rank() > highest_rank);
+                self.is_holder(m.shard) && m.tasks.iter().any(outranked)
             })
             .map(|m| {
                 let (tasks, residents) = self.residents(m, 0, Duration::MAX, now).into_iter().unzip();
-                Host { shard: m.shard, slot: self.slot(m, now), tasks, residents }
+                OccupiedMachine { shard: m.shard, slot: self.slot(m, now), tasks, residents }
             })
             .collect();
-        let mut left = MAX_PREEMPTED_TASKS;
+        let mut remaining = MAX_PREEMPTED_TASKS;
         for unplaced in claimants {
             let Some(job) = self.open_job(&unplaced.job) else { continue };
-            let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
-            let claim = Claim { rank: job.rank(), within_quota: within };
-            // Replicas serve for long: what they need gives way however old.
-            let limit = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
-            let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
+            let within_quota = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
+            let claim = Claim { rank: job.priority_rank(), within_quota };
+            // Service replicas run for long, so tasks are preempted for them however
+            // much work those tasks lose.
+            let max_loss = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
+            let image_fetch_time = |machine: &OccupiedMachine| self.image_fetch_time(&machine.slot.name, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
-            for (&shard, &wanted) in &unplaced.here {
-                // What waits in a shard can use room in that shard alone: room
-                // made elsewhere would be filled by others and made again.
-                let mut own: Vec<&mut Host> =
-                    hosts.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
-                let request =
-                    RoomRequest { requirements: &unplaced.requirements, claim, wanted, most: left, limit };
-                let preemption = make_room(&mut own, &request, fetch_time);
-                left -= preemption.tasks.len();
-                lost += preemption.lost;
+            for (&shard, &wanted_tasks) in &unplaced.waiting_by_shard {
+                // A task allocated to a shard can only use room in that shard. Room made
+                // in another shard would go to other tasks, and be made again and again.
+                let mut shard_machines: Vec<&mut OccupiedMachine> =
+                    machines.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
+                let request = PreemptionRequest {
+                    requirements: &unplaced.requirements,
+                    claim,
+                    wanted_tasks,
+                    max_preempted: remaining,
+                    max_loss,
+                };
+                let preemption = plan_preemption(&mut shard_machines, &request, image_fetch_time);
+                remaining -= preemption.tasks.len();
+                lost += preemption.lost_time;
                 stopped.extend(preemption.tasks);
             }
             if !stopped.is_empty() {
-                tracing::info!(for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost, "tasks give way");
+                tracing::info!(
+                    for_job = %unplaced.job, ?claim, tasks = stopped.len(), ?lost,
+                    "preempting tasks for a waiting job"
+                );
             }
             for task in stopped {
-                self.stop(&task, Stop::Preempted, now);
+                self.stop_committed_task(&task, StopReason::Preempted, now);
             }
         }
     }
 
-    /// How long the image of a job's tasks takes on a machine.
-    fn fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
+    /// Estimated time to fetch the job's image onto a machine; zero if the machine has
+    /// or is fetching the image, or the fetch rate is unknown.
+    fn image_fetch_time(&self, machine: &str, job: &OpenJob) -> Duration {
         let Some(machine) = self.machines.get(machine) else { return Duration::ZERO };
-        if has_image(machine, &job.requirements) != ImagePresence::No {
+        if image_presence(machine, &job.requirements) != ImagePresence::No {
             return Duration::ZERO;
         }
-        let rate = f64::from(self.fetch_rate(&machine.machine_type)) / 1000.0;
+        let rate = f64::from(self.image_fetch_mb_per_s(&machine.machine_type)) / 1000.0;
         let seconds = if rate > 0.0 { job.spec.image_gb / rate } else { 0.0 };
         Duration::try_from_secs_f64(seconds).unwrap_or_default()
     }
 
-    /// Asks for the end of a task that is recorded on a machine.
-    pub(super) fn stop(&mut self, task: &TaskId, why: Stop, now: Instant) {
+    /// Requests the stop of a task whose placement is committed. A placement that is
+    /// not committed yet is left alone.
+    pub(super) fn stop_committed_task(&mut self, task: &TaskId, why: StopReason, now: Instant) {
         let placed = self.open_job(&task.job).and_then(|job| job.placed.get(&task.index));
         if placed.is_some_and(|p| p.committed) {
-            self.ask_for_end(task, why, Duration::MAX, now);
+            self.request_task_stop(task, why, Duration::MAX, now);
         }
     }
 
-    /// Asks for a task's end, with time to save if that is worth it and takes no
-    /// longer than `left`.
-    pub(super) fn ask_for_end(&mut self, task: &TaskId, why: Stop, left: Duration, now: Instant) {
+    /// Requests the stop of a task. The task gets time to save a checkpoint if that is
+    /// worthwhile and takes no longer than `time_left`.
+    pub(super) fn request_task_stop(
+        &mut self,
+        task: &TaskId,
+        why: StopReason,
+        time_left: Duration,
+        now: Instant,
+    ) {
         let Some(job) = self.open_job_mut(&task.job) else { return };
-        let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop.is_none()) else { return };
-        let time_to_save = job.progress(placed, now).time_to_save().filter(|time| *time <= left);
+        let Some(placed) = job.placed.get(&task.index).filter(|p| p.stop_reason.is_none()) else { return };
+        let time_to_save = job.progress(placed, now).checkpoint_grace().filter(|time| *time <= time_left);
         let machine = placed.machine.clone();
         if let Some(placed) = job.placed.get_mut(&task.index) {
-            placed.stop = Some(why);
-            placed.grace = time_to_save.map_or(Duration::ZERO, |time| time + SAVE_MARGIN);
+            placed.stop_reason = Some(why);
+            placed.grace = time_to_save.map_or(Duration::ZERO, |time| time + CHECKPOINT_SAVE_MARGIN);
         }
         self.wakeups.command.insert(machine);
     }
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -1,9 +1,9 @@
 //! Applies segment records to this controller's replica of the placements.
 
 use super::{Core, Segment};
-use crate::jobs::{Job, Placed, Stop, TaskId};
+use crate::jobs::{Job, Placement, StopReason, TaskId};
 use crate::ranges::Ranges;
-use crate::records::{SegmentId, SegmentRecord, Span};
+use crate::records::{SegmentId, SegmentRecord, TaskSpan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 #[derive(Default)]
 struct SegmentDifference {
     /// Placements that the record no longer contains.
-    removed: Vec<(TaskId, Placed)>,
+    removed: Vec<(TaskId, Placement)>,
     /// All tasks that the record has on the machines whose spans have changed.
     recorded: Vec<RecordedTask>,
 }
@@ -47,14 +47,14 @@
         }
         if size > 0 {
             let weight = super::segments::record_weight(&record);
-            self.segments.insert(id, Segment { record, version, size, weight });
+            self.segments.insert(id, Segment { record, version, size_bytes: size, max_size_bytes: weight });
         }
         if self.is_holder(id.shard) && id.segment.is_some() && !self.is_being_merged(id) {
             self.assign_recorded_machines(id);
         }
         for job in &jobs {
-            self.rederive(job);
-            self.finish_if_over(job);
+            self.refresh_job(job);
+            self.commit_if_finished(job);
         }
         self.wakeups.place = true;
     }
@@ -89,7 +89,7 @@
         &self,
         id: SegmentId,
         name: &str,
-        spans: &[(&str, Span)],
+        spans: &[(&str, TaskSpan)],
         difference: &mut SegmentDifference,
     ) {
         let machine: Arc<str> = name.into();
@@ -122,14 +122,14 @@
     }
 
     /// Removes tasks from their machines; returns their jobs.
-    fn remove_tasks(&mut self, removed: Vec<(TaskId, Placed)>) -> BTreeSet<Arc<str>> {
+    fn remove_tasks(&mut self, removed: Vec<(TaskId, Placement)>) -> BTreeSet<Arc<str>> {
         let mut jobs = BTreeSet::new();
         for (task, placed) in removed {
             let Some(job) = self.open_job_mut(&task.job) else { continue };
             job.placed.remove(&task.index);
-            job.exits.remove(&task.index);
+            job.uncommitted_exits.remove(&task.index);
             let resources = job.requirements.resources;
-            self.unbook(&task, &placed, resources);
+            self.remove_task_from_machine(&task, &placed, resources);
             jobs.insert(task.job);
         }
         jobs
@@ -174,42 +174,42 @@
     fn apply_recorded_task(&mut self, id: SegmentId, recorded_task: RecordedTask, now: Instant) -> bool {
         let RecordedTask { task, machine, attempt, session } = recorded_task;
         let Some(job) = self.open_job_mut(&task.job) else { return false };
-        let stop = (!job.is_open()).then_some(Stop::Withdrawn);
+        let stop = (!job.is_open()).then_some(StopReason::JobCancelled);
         if let Some(placed) = job.placed.get_mut(&task.index)
             && placed.attempt == attempt
             && placed.machine == machine
         {
             if !placed.committed {
                 placed.committed = true;
-                placed.since = now;
+                placed.learned_at = now;
             }
             // This process may have proposed the same placement in an earlier session of
             // the worker, and another holder may have committed it since. If the older
             // session were kept, it would later count as proof that the task is gone.
             placed.session = session;
             placed.segment = id;
-            placed.stop = stop.or(placed.stop);
+            placed.stop_reason = stop.or(placed.stop_reason);
             return true;
         }
-        let placed = Placed {
+        let placed = Placement {
             attempt,
             machine: machine.clone(),
             segment: id,
             session,
             committed: true,
-            since: now,
-            running: None,
-            sent: 0,
-            stop,
+            learned_at: now,
+            running_since: None,
+            start_token: 0,
+            stop_reason: stop,
             grace: Duration::ZERO,
-            freed: false,
+            resources_freed: false,
         };
         let resources = job.requirements.resources;
         // The record overrides a different placement that this process proposed.
         if let Some(lost) = job.placed.insert(task.index, placed) {
-            self.unbook(&task, &lost, resources);
+            self.remove_task_from_machine(&task, &lost, resources);
         }
-        self.book(&task, &machine, id.shard, now);
+        self.add_task_to_machine(&task, &machine, id.shard, now);
         true
     }
 
@@ -218,7 +218,7 @@
     fn jobs_with_changed_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
-        let tries = old.tries.keys().chain(new.tries.keys());
+        let tries = old.last_attempts.keys().chain(new.last_attempts.keys());
         let known = |id: &String| match self.jobs.get_key_value(id.as_str()) {
             Some((id, Job::Open(_))) => Some(id.clone()),
             _ => None,
@@ -231,16 +231,17 @@
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
         if done.is_empty() {
-            job.done_in.remove(&id);
+            job.done_by_segment.remove(&id);
         } else {
-            job.done_in.insert(id, done);
+            job.done_by_segment.insert(id, done);
         }
-        match record.tries.get(job_id) {
-            Some(tries) => job.tries.insert(id, tries.clone()),
-            None => job.tries.remove(&id),
+        match record.last_attempts.get(job_id) {
+            Some(tries) => job.last_attempts.insert(id, tries.clone()),
+            None => job.last_attempts.remove(&id),
         };
         let placed = &job.placed;
-        job.exits.retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
+        job.uncommitted_exits
+            .retain(|index, exit| placed.get(index).is_some_and(|p| p.attempt == exit.attempt));
     }
 
     /// Applies again, for a job that has just become known, all segment records that
@@ -255,13 +256,13 @@
                 let r = &segment.record;
                 r.jobs.iter().any(|j| **j == **id)
                     || r.done.contains_key(&**id)
-                    || r.tries.contains_key(&**id)
+                    || r.last_attempts.contains_key(&**id)
             })
             .map(|(segment, _)| *segment)
             .collect();
         for segment in known {
             if let Some(load) = self.segments.remove(&segment) {
-                self.apply_segment(segment, load.record, load.size, load.version, now);
+                self.apply_segment(segment, load.record, load.size_bytes, load.version, now);
             }
         }
     }
@@ -287,8 +288,8 @@
                             ));
                         }
                         let placed = job.placed.get(&index);
-                        let here = |p: &Placed| p.attempt == span.attempt && *p.machine == *machine;
-                        let moved = |p: &Placed| {
+                        let here = |p: &Placement| p.attempt == span.attempt && *p.machine == *machine;
+                        let moved = |p: &Placement| {
                             let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment);
                             other.is_some_and(|l| l.version > load.version)
                         };
@@ -306,7 +307,7 @@
 }
 
 /// Spans of a record by machine, each with the id of its job.
-fn spans_by_machine(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, Span)>> {
+fn spans_by_machine(record: &SegmentRecord) -> BTreeMap<&str, Vec<(&str, TaskSpan)>> {
     record
         .machines
         .iter()
@@ -320,9 +321,9 @@
 
 /// Whether two lists of spans stand for the same tasks, attempts and sessions. The
 /// positions of the jobs in the records' lists of names may differ.
-fn same_tasks(old: &[(&str, Span)], new: &[(&str, Span)]) -> bool {
-    let same = |((old_job, a), (new_job, b)): (&(&str, Span), &(&str, Span))| {
-        let range = |span: &Span| (span.first, span.last, span.attempt, span.session);
+fn same_tasks(old: &[(&str, TaskSpan)], new: &[(&str, TaskSpan)]) -> bool {
+    let same = |((old_job, a), (new_job, b)): (&(&str, TaskSpan), &(&str, TaskSpan))| {
+        let range = |span: &TaskSpan| (span.first, span.last, span.attempt, span.session);
         old_job == new_job && range(a) == range(b)
     };
     old.len() == new.len() && old.iter().zip(new).all(same)
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -10,7 +10,7 @@
 //! ([`Core::next_segment_record`]). So no order of exits can exceed the limit.
 
 use super::{CommitTarget, Core};
-use crate::jobs::{Placed, TaskId};
+use crate::jobs::{Placement, TaskId};
 use crate::machines::Machine;
 use crate::records::{SegmentId, SegmentRecord, stored_size};
 use std::collections::{BTreeMap, BTreeSet};
@@ -72,7 +72,7 @@
 impl WeightBudget {
     /// Starts from the current content of a record.
     pub fn new(record: &SegmentRecord, limit: usize, is_legacy: bool) -> WeightBudget {
-        let jobs = record.jobs.iter().chain(record.done.keys()).chain(record.tries.keys());
+        let jobs = record.jobs.iter().chain(record.done.keys()).chain(record.last_attempts.keys());
         let (weight, part) = if is_legacy {
             (stored_size(&crate::legacy::write_segment(record)), LEGACY_RECORD_SIZE_FRACTION)
         } else {
@@ -89,7 +89,7 @@
     }
 
     /// Adds a placement if the weight stays within the limit; returns whether it did.
-    pub fn try_add(&mut self, task: &TaskId, p: &Placed) -> bool {
+    pub fn try_add(&mut self, task: &TaskId, p: &Placement) -> bool {
         let extends_span = self.last_added.as_ref().is_some_and(|(t, m, n)| {
             t.job == task.job && t.index + 1 == task.index && *m == p.machine && *n == p.attempt
         });
@@ -129,8 +129,8 @@
 
     /// Weight of a segment including proposed placements and newly assigned machines.
     fn segment_weight(&self, id: &SegmentId) -> usize {
-        let pending = self.pending.get(id).copied().unwrap_or(0);
-        self.segments.get(id).map_or(0, |l| l.weight) + pending
+        let pending = self.proposed_bytes.get(id).copied().unwrap_or(0);
+        self.segments.get(id).map_or(0, |l| l.max_size_bytes) + pending
     }
 
     /// Whether a segment has no room left for another task.
@@ -170,7 +170,7 @@
             .find(|n| self.segment_weight(&SegmentId::new(shard, *n)) + added <= max_weight);
         let number = with_room.or_else(|| (0..).find(|n| !numbers.contains(n)))?;
         let segment = SegmentId::new(shard, number);
-        *self.pending.entry(segment).or_default() += added;
+        *self.proposed_bytes.entry(segment).or_default() += added;
         self.machines.get_mut(id)?.segment = Some(number);
         Some(segment)
     }
@@ -179,8 +179,8 @@
     /// the default.
     fn average_machine_weight(&self, shard: u32) -> usize {
         let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
-        let used =
-            segments.map(|(_, l)| (l.weight, l.record.machines.values().filter(|s| !s.is_empty()).count()));
+        let used = segments
+            .map(|(_, l)| (l.max_size_bytes, l.record.machines.values().filter(|s| !s.is_empty()).count()));
         let (weight, machines) = used.fold((0, 0), |(w, m), (own, n)| (w + own, m + n));
         weight
             .checked_div(machines)
@@ -190,7 +190,7 @@
 
     /// Weight of those tasks of a machine that `counts` selects, with the references to
     /// their jobs.
-    fn machine_tasks_weight(&self, machine: &Machine, counts: impl Fn(&Placed) -> bool) -> usize {
+    fn machine_tasks_weight(&self, machine: &Machine, counts: impl Fn(&Placement) -> bool) -> usize {
         let mut previous: Option<(&TaskId, u64)> = None;
         let mut weight = 0;
         for task in &machine.tasks {
@@ -226,41 +226,42 @@
             .range(range)
             .filter(|(_, load)| !load.is_empty())
             .map(|(other, _)| *other)
-            .filter(|other| *other != id && !self.commits.is_in_flight(&CommitTarget::Segment(*other)))
+            .filter(|other| *other != id && !self.commit_queue.is_in_flight(&CommitTarget::Segment(*other)))
             .min_by_key(|other| self.segment_weight(other))?;
         if self.limits().changes < 2 || weight + self.segment_weight(&lightest) > max_weight {
             return None;
         }
         let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
-        self.inherited.insert(id, super::migration::Inherited { done: record.done, tries: record.tries });
+        self.inherited_results
+            .insert(id, super::migration::Inherited { done: record.done, tries: record.last_attempts });
         let moved = |m: &&mut Machine| m.shard == id.shard && m.segment == lightest.segment;
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
         }
         self.retarget_proposals(id.shard);
-        self.pending.remove(&lightest);
-        self.absorbing.insert(lightest);
+        self.proposed_bytes.remove(&lightest);
+        self.merging_segments.insert(lightest);
         Some(lightest)
     }
 
     /// Whether a merge of this segment into another one is in flight.
     pub(super) fn is_being_merged(&self, id: SegmentId) -> bool {
-        self.absorbing.contains(&id)
+        self.merging_segments.contains(&id)
     }
 
     /// Completes a committed merge: exits of tasks of the segment `merged` are recorded in
     /// the segment `into` from now on.
     pub(super) fn finish_segment_merge(&mut self, merged: SegmentId, into: SegmentId, now: Instant) {
-        self.absorbing.remove(&merged);
-        self.commits.move_deferred_ends(merged, into, now);
-        self.wakeups.flush = true;
+        self.merging_segments.remove(&merged);
+        self.commit_queue.move_deferred_exits(merged, into, now);
+        self.wakeups.commit = true;
     }
 
     /// Reverts a merge that was not committed: the machines that the record of the
     /// segment `merged` lists are assigned to that segment again.
     pub(super) fn undo_segment_merge(&mut self, merged: SegmentId, into: SegmentId) {
-        self.inherited.remove(&into);
-        self.absorbing.remove(&merged);
+        self.inherited_results.remove(&into);
+        self.merging_segments.remove(&merged);
         let Some(record) = self.segments.get(&merged).map(|l| l.record.machines.clone()) else { return };
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
@@ -268,7 +269,7 @@
             }
         }
         self.retarget_proposals(merged.shard);
-        self.mark_segment(merged, false);
+        self.queue_segment_commit(merged, false);
     }
 
     /// Called on the shard's holder after a segment's record was applied: assigns all
@@ -305,7 +306,7 @@
             let segment_id = SegmentId { shard, segment };
             if p.segment != segment_id && segment.is_some() {
                 p.segment = segment_id;
-                self.mark_segment(segment_id, false);
+                self.queue_segment_commit(segment_id, false);
             }
         }
     }
@@ -330,7 +331,7 @@
                 return;
             };
             let weight = self.segment_weight(&id);
-            self.pending.insert(id, weight.max(limit));
+            self.proposed_bytes.insert(id, weight.max(limit));
             if let Some(machine) = self.machines.get_mut(&machine) {
                 machine.segment = None;
             }
@@ -345,7 +346,7 @@
                     p.segment = other;
                 }
             }
-            self.mark_segment(other, false);
+            self.queue_segment_commit(other, false);
         }
     }
 
@@ -362,18 +363,18 @@
                 weight += machine_weight(&machine.id) + self.machine_tasks_weight(machine, |_| true);
             }
         }
-        if let Some(inherited) = self.inherited.get(&id) {
+        if let Some(inherited) = self.inherited_results.get(&id) {
             let history = SegmentRecord {
                 done: inherited.done.clone(),
-                tries: inherited.tries.clone(),
+                last_attempts: inherited.tries.clone(),
                 ..SegmentRecord::default()
             };
             weight += record_weight(&history);
         }
         if weight > 0 {
-            self.pending.insert(id, weight);
+            self.proposed_bytes.insert(id, weight);
         } else {
-            self.pending.remove(&id);
+            self.proposed_bytes.remove(&id);
         }
     }
 
@@ -382,7 +383,7 @@
         let range = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
         let used = self.segments.range(range.clone()).filter(|(_, load)| !load.is_empty());
         let recorded = used.filter_map(|(id, _)| id.segment);
-        recorded.chain(self.pending.range(range).filter_map(|(id, _)| id.segment)).collect()
+        recorded.chain(self.proposed_bytes.range(range).filter_map(|(id, _)| id.segment)).collect()
     }
 
     /// Adds the weight of a proposed placement to its segment; returns `false` and adds
@@ -392,15 +393,16 @@
             return true;
         }
         let is_next_index = |t: &TaskId| t.job == task.job && t.index + 1 == task.index;
-        let added =
-            task_weight(self.weighed.as_ref().is_some_and(|(p, t)| *p == segment && is_next_index(t)));
+        let added = task_weight(
+            self.last_sized_proposal.as_ref().is_some_and(|(p, t)| *p == segment && is_next_index(t)),
+        );
         if self.segment_weight(&segment) + added
             > (self.limits().value as f64 * SEGMENT_WEIGHT_FRACTION) as usize
         {
             return false;
         }
-        *self.pending.entry(segment).or_default() += added;
-        self.weighed = Some((segment, task.clone()));
+        *self.proposed_bytes.entry(segment).or_default() += added;
+        self.last_sized_proposal = Some((segment, task.clone()));
         true
     }
 
@@ -415,7 +417,7 @@
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.segment = segments.get(&machine.id).copied();
         }
-        self.pending.retain(|id, _| id.shard != shard);
-        self.absorbing.retain(|id| id.shard != shard);
+        self.proposed_bytes.retain(|id, _| id.shard != shard);
+        self.merging_segments.retain(|id| id.shard != shard);
     }
 }
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -1,7 +1,7 @@
 //! Leases of machine shards: how the leader assigns shards to controllers, and what a
 //! controller does when it gains or loses a lease.
 
-use super::{Core, reindex};
+use super::{Core, update_free_cpu_index};
 use crate::jobs::Job;
 use crate::records::{self, ShardRecord};
 use dapplecroft_wire::state::{Change, Condition, Transaction};
@@ -56,7 +56,7 @@
     /// work grows with the number of shards and counts as load, so that the leader holds
     /// fewer shards when there are many.
     pub fn plan_leases(&self, now: Instant) -> Vec<LeaseGrant> {
-        let Some(leadership) = self.role.leadership.filter(|l| *l <= self.applied_revision) else {
+        let Some(leadership) = self.role.leader_key_version.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
         };
         let shards = self.shard_numbers();
@@ -140,8 +140,8 @@
 
     /// The transaction that grants the first of these leases, as many as fit into it.
     pub fn lease_transaction(&self, leases: &[LeaseGrant]) -> Option<Transaction> {
-        let leadership = self.role.leadership?;
-        let mut conditions = vec![Condition { key: records::LEADER.into(), version: leadership }];
+        let leadership = self.role.leader_key_version?;
+        let mut conditions = vec![Condition { key: records::LEADER_KEY.into(), version: leadership }];
         let mut changes = Vec::new();
         for lease in leases.iter().take(self.limits().changes) {
             let key = records::shard_key(lease.shard);
@@ -157,7 +157,7 @@
     /// holders committed is known by then, and they can commit nothing more, since each
     /// of their commits is conditional on the shard's former version.
     pub fn take_leased_shards(&mut self, now: Instant) {
-        if self.role.lease.is_none() {
+        if self.role.lease_id.is_none() {
             // This process has just stepped down, so the leader counts these shards as
             // having no live holder.
             return;
@@ -188,7 +188,7 @@
         self.load_machine_segments(shard);
         let mut jobs: Vec<Arc<str>> = Vec::new();
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
-            machine.reset(now);
+            machine.forget_worker_state(now);
             jobs.extend(machine.tasks.iter().map(|t| t.job.clone()));
         }
         jobs.sort_unstable();
@@ -196,14 +196,14 @@
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             for placed in job.placed.values_mut().filter(|p| p.segment.shard == shard) {
-                placed.sent = 0;
-                placed.running = None;
-                placed.since = now;
+                placed.start_token = 0;
+                placed.running_since = None;
+                placed.learned_at = now;
             }
         }
         self.plan_migration(shard, now);
         self.wakeups.place = true;
-        self.wakeups.flush = true;
+        self.wakeups.commit = true;
         self.wakeups.fleet = true;
     }
 
@@ -216,29 +216,29 @@
             return;
         }
         tracing::info!(block = shard, why, "shard lease lost");
-        let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
+        let jobs: Vec<Arc<str>> = self.open_jobs.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
             let resources = job.requirements.resources;
-            for p in job.placed.values_mut().filter(|p| p.segment.shard == shard && p.freed) {
-                p.freed = false;
+            for p in job.placed.values_mut().filter(|p| p.segment.shard == shard && p.resources_freed) {
+                p.resources_freed = false;
                 if let Some(machine) = self.machines.get_mut(&p.machine) {
-                    let before = machine.room().cpus;
+                    let before = machine.free_resources().cpus;
                     machine.booked += resources;
-                    reindex(&mut self.machines_by_free_cpus, machine, before);
+                    update_free_cpu_index(&mut self.machines_by_free_cpus, machine, before);
                 }
             }
             let placed = &job.placed;
-            job.exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
+            job.uncommitted_exits.retain(|i, _| placed.get(i).is_none_or(|p| p.segment.shard != shard));
         }
-        self.drop_proposals_in(shard);
-        self.commits.drop_deferred_ends_of(shard);
-        self.inherited.retain(|id, _| id.shard != shard);
-        self.pending.retain(|id, _| id.shard != shard);
+        self.withdraw_shard_proposals(shard);
+        self.commit_queue.drop_deferred_exits(shard);
+        self.inherited_results.retain(|id, _| id.shard != shard);
+        self.proposed_bytes.retain(|id, _| id.shard != shard);
         let machines = &self.machines;
         self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.shard != shard));
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
-            machine.reset(now);
+            machine.forget_worker_state(now);
         }
         let empty: Vec<Arc<str>> = self
             .machines
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -4,11 +4,11 @@
 use super::Core;
 use super::layout::to_value;
 use super::segments::WeightBudget;
-use crate::jobs::{OpenJob, Placed, TaskId};
+use crate::jobs::{OpenJob, Placement, TaskId};
 use crate::machines::Machine;
 use crate::ranges::Ranges;
 use crate::records::{
-    self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, Span, stored_size,
+    self, CompletedTasksRecord, JobRecord, JobStage, SegmentId, SegmentRecord, TaskSpan, stored_size,
 };
 use dapplecroft_state::AtomicUpdate;
 use dapplecroft_wire::state::{Change, Condition};
@@ -28,12 +28,12 @@
     /// record, and the machines that it must list even without tasks.
     fn carried_history(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
-        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.tries));
-        let inherited = self.inherited.get(&id).map(|i| (&i.done, &i.tries));
+        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.last_attempts));
+        let inherited = self.inherited_results.get(&id).map(|i| (&i.done, &i.tries));
         for (done, tries) in old.into_iter().chain(inherited) {
             for (job_id, ranges) in done {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
-                let left = ranges.without(&job.recorded_done());
+                let left = ranges.difference(&job.recorded_done());
                 if !left.is_empty() {
                     let all = record.done.entry(job_id.clone()).or_default();
                     *all = all.union(&left);
@@ -42,8 +42,8 @@
             for (job_id, own) in tries {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
                 for (index, attempt) in own {
-                    if !job.done.contains(*index) && !job.outdates(id, *index, *attempt) {
-                        let all = record.tries.entry(job_id.clone()).or_default();
+                    if !job.done.contains(*index) && !job.has_later_attempt(id, *index, *attempt) {
+                        let all = record.last_attempts.entry(job_id.clone()).or_default();
                         let last = all.entry(*index).or_default();
                         *last = (*last).max(*attempt);
                     }
@@ -62,7 +62,7 @@
     /// A record written under larger size limits can have more tasks on one machine than
     /// fit the present limit when exits split their ranges. Then only as many exits are
     /// recorded at a time as fit; the ranges join again when neighbouring tasks exit.
-    fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placed)>) {
+    fn next_segment_record(&self, id: SegmentId) -> (SegmentRecord, Vec<(TaskId, Placement)>) {
         let (mut max_exits, mut max_proposals) = (usize::MAX, usize::MAX);
         loop {
             let (record, proposals, exits) = self.bounded_segment_record(id, max_exits, max_proposals);
@@ -86,14 +86,14 @@
         id: SegmentId,
         max_exits: usize,
         max_proposals: usize,
-    ) -> (SegmentRecord, Vec<(TaskId, Placed)>, usize) {
+    ) -> (SegmentRecord, Vec<(TaskId, Placement)>, usize) {
         let limits = self.limits();
         let mut exits = 0;
         let max_jobs = limits.changes * 3;
         let mut record = self.carried_history(id);
         let mut proposals = Vec::new();
         let mut job_indices: HashMap<Arc<str>, u32> = HashMap::new();
-        let mut proposed: Vec<(u8, Instant, TaskId, Placed)> = Vec::new();
+        let mut proposed: Vec<(u8, Instant, TaskId, Placement)> = Vec::new();
         let whole = id.segment.is_none();
         let here =
             |m: &&Machine| m.shard == id.shard && (whole || m.segment == id.segment) && !m.tasks.is_empty();
@@ -104,19 +104,22 @@
                     continue;
                 };
                 if !p.committed {
-                    proposed.push((job.rank(), p.since, task.clone(), p.clone()));
+                    proposed.push((job.priority_rank(), p.learned_at, task.clone(), p.clone()));
                     continue;
                 }
-                let exit = job.exits.get(&task.index).filter(|e| e.attempt == p.attempt && exits < max_exits);
+                let exit = job
+                    .uncommitted_exits
+                    .get(&task.index)
+                    .filter(|e| e.attempt == p.attempt && exits < max_exits);
                 exits += usize::from(exit.is_some());
                 match exit {
                     None => add_task_span(&mut record, &mut job_indices, task, p),
                     Some(_) if !job.is_open() => {}
-                    Some(exit) if exit.done => {
+                    Some(exit) if exit.completed => {
                         record.done.entry(task.job.to_string()).or_default().insert(task.index);
                     }
                     Some(exit) => {
-                        let tries = record.tries.entry(task.job.to_string()).or_default();
+                        let tries = record.last_attempts.entry(task.job.to_string()).or_default();
                         tries.insert(task.index, exit.attempt);
                     }
                 }
@@ -141,19 +144,19 @@
                 continue;
             }
             proposed_jobs.insert(task.job.clone());
-            if let Some(tries) = record.tries.get_mut(&*task.job) {
+            if let Some(tries) = record.last_attempts.get_mut(&*task.job) {
                 tries.remove(&task.index);
             }
             add_task_span(&mut record, &mut job_indices, &task, &p);
             proposals.push((task, p));
         }
-        record.tries.retain(|_, t| !t.is_empty());
+        record.last_attempts.retain(|_, t| !t.is_empty());
         (record, proposals, exits)
     }
 
     /// The update that commits the next version of a segment's record, with the proposals
     /// in it. `None` if nothing has changed or this process does not hold the shard.
-    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
+    pub(super) fn segment_update(&self, id: SegmentId) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
         // Conditional on the version of the shard's record, so that a former holder can
         // commit no placement, and therefore start no task.
         let shard_lease = self.role.leased_shards.get(&id.shard)?;
@@ -198,12 +201,12 @@
         let done = job.done.len();
         let untouched = job.record.allocated.is_empty() && job.placed.is_empty();
         let record = if untouched && job.version <= self.applied_revision {
-            job.record.compact(JobStage::Withdrawn, done)
+            job.record.compact(JobStage::Cancelled, done)
         } else {
             // The allocations are no longer needed and may be long.
             let (allocated, legacy_done) = Default::default();
             JobRecord {
-                stage: JobStage::Withdrawn,
+                stage: JobStage::Cancelled,
                 done: Some(done),
                 allocated,
                 legacy_done,
@@ -216,8 +219,8 @@
     /// The update that commits the next version of a job's record: new and revoked
     /// allocations, or the final record of a job that is over. `None` if nothing is to be
     /// written or this process may not write it.
-    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
-        let leadership = self.role.leadership.filter(|_| self.fleet.ready());
+    pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
+        let leadership = self.role.leader_key_version.filter(|_| self.fleet.has_started());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
         let mut record = if job.is_open() && job.done.len() == job.record.tasks {
@@ -236,7 +239,7 @@
             self.record_with_allocations(job)
         };
         if record.spec.is_some() {
-            conditions.push(Condition { key: records::LEADER.into(), version: leadership? });
+            conditions.push(Condition { key: records::LEADER_KEY.into(), version: leadership? });
         }
         if record == job.record {
             return None;
@@ -267,9 +270,9 @@
     /// Keys and values of the completed tasks records that are still missing: for tasks
     /// that the job's layout 1 record lists as completed and no separate record has yet.
     fn missing_completed_records(&self, id: &str, job: &OpenJob) -> Vec<(String, CompletedTasksRecord)> {
-        let have = job.completed_records.values().fold(Default::default(), |all: Ranges, f| all.union(f));
-        let left = job.record.legacy_done.without(&have);
-        let numbers = (0..).filter(|n| !job.completed_records.contains_key(n));
+        let have = job.done_by_part.values().fold(Default::default(), |all: Ranges, f| all.union(f));
+        let left = job.record.legacy_done.difference(&have);
+        let numbers = (0..).filter(|n| !job.done_by_part.contains_key(n));
         let pieces = left.chunks(COMPLETED_RECORD_BYTES);
         numbers
             .zip(pieces)
@@ -291,16 +294,16 @@
         }
         for (shard, ranges) in &job.revoking {
             if let Some(allocated) = record.allocated.get_mut(shard) {
-                *allocated = allocated.without(ranges);
+                *allocated = allocated.difference(ranges);
             }
         }
         if self.uses_legacy_layout() {
             record.legacy_done = record.legacy_done.union(&job.done);
         }
         for allocated in record.allocated.values_mut() {
-            *allocated = allocated.without(&job.done);
+            *allocated = allocated.difference(&job.done);
             if !self.uses_legacy_layout() {
-                *allocated = allocated.bridge(&job.done);
+                *allocated = allocated.bridge_gaps(&job.done);
             }
         }
         record.allocated.retain(|_, r| !r.is_empty());
@@ -308,10 +311,10 @@
     }
 
     /// The update by which the leader deletes a key that is no longer needed.
-    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placed)>)> {
+    pub(super) fn obsolete_key_update(&self, key: &str) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
         let version = self.version(key);
         let conditions = vec![
-            Condition { key: records::LEADER.into(), version: self.role.leadership? },
+            Condition { key: records::LEADER_KEY.into(), version: self.role.leader_key_version? },
             Condition { key: key.into(), version },
         ];
         let changes = vec![Change::Drop { key: key.into() }];
@@ -322,7 +325,7 @@
     pub(super) fn is_legacy_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * LEGACY_PLACEMENT_SIZE_FRACTION;
         self.uses_legacy_layout()
-            && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size as f64 > limit)
+            && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size_bytes as f64 > limit)
     }
 }
 
@@ -332,7 +335,7 @@
     record: &mut SegmentRecord,
     job_indices: &mut HashMap<Arc<str>, u32>,
     task: &TaskId,
-    p: &Placed,
+    p: &Placement,
 ) {
     let jobs = &mut record.jobs;
     let job = *job_indices.entry(task.job.clone()).or_insert_with(|| {
@@ -340,12 +343,12 @@
         jobs.len() as u32 - 1
     });
     let spans = record.machines.entry(p.machine.to_string()).or_default();
-    let extends_span = |s: &&mut Span| {
+    let extends_span = |s: &&mut TaskSpan| {
         s.job == job && s.last + 1 == task.index && s.attempt == p.attempt && s.session == p.session
     };
     match spans.last_mut().filter(extends_span) {
         Some(span) => span.last = task.index,
-        None => spans.push(Span {
+        None => spans.push(TaskSpan {
             job,
             first: task.index,
             last: task.index,
