--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -36,7 +36,7 @@
             return Err(ExchangeError::NotLeader);
         }
         // The sender can end, and its request with it, at any moment.
-        let slot = ExchangeSlot::take(&self.exchanging);
+        let slot = ExchangeSlot::take(&self.active_cell_requests);
         if slot.position >= MAX_EXCHANGES {
             return Err(ExchangeError::Busy);
         }
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -241,7 +241,7 @@
         let lost: BTreeSet<Arc<str>> =
             machines.filter(|id| self.released_machines.contains_key(id)).collect();
         for id in lost {
-            self.machine_gone(&id, now);
+            self.machine_released(&id, now);
         }
     }
 
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -67,7 +67,7 @@
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     core.learn_parts(0);
     // A task of the first segment has ended.
-    core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
+    core.record_task_exit(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
     let update = core.next_commit(true, false, now).unwrap();
     assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), Some(other)));
     let left = update.update.changes.iter().find(|c| c.key() == other.key()).unwrap();
@@ -79,7 +79,7 @@
     // Its number is free, it is taken in only once, and what begins it again names
     // the version that it has.
     assert!(!core.segment_numbers(0).contains(&1));
-    core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
+    core.record_task_exit(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
     let update = core.next_commit(true, false, now).unwrap();
     assert_eq!((&update.target, update.absorbed), (&CommitTarget::Segment(one), None));
     core.commit_ended(&update, CommitOutcome::Committed(10), now);
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -41,7 +41,7 @@
         }
         self.draining.looked = Some(now);
         self.note_shares(now);
-        let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_every;
+        let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_interval;
         if self.draining.last.is_some_and(recent) {
             return None;
         }
@@ -137,16 +137,16 @@
         let mut tasks: Vec<TaskId> = Vec::new();
         let mut residents: Vec<Resident> = Vec::new();
         for machine in self.machines.values().filter(|m| m.shard == shard) {
-            for (task, resident) in self.residents(machine, slots.len(), self.options.drain_every, now) {
+            for (task, resident) in self.residents(machine, slots.len(), self.options.drain_interval, now) {
                 tasks.push(task);
                 residents.push(resident);
             }
             slots.push(self.slot(machine, now));
         }
         let rules = RepackRules {
-            trigger: self.options.drain_trigger,
+            trigger: self.options.drain_max_share,
             cap: self.cap(now),
-            oldest: self.options.drain_every,
+            oldest: self.options.drain_interval,
         };
         let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
         let moves = plan
@@ -199,7 +199,7 @@
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
         let waits = self.waiting.contains(record.for_job.as_str());
-        let long = now.saturating_duration_since(begun) > self.options.drain_every * 2;
+        let long = now.saturating_duration_since(begun) > self.options.drain_interval * 2;
         if (left || (emptied && waits)) && !long {
             return None;
         }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -99,7 +99,7 @@
         if !self.loaded || !self.has_role() || !self.in_contact(now) {
             return actions;
         }
-        self.move_replicas(now);
+        self.stop_replicas_before_reclaim(now);
         self.released_machines.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
         let due = self.judge_machines(&mut actions, now);
         self.prove_released(now);
@@ -163,7 +163,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
-            self.machine_gone(&id, now);
+            self.machine_released(&id, now);
             self.forget_machine(&id);
         }
     }
@@ -256,7 +256,7 @@
         if (self.unplaced.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
             return;
         }
-        let thrift = self.options.thrift;
+        let thrift = self.options.prefer_cheapest_machines;
         let offers = self.offers(now);
         let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
         let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
@@ -398,7 +398,7 @@
     pub fn released(&mut self, ids: &[Arc<str>], now: Instant) {
         for id in ids {
             self.fleet.released.insert(id.clone());
-            self.machine_gone(id, now);
+            self.machine_released(id, now);
         }
         self.wakeups.fleet = true;
     }
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -149,7 +149,7 @@
             let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
             let here = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
             if here && !named {
-                self.machine_gone(&id, now);
+                self.machine_released(&id, now);
                 self.forget_machine(&id);
             }
         }
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -78,7 +78,7 @@
     /// Machines of own shards that are idle beyond this holder's part of the
     /// reserve. None, if operators have set how long idle machines are kept.
     pub(super) fn surplus_machines(&mut self, now: Instant) -> BTreeSet<Arc<str>> {
-        if self.options.idle_return.is_some() {
+        if self.options.idle_release_after.is_some() {
             return BTreeSet::new();
         }
         let window = self.longest_boot_time() * BOOT_TIMES;
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -176,7 +176,7 @@
             lease: Duration::from_secs_f64(self.settings.params.workers.lease_s * LEASE_MARGIN),
             boot_times: machine_types.map(|m| (m.name.clone(), self.boot_time(&m.name))).collect(),
             idle_times: self.idle_times(),
-            idle_return: self.options.idle_return,
+            idle_return: self.options.idle_release_after,
             with_replicas: self.replica_machines(),
             surplus,
             standby: self.standby_machines(),
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -36,7 +36,7 @@
 pub use federation::{AwayRequest, NotAway, OfferUpdate, VisitPlan, VisitRequest};
 pub use fleet::{FleetActions, MAX_CONSULTED};
 pub use groups::GroupUpdate;
-pub use session::{CommandEnd, HeartbeatOutcome};
+pub use session::{CommandOutcome, HeartbeatOutcome};
 pub use shards::{LeaseGrant, ShardLease};
 
 use crate::jobs::{Job, OpenJob, Placed, TaskId};
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -9,22 +9,22 @@
 
 impl Core {
     /// The generation of this process's role: another one each time it was given up.
-    pub fn generation(&self) -> u64 {
+    pub fn role_generation(&self) -> u64 {
         self.role.generation
     }
 
     /// Notes a confirmation that was asked for by a generation of its role: that of
     /// an earlier one does not count.
-    pub fn confirmed_for(&mut self, generation: u64, sent: Instant, revision: u64) {
+    pub fn confirm_role_for_generation(&mut self, generation: u64, sent: Instant, revision: u64) {
         if generation == self.role.generation {
-            self.confirmed(sent, revision);
+            self.confirm_role(sent, revision);
         }
     }
 
     /// Notes a confirmation of this node's role: sent when, at which revision.
     /// It counts once all changes up to that revision are known, so that a
     /// holder in contact has heard of every cancellation before it.
-    pub fn confirmed(&mut self, sent: Instant, revision: u64) {
+    pub fn confirm_role(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
             self.role.contact = self.role.contact.max(Some(sent));
         } else if self.role.pending.len() < 64 {
@@ -50,7 +50,7 @@
                 self.resign("replaced", now);
                 // The copy may still have this process's own key, and it would
                 // take up its old role by that: not before a confirmation.
-                self.forget_contact();
+                self.clear_confirmations();
             }
             Some(records::Key::Shard(shard)) => self.lose_shard(shard, "leased to another", now),
             _ => {}
@@ -58,7 +58,7 @@
     }
 
     /// Takes note of having become leader.
-    pub fn lead(&mut self, version: u64) {
+    pub fn become_leader(&mut self, version: u64) {
         self.role.leadership = Some(version);
         self.federation.begin_term();
         self.fleet = fleet::FleetState::default();
@@ -69,7 +69,7 @@
     /// As leader, begins its work once all that earlier leaders committed is
     /// known: nothing of theirs can be committed any more, since every such
     /// commit names their key's version.
-    pub fn begin_to_lead(&mut self, now: Instant) {
+    pub fn start_leading_when_caught_up(&mut self, now: Instant) {
         let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.ready() {
             self.fleet.begin(now);
@@ -95,8 +95,8 @@
         let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
-            let decided = !(job.allocating.is_empty() && job.revoking.is_empty());
-            if decided && !self.commits.is_in_flight(&CommitTarget::Job(id.clone())) {
+            let has_pending_decision = !(job.allocating.is_empty() && job.revoking.is_empty());
+            if has_pending_decision && !self.commits.is_in_flight(&CommitTarget::Job(id.clone())) {
                 job.allocating.clear();
                 job.revoking.clear();
                 self.rederive(&id);
@@ -115,10 +115,10 @@
         for shard in shards {
             self.lose_shard(shard, why, now);
         }
-        self.forget_contact();
+        self.clear_confirmations();
     }
 
-    fn forget_contact(&mut self) {
+    fn clear_confirmations(&mut self) {
         self.role.contact = None;
         self.role.pending.clear();
         self.role.generation += 1;
@@ -163,22 +163,22 @@
     pub fn write_share(&self) -> f64 {
         let nodes = f64::from(self.settings.params.nodes.max(1));
         let sizes = self.shard_sizes();
-        let all: usize = sizes.values().sum();
+        let total: usize = sizes.values().sum();
         let own: usize = self.role.leased_shards.keys().filter_map(|b| sizes.get(b)).sum();
-        let machines = match all {
+        let machine_share = match total {
             0 => f64::from(u8::from(self.role.leadership.is_some())),
-            _ => own as f64 / all as f64,
+            _ => own as f64 / total as f64,
         };
         // Many small tasks take more changes than a few large ones.
-        let bytes = |mine: bool| -> usize {
-            let of = self.segments.iter().filter(|(id, _)| !mine || self.is_holder(id.shard));
-            of.map(|(_, l)| l.size).sum()
+        let bytes = |held_only: bool| -> usize {
+            let segments = self.segments.iter().filter(|(id, _)| !held_only || self.is_holder(id.shard));
+            segments.map(|(_, l)| l.size).sum()
         };
-        let held = match bytes(false) {
-            0 => machines,
-            all => (machines + bytes(true) as f64 / all as f64) / 2.0,
+        let placement_share = match bytes(false) {
+            0 => machine_share,
+            total => (machine_share + bytes(true) as f64 / total as f64) / 2.0,
         };
-        0.24 / nodes + 0.22 * f64::from(u8::from(self.role.leadership.is_some())) + 0.54 * held
+        0.24 / nodes + 0.22 * f64::from(u8::from(self.role.leadership.is_some())) + 0.54 * placement_share
     }
 }
 
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 
 /// Most commands in one message, far under the limit of a line.
-const MAX_COMMANDS: usize = 200;
+const MAX_COMMANDS_PER_MESSAGE: usize = 200;
 
 /// A replica that ran for so long had started well.
 const STABLE_REPLICA_RUN: Duration = Duration::from_secs(30);
 /// Replicas on a machine that the cloud takes back are stopped so long before:
 /// they start elsewhere as soon as that is known.
-const LAST_MOMENT: Duration = Duration::from_secs(3);
+const REPLICA_STOP_LEAD_TIME: Duration = Duration::from_secs(3);
 
 /// What a worker's report is answered with.
 #[derive(Debug, Clone, PartialEq)]
@@ -33,7 +33,7 @@
 impl Core {
     /// The answer to a report that this process does not take over: another one
     /// is the right one, or nobody is known to be. `None`: it must be read.
-    pub fn not_taken(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
+    pub fn reject_or_redirect(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
         let id = head.machine.as_str();
         if !self.loaded || self.released_machines.contains_key(id) {
             // If its release was answered, this is a late copy of a message.
@@ -43,7 +43,7 @@
             // A record names every machine before it is used, so one without is
             // for the leader to take in.
             let unexpected = self.leads(now) && !self.is_expected(id);
-            return (!unexpected).then(|| self.not_here());
+            return (!unexpected).then(|| self.redirect_to_leader());
         };
         let shard = machine.shard;
         let Some(shard_lease) = self.active_lease(shard, now) else {
@@ -63,7 +63,7 @@
         None
     }
 
-    fn not_here(&self) -> HeartbeatOutcome {
+    fn redirect_to_leader(&self) -> HeartbeatOutcome {
         match self.leader_host() {
             Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
             None => HeartbeatOutcome::Unavailable,
@@ -73,22 +73,22 @@
     /// Answers a report.
     pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: Instant) -> HeartbeatOutcome {
         let head = HeartbeatHead { machine: report.machine.clone(), token: report.token };
-        if let Some(answer) = self.not_taken(&head, now) {
+        if let Some(answer) = self.reject_or_redirect(&head, now) {
             return answer;
         }
         let id = report.machine.as_str();
         let shard = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.shard);
-        let Some(shard_lease) = shard.and_then(|b| self.active_lease(b, now)) else {
+        let Some(shard_lease) = shard.and_then(|shard| self.active_lease(shard, now)) else {
             self.found(report, now);
-            return self.not_here();
+            return self.redirect_to_leader();
         };
         self.apply_heartbeat(report, now);
         let Some(machine) = self.machines.get(id) else { return HeartbeatOutcome::Unavailable };
         let token = machine.token(shard_lease.epoch);
         // Only the worker's newest message is answered with commands.
         let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
-        let commands = if newest { self.commands(id, true, now) } else { Vec::new() };
-        self.note_sent(id, &commands, token);
+        let commands = if newest { self.pending_commands(id, true, now) } else { Vec::new() };
+        self.record_sent_commands(id, &commands, token);
         HeartbeatOutcome::Reply(HeartbeatReply { token, commands })
     }
 
@@ -143,21 +143,21 @@
             self.wakeups.fleet = true;
         }
         let id = machine.id.clone();
-        self.take_proof(&id, synced, now);
+        self.reconcile_reported_tasks(&id, synced, now);
         if noticed {
-            self.notice(&id, now);
+            self.handle_reclaim_notice(&id, now);
         }
         self.wakeups.command.insert(id);
     }
 
     /// Works out what a machine's newest message proves.
-    fn take_proof(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
+    fn reconcile_reported_tasks(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         let token = machine.token(shard_lease.epoch);
         let session = machine.session;
-        let mut ends = Vec::new();
-        let mut raise = false;
+        let mut exits = Vec::new();
+        let mut raise_token = false;
         for task in &machine.tasks {
             let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { continue };
             let Some(placed) = job.placed.get_mut(&task.index).filter(|p| p.committed && p.machine == *id)
@@ -166,7 +166,7 @@
             };
             if session > placed.session {
                 // The worker's lease ended: it killed and forgot its tasks.
-                ends.push((task.clone(), placed.attempt, None));
+                exits.push((task.clone(), placed.attempt, None));
                 continue;
             }
             if !synced {
@@ -175,7 +175,7 @@
             match machine.reported.get(task).filter(|r| r.attempt == placed.attempt) {
                 Some(report) if report.state == TaskState::Exited => {
                     let why = report.why.unwrap_or(ExitReason::Other);
-                    ends.push((task.clone(), placed.attempt, Some(why)));
+                    exits.push((task.clone(), placed.attempt, Some(why)));
                 }
                 Some(report) if report.state == TaskState::Running => {
                     if placed.running.is_none() {
@@ -190,9 +190,9 @@
                     // still be on its way under the present token, and all if
                     // the worker has since accepted a higher one.
                     if placed.sent < token {
-                        ends.push((task.clone(), placed.attempt, None));
+                        exits.push((task.clone(), placed.attempt, None));
                     } else {
-                        raise = true;
+                        raise_token = true;
                     }
                 }
                 None => {}
@@ -215,18 +215,18 @@
                 self.unexpected_tasks.insert(task.clone(), id.clone());
             }
         }
-        if raise {
+        if raise_token {
             machine.raise_token();
             self.wakeups.command.insert(id.clone());
         }
-        for (task, attempt, why) in ends {
-            self.end(&task, attempt, why, id, now);
+        for (task, attempt, why) in exits {
+            self.record_task_exit(&task, attempt, why, id, now);
         }
     }
 
     /// Notes that a task's stay on a machine has ended, by proof, for whatever
     /// reason; `None`: the session, or the machine, is gone.
-    pub(super) fn end(
+    pub(super) fn record_task_exit(
         &mut self,
         task: &TaskId,
         attempt: u64,
@@ -262,11 +262,11 @@
             Some(ExitReason::Error) => {
                 job.failed(id, now);
                 tracing::info!(task = %task, machine = id, "a task failed");
-                let alone = job.failed_on.len() < 2;
+                let failed_on_one_machine = job.failed_on.len() < 2;
                 let machines: Vec<String> = job.failed_on.iter().cloned().collect();
                 for name in machines {
                     if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                        if alone {
+                        if failed_on_one_machine {
                             machine.failed_jobs.insert(task.job.clone());
                         } else {
                             // It fails elsewhere too: the job's fault.
@@ -291,7 +291,7 @@
     }
 
     /// Ends everything on a machine whose release was answered: it is gone.
-    pub fn machine_gone(&mut self, id: &Arc<str>, now: Instant) {
+    pub fn machine_released(&mut self, id: &Arc<str>, now: Instant) {
         self.released_machines.entry(id.clone()).or_insert(now);
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get(id) else { return };
@@ -299,14 +299,14 @@
             let placed = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
             let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.segment.shard));
             if let Some(attempt) = own.map(|p| p.attempt) {
-                self.end(&task, attempt, None, id, now);
+                self.record_task_exit(&task, attempt, None, id, now);
             }
         }
         self.wakeups.fleet = true;
     }
 
     /// The cloud takes a machine soon: tasks that can't finish before are moved.
-    fn notice(&mut self, id: &Arc<str>, now: Instant) {
+    fn handle_reclaim_notice(&mut self, id: &Arc<str>, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(taken_at) = machine.taken_at else { return };
         let left = taken_at.saturating_duration_since(now);
@@ -326,8 +326,8 @@
     /// Replicas have no end to reach before their machine goes: they serve as
     /// long as can be, and move in the last moment. Left alone, their machine
     /// would have to be missed, and proven gone, first.
-    pub(super) fn move_replicas(&mut self, now: Instant) {
-        let soon = |m: &&Machine| m.taken_at.is_some_and(|at| at <= now + LAST_MOMENT);
+    pub(super) fn stop_replicas_before_reclaim(&mut self, now: Instant) {
+        let soon = |m: &&Machine| m.taken_at.is_some_and(|at| at <= now + REPLICA_STOP_LEAD_TIME);
         let held = |m: &&Machine| self.is_holder(m.shard);
         let leaving: Vec<TaskId> =
             self.machines.values().filter(soon).filter(held).flat_map(|m| m.tasks.iter().cloned()).collect();
@@ -341,7 +341,7 @@
     /// The difference between what the records want of a machine and what it
     /// last reported. `clear` is only told in the answer to a report: it is the
     /// one command that must not be overtaken by a repeated start.
-    fn commands(&self, id: &str, in_answer: bool, now: Instant) -> Vec<Command> {
+    fn pending_commands(&self, id: &str, in_reply: bool, now: Instant) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
             return Vec::new();
@@ -349,12 +349,12 @@
         let synced = machine.synced(shard_lease.epoch);
         let mut commands = Vec::new();
         for (task, report) in &machine.reported {
-            let own = self
+            let committed = self
                 .open_job(&task.job)
                 .and_then(|j| j.placed.get(&task.index))
                 .filter(|p| p.committed && *p.machine == *id && p.attempt == report.attempt);
-            match (own, report.state) {
-                (None, TaskState::Exited) if in_answer && synced && !machine.commanding => {
+            match (committed, report.state) {
+                (None, TaskState::Exited) if in_reply && synced && !machine.commanding => {
                     commands.push(Command::Clear { task: report.task.clone(), attempt: report.attempt });
                 }
                 (None, TaskState::Exited) => {}
@@ -381,22 +381,22 @@
         }
         // Whoever has been out of contact for longer may have missed cancellations
         // that users were told of: it goes on answering, but it begins nothing.
-        let begins = self.contact_age(now).is_some_and(|age| age <= self.options.node_lease);
-        for task in machine.tasks.iter().filter(|_| begins) {
+        let may_start = self.contact_age(now).is_some_and(|age| age <= self.options.node_lease);
+        for task in machine.tasks.iter().filter(|_| may_start) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
             let here = placed.committed && *placed.machine == *id && placed.session == machine.session;
             // Under another attempt it is still to be cleared there first.
-            let listed = machine.reported.contains_key(task);
-            if here && placed.stop.is_none() && !listed && !job.exits.contains_key(&task.index) {
+            let still_reported = machine.reported.contains_key(task);
+            if here && placed.stop.is_none() && !still_reported && !job.exits.contains_key(&task.index) {
                 commands.push(Command::Start { task: task.to_string(), attempt: placed.attempt });
             }
         }
-        commands.truncate(MAX_COMMANDS);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
-    fn note_sent(&mut self, id: &str, commands: &[Command], token: u64) {
+    fn record_sent_commands(&mut self, id: &str, commands: &[Command], token: u64) {
         for command in commands {
             let Command::Start { task, .. } = command else { continue };
             let Some(task) = TaskId::parse(task) else { continue };
@@ -414,31 +414,37 @@
     }
 
     /// Direct commands that a machine should receive now, with its address.
-    pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
+    pub fn next_direct_commands(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
         let machine = self.machines.get(id)?;
         let shard_lease = self.active_lease(machine.shard, now)?;
-        let unknown = machine.session == 0 || machine.commanding || machine.releasing;
-        if unknown || machine.command_after.is_some_and(|at| at > now) {
+        let cannot_receive = machine.session == 0 || machine.commanding || machine.releasing;
+        if cannot_receive || machine.command_after.is_some_and(|at| at > now) {
             return None;
         }
-        let commands = self.commands(id, false, now);
+        let commands = self.pending_commands(id, false, now);
         let machine = self.machines.get_mut(id)?;
         // Without commands a message still brings the present token to the
         // worker, so that its tasks are known and it can take work soon.
-        let behind = !machine.synced(shard_lease.epoch);
-        if commands.is_empty() && !behind {
+        let token_outdated = !machine.synced(shard_lease.epoch);
+        if commands.is_empty() && !token_outdated {
             return None;
         }
         let address = machine.address.clone()?;
         machine.commanding = true;
         let (token, session) = (machine.token(shard_lease.epoch), machine.session);
-        self.note_sent(id, &commands, token);
+        self.record_sent_commands(id, &commands, token);
         Some((address, DirectCommands { token, session, commands }))
     }
 
     /// Notes what became of direct commands: answered, with the worker's report
     /// if it could be read; certainly not delivered; or unknown.
-    pub fn command_ended(&mut self, id: &str, sent: &DirectCommands, end: CommandEnd<'_>, now: Instant) {
+    pub fn direct_commands_finished(
+        &mut self,
+        id: &str,
+        sent: &DirectCommands,
+        outcome: CommandOutcome<'_>,
+        now: Instant,
+    ) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if !machine.is_present(sent.token, shard_lease.epoch) {
@@ -446,16 +452,16 @@
             return;
         }
         machine.commanding = false;
-        match end {
-            CommandEnd::Answered(report) => {
+        match outcome {
+            CommandOutcome::Answered(report) => {
                 // Refused for a newer token: whoever holds that is in command.
                 machine.command_after = (report.token > sent.token).then(|| now + Duration::from_secs(1));
                 if report.machine == *id {
                     self.apply_heartbeat(report, now);
                 }
             }
-            CommandEnd::NotDelivered => machine.command_after = Some(now + Duration::from_secs(1)),
-            CommandEnd::Unknown => {
+            CommandOutcome::NotDelivered => machine.command_after = Some(now + Duration::from_secs(1)),
+            CommandOutcome::Unknown => {
                 // They may be executed much later, also after the task has moved
                 // or was cleared: a higher token makes them void.
                 machine.raise_token();
@@ -469,7 +475,7 @@
 
 /// What became of direct commands.
 #[derive(Debug, Clone, Copy)]
-pub enum CommandEnd<'a> {
+pub enum CommandOutcome<'a> {
     /// The worker answered.
     Answered(&'a Heartbeat),
     /// They certainly never left.
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 /// A core that commands a worker whose one task saves, and is to be stopped.
-fn with_a_saving_task(stop: Stop, now: Instant) -> Core {
+fn core_with_saving_task(stop: Stop, now: Instant) -> Core {
     let mut core = core();
     core.apply("dc/j/run-1", Some(job_record("run-1", 1, json!({"0": [[0, 0]]}))), 5, now);
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
@@ -34,13 +34,13 @@
 // What was left of a notice shrank while the task saved, until nothing was: a second
 // command, with no time, ended the save.
 #[test]
-fn a_save_that_is_under_way_is_ended_by_a_cancellation_alone() {
+fn only_a_cancellation_interrupts_a_task_that_is_saving() {
     let now = Instant::now();
     for stop in [Stop::Notice, Stop::Preempted, Stop::Drained] {
-        let core = with_a_saving_task(stop, now);
-        assert_eq!(core.commands("i-1", true, now), [], "{stop:?}");
+        let core = core_with_saving_task(stop, now);
+        assert_eq!(core.pending_commands("i-1", true, now), [], "{stop:?}");
     }
-    let core = with_a_saving_task(Stop::Withdrawn, now);
+    let core = core_with_saving_task(Stop::Withdrawn, now);
     let kill = Command::Kill { task: "run-1/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!(core.commands("i-1", true, now), [kill]);
+    assert_eq!(core.pending_commands("i-1", true, now), [kill]);
 }
--- a/crates/dapplecroft-controller/src/lib.rs
+++ b/crates/dapplecroft-controller/src/lib.rs
@@ -22,6 +22,6 @@
 
 pub use admission::resolve_admission;
 pub use cells::{Cells, ExchangeError, NoCells};
-pub use node::{Node, Parts, Reply};
+pub use node::{Node, NodeConfig, Reply};
 pub use options::Options;
 pub use peers::{NoPeers, PeerService, Peers};
--- a/crates/dapplecroft-controller/src/loops.rs
+++ b/crates/dapplecroft-controller/src/loops.rs
@@ -28,7 +28,7 @@
         loops.spawn(self.clone().cloud_loop());
         loops.spawn(self.clone().health_loop());
         loops.spawn(self.clone().summary_loop());
-        loops.spawn(self.clone().room_loop());
+        loops.spawn(self.clone().freed_room_loop());
         if self.options.admission.is_some() {
             loops.spawn(self.clone().admission_loop());
         }
@@ -37,7 +37,7 @@
         loops.spawn(async move { node.committer.run(node.state.clone()).await });
         tokio::select! {
             _ = loops.join_next() => {}
-            () = self.wake_end.notified() => self.kill(),
+            () = self.wake_shutdown.notified() => self.kill(),
         }
     }
 }
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -141,7 +141,7 @@
 
 impl<'a> CatchUpPlace<'a> {
     fn take(node: &'a Node) -> Option<CatchUpPlace<'a>> {
-        let mut waiting = lock(&node.catching_up);
+        let mut waiting = lock(&node.refusals_awaiting_catch_up);
         (*waiting < MAX_CATCHING_UP).then(|| {
             *waiting += 1;
             CatchUpPlace(node)
@@ -151,6 +151,6 @@
 
 impl Drop for CatchUpPlace<'_> {
     fn drop(&mut self) {
-        *lock(&self.0.catching_up) -= 1;
+        *lock(&self.0.refusals_awaiting_catch_up) -= 1;
     }
 }
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -61,7 +61,7 @@
         let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm());
         match touched {
             Outcome::Done(true) => {
-                *lock(&self.touched) = Some(sent);
+                *lock(&self.lease_renewed_at) = Some(sent);
                 self.set_rates();
                 // A late write of an earlier process of this node may have taken
                 // the place of this one's entry.
@@ -119,7 +119,7 @@
         let transaction = Transaction { conditions: Vec::new(), changes: vec![change] };
         let outcome = self.state.transact(&transaction, true).await;
         let Outcome::Done(Verdicts::Committed(revision)) = outcome else { return false };
-        *lock(&self.touched) = Some(now());
+        *lock(&self.lease_renewed_at) = Some(now());
         self.with(|core| {
             core.role.lease = Some(lease);
             core.apply_changes(&transaction.changes, revision, now());
@@ -162,7 +162,7 @@
         });
         if let Some(version) = own {
             tracing::info!(term = version, "elected leader");
-            self.with(|core| core.lead(version));
+            self.with(|core| core.become_leader(version));
             self.set_rates();
             return;
         }
@@ -187,7 +187,7 @@
                 tracing::info!(term = revision, "elected leader");
                 self.with(|core| {
                     core.apply_changes(&transaction.changes, revision, now());
-                    core.lead(revision);
+                    core.become_leader(revision);
                 });
                 self.set_rates();
             }
@@ -207,7 +207,7 @@
     async fn take_up(&self) {
         let changed = self.with(|core| {
             let before = (core.role.leased_shards.len(), core.leads(now()));
-            core.begin_to_lead(now());
+            core.start_leading_when_caught_up(now());
             core.take_leased_shards(now());
             core.role.contact.is_none() && core.has_role()
                 || before != (core.role.leased_shards.len(), core.leads(now()))
@@ -246,7 +246,7 @@
 
     /// As leader or holder, asks whether all that is still this process's.
     async fn confirm(&self) {
-        let (conditions, generation) = self.with(|core| (core.role_conditions(), core.generation()));
+        let (conditions, generation) = self.with(|core| (core.role_conditions(), core.role_generation()));
         let sent: Instant = now();
         let most = 4 * self.with(|core| core.limits().changes);
         let mut confirmed = None;
@@ -270,7 +270,7 @@
             }
         }
         if let Some(revision) = confirmed {
-            self.with(|core| core.confirmed_for(generation, sent, revision));
+            self.with(|core| core.confirm_role_for_generation(generation, sent, revision));
         }
     }
 
@@ -283,7 +283,7 @@
         self.state.expect_less(!mixed && params.state.next.is_some());
         let (rps, writes) = params.state.rates(self.state.has_less());
         let rps = rps / f64::from(params.nodes.max(1));
-        let (lent, borrowed) = self.loans();
+        let (lent, borrowed) = self.lent_and_borrowed_rates();
         self.state.set_rates(rps, (writes * share * 0.94 - lent).max(2.0) + borrowed);
     }
 
@@ -299,12 +299,12 @@
         let heartbeat_interval = self.options.node_lease / 4;
         loop {
             sleep(heartbeat_interval / 2).await;
-            let age = self.state_age();
+            let age = self.lease_renewal_age();
             let loaded = self.with(|core| core.loaded);
             let lost = !loaded || age.is_none_or(|a| a > heartbeat_interval.mul_f64(1.6));
             let fresh = if lost { self.fresh_peer(age, heartbeat_interval).await } else { None };
             self.shared_outage.store(lost && fresh.is_none(), Ordering::Relaxed);
-            let before = std::mem::replace(&mut *lock(&self.helper), fresh);
+            let before = std::mem::replace(&mut *lock(&self.forwarding_peer), fresh);
             if before.is_some() != fresh.is_some() {
                 tracing::info!(alone = fresh.is_some(), "whether this node alone has lost the state service");
             }
@@ -316,7 +316,7 @@
     async fn fresh_peer(&self, age: Option<Duration>, heartbeat_interval: Duration) -> Option<usize> {
         let sights = self.settings.peers.iter().map(|peer| {
             let (peers, peer) = (self.peers.clone(), peer.clone());
-            tokio::spawn(async move { peers.sight(&peer).await })
+            tokio::spawn(async move { peers.controller_status(&peer).await })
         });
         let limit =
             age.unwrap_or(Duration::MAX).saturating_sub(heartbeat_interval).min(heartbeat_interval * 2);
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -225,12 +225,12 @@
                 Err(_) => break,
             }
             if tokio::time::Instant::now() >= deadline {
-                return Reply::busy("the cell that has the job has not confirmed yet", 2);
+                return Reply::unavailable("the cell that has the job has not confirmed yet", 2);
             }
         }
         self.with(|core| match core.jobs.get(id) {
             Some(job @ Job::Final { .. }) => Reply::json(200, &job.status(id)),
-            _ => Reply::busy("the job came home meanwhile", 1),
+            _ => Reply::unavailable("the job came home meanwhile", 1),
         })
     }
 }
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -41,11 +41,11 @@
                 let node = self.clone();
                 self.spawn(async move { node.record(update).await });
             }
-            if !actions.silent.is_empty() && !self.consulting.swap(true, Ordering::Relaxed) {
+            if !actions.silent.is_empty() && !self.peer_probe_running.swap(true, Ordering::Relaxed) {
                 let node = self.clone();
                 self.spawn(async move {
                     node.consult(actions.silent, actions.quiet).await;
-                    node.consulting.store(false, Ordering::Relaxed);
+                    node.peer_probe_running.store(false, Ordering::Relaxed);
                 });
             }
             // Several reasons to look again make one look.
@@ -107,7 +107,7 @@
     }
 
     async fn probe(&self, id: Arc<str>, address: String) {
-        let report = self.ask_status(&address).await;
+        let report = self.fetch_worker_status(&address).await;
         self.with(|core| match report {
             Some(report) if *report.machine == *id => {
                 core.probe_answered(&id);
@@ -125,7 +125,7 @@
     /// is cut off is told by them and by how many are quiet at all, long before
     /// each has been probed.
     async fn consult(&self, mut silent: Vec<(Arc<str>, String)>, quiet: usize) {
-        let turn = self.consulted.fetch_add(MAX_CONSULTED, Ordering::Relaxed);
+        let turn = self.peer_probe_count.fetch_add(MAX_CONSULTED, Ordering::Relaxed);
         let begin = turn % silent.len().max(1);
         silent.rotate_left(begin);
         silent.truncate(MAX_CONSULTED);
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/follow.rs
@@ -1,6 +1,6 @@
 //! Keeping the copy of the records, and confirming what users are told.
 
-use crate::node::{Answered, Node, Question, lock, now};
+use crate::node::{Node, VersionCheck, VersionCheckResult, lock, now};
 use crate::records::PREFIX;
 use dapplecroft_net::Outcome;
 use dapplecroft_state::{Verdicts, Watched};
@@ -82,14 +82,14 @@
     pub(crate) async fn question_loop(self: Arc<Self>) {
         loop {
             let most = 4 * self.with(|core| core.limits().changes);
-            let batch: Vec<Question> = {
-                let mut questions = lock(&self.questions);
+            let batch: Vec<VersionCheck> = {
+                let mut questions = lock(&self.version_checks);
                 questions.retain(|q| !q.reply.is_closed());
                 let n = questions.len().min(most);
                 questions.drain(..n).collect()
             };
             if batch.is_empty() {
-                self.wake_questions.notified().await;
+                self.wake_version_checks.notified().await;
                 continue;
             }
             self.answer(batch).await;
@@ -100,7 +100,7 @@
         }
     }
 
-    async fn answer(&self, batch: Vec<Question>) {
+    async fn answer(&self, batch: Vec<VersionCheck>) {
         let mut versions: HashMap<&str, u64> = HashMap::new();
         for question in &batch {
             // Two askers may have seen different versions; the older one is
@@ -120,7 +120,7 @@
             // A refusal is soon over or lasts: either way, not at full speed.
             sleep(PAUSE / 4).await;
             for question in batch {
-                let _ = question.reply.send(Answered::Unavailable);
+                let _ = question.reply.send(VersionCheckResult::Unavailable);
             }
             return;
         };
@@ -137,9 +137,9 @@
         }
         for question in batch {
             let answer = match renewed.get(&question.key) {
-                Some(true) => Answered::Renewed,
-                Some(false) => Answered::Unavailable,
-                None => Answered::Confirmed,
+                Some(true) => VersionCheckResult::Refreshed,
+                Some(false) => VersionCheckResult::Unavailable,
+                None => VersionCheckResult::Confirmed,
             };
             let _ = question.reply.send(answer);
         }
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -1,6 +1,6 @@
 //! Placement rounds, commits of jobs, and direct commands to workers.
 
-use crate::core::{CommandEnd, CommitOutcome, PendingCommit};
+use crate::core::{CommandOutcome, CommitOutcome, PendingCommit};
 use crate::node::{Node, lock, now};
 use dapplecroft_net::{Failure, Request};
 use dapplecroft_state::UpdateResult;
@@ -164,7 +164,7 @@
                 changes_waiting = self.committer.waiting(),
                 write_room = format!("{:.2}", self.state.write_room()),
                 request_room = format!("{:.2}", self.state.request_room()),
-                users = self.requests.load(std::sync::atomic::Ordering::Relaxed),
+                users = self.active_user_requests.load(std::sync::atomic::Ordering::Relaxed),
                 "how things stand"
             );
         }
@@ -173,13 +173,13 @@
     /// Sends direct commands to the machines that have some to receive.
     pub(crate) async fn command_loop(self: Arc<Self>) {
         loop {
-            let ids = std::mem::take(&mut *lock(&self.to_command));
+            let ids = std::mem::take(&mut *lock(&self.machines_to_command));
             for (n, id) in ids.into_iter().enumerate() {
                 if n % COMMANDS_AT_A_TIME == COMMANDS_AT_A_TIME - 1 {
                     // Hundreds at once must not go before renewals of leases.
                     yield_now().await;
                 }
-                if let Some((address, commands)) = self.with(|core| core.next_command(&id, now())) {
+                if let Some((address, commands)) = self.with(|core| core.next_direct_commands(&id, now())) {
                     let node = self.clone();
                     self.spawn(async move { node.command(&id, address, commands).await });
                 }
@@ -207,13 +207,13 @@
             tracing::warn!(machine = id, status = r.status, "a worker's answer to commands cannot be read");
         }
         let end = match (&answer, &report) {
-            (Ok(_), Some(report)) => CommandEnd::Answered(report),
-            (Err(Failure::NotSent(_)), _) => CommandEnd::NotDelivered,
-            (Ok(r), None) if r.status == 400 => CommandEnd::NotDelivered,
-            _ => CommandEnd::Unknown,
+            (Ok(_), Some(report)) => CommandOutcome::Answered(report),
+            (Err(Failure::NotSent(_)), _) => CommandOutcome::NotDelivered,
+            (Ok(r), None) if r.status == 400 => CommandOutcome::NotDelivered,
+            _ => CommandOutcome::Unknown,
         };
-        self.with(|core| core.command_ended(id, &commands, end, now()));
-        if !matches!(end, CommandEnd::Answered(_)) {
+        self.with(|core| core.direct_commands_finished(id, &commands, end, now()));
+        if !matches!(end, CommandOutcome::Answered(_)) {
             // Its next try is due after a pause, unless a report comes first.
             sleep(Duration::from_secs(1)).await;
             self.with(|core| core.wakeups.command.insert(id.into()));
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -25,7 +25,7 @@
 use tokio::task::JoinSet;
 
 /// What a controller is put together from.
-pub struct Parts {
+pub struct NodeConfig {
     /// The platform's settings.
     pub settings: Arc<Settings>,
     /// The operators' settings.
@@ -39,7 +39,7 @@
     /// Other cells.
     pub cells: Arc<dyn Cells>,
     /// The time of day.
-    pub wall: fn() -> SystemTime,
+    pub wall_clock: fn() -> SystemTime,
     /// Seed of what little chance there is (who stands for election when).
     pub seed: u64,
 }
@@ -64,25 +64,25 @@
         Reply::json(status, &Problem { error: error.to_string() })
     }
 
-    pub(crate) fn busy(error: &str, retry_after: u32) -> Reply {
+    pub(crate) fn unavailable(error: &str, retry_after: u32) -> Reply {
         Reply { retry_after: Some(retry_after), ..Reply::problem(503, error) }
     }
 }
 
 /// A question whether a key still has a version, and where the answer goes.
-pub(crate) struct Question {
+pub(crate) struct VersionCheck {
     pub key: String,
     pub version: u64,
-    pub reply: oneshot::Sender<Answered>,
+    pub reply: oneshot::Sender<VersionCheckResult>,
 }
 
 /// What became of a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Answered {
+pub(crate) enum VersionCheckResult {
     /// It was so when asked.
     Confirmed,
     /// It was not, and has been read again.
-    Renewed,
+    Refreshed,
     /// The state service could not be asked.
     Unavailable,
 }
@@ -97,12 +97,12 @@
     pub(crate) state: Arc<StateClient>,
     pub(crate) cloud: CloudClient,
     pub(crate) committer: Committer,
-    pub(crate) wall: fn() -> SystemTime,
+    pub(crate) wall_clock: fn() -> SystemTime,
     pub(crate) seed: u64,
     core: Mutex<Core>,
-    tasks: Mutex<JoinSet<()>>,
-    pub(crate) questions: Mutex<Vec<Question>>,
-    pub(crate) wake_questions: Notify,
+    background_tasks: Mutex<JoinSet<()>>,
+    pub(crate) version_checks: Mutex<Vec<VersionCheck>>,
+    pub(crate) wake_version_checks: Notify,
     pub(crate) wake_place: Notify,
     pub(crate) wake_flush: Notify,
     pub(crate) wake_command: Notify,
@@ -111,33 +111,33 @@
     pub(crate) wake_fleet: Notify,
     pub(crate) wake_federation: Notify,
     pub(crate) wake_admission: Notify,
-    pub(crate) wake_end: Notify,
-    pub(crate) to_command: Mutex<BTreeSet<Arc<str>>>,
-    pub(crate) requests: AtomicUsize,
+    pub(crate) wake_shutdown: Notify,
+    pub(crate) machines_to_command: Mutex<BTreeSet<Arc<str>>>,
+    pub(crate) active_user_requests: AtomicUsize,
     /// The peer that answers users for this node, while this node alone is out
     /// of contact with the state service.
-    pub(crate) helper: Mutex<Option<usize>>,
+    pub(crate) forwarding_peer: Mutex<Option<usize>>,
     /// Whether nobody is known to reach the state service.
     pub(crate) shared_outage: AtomicBool,
     /// Changes a second left to the leader, and until when.
-    pub(crate) lent: Mutex<Option<(f64, Instant)>>,
+    pub(crate) lent_write_rate: Mutex<Option<(f64, Instant)>>,
     /// Changes a second that other nodes leave to this one, and until when.
-    pub(crate) borrowed: Mutex<Option<(f64, Instant)>>,
-    pub(crate) consulting: AtomicBool,
+    pub(crate) borrowed_write_rate: Mutex<Option<(f64, Instant)>>,
+    pub(crate) peer_probe_running: AtomicBool,
     /// How many silent machines the others were asked about so far.
-    pub(crate) consulted: AtomicUsize,
+    pub(crate) peer_probe_count: AtomicUsize,
     /// What other cells have told of themselves.
     pub(crate) summaries: Mutex<SummaryBook>,
     /// How many requests of other cells are being worked on.
-    pub(crate) exchanging: AtomicUsize,
+    pub(crate) active_cell_requests: AtomicUsize,
     /// When the state service last answered this node's lease renewal.
-    pub(crate) touched: Mutex<Option<Instant>>,
+    pub(crate) lease_renewed_at: Mutex<Option<Instant>>,
     /// Since when the copy of the records is known to show all that was committed.
     pub(crate) caught_up_since: tokio::sync::Mutex<Option<Instant>>,
     /// How many refusals wait for that.
-    pub(crate) catching_up: Mutex<usize>,
+    pub(crate) refusals_awaiting_catch_up: Mutex<usize>,
     /// What little chance there is in answers to users.
-    pub(crate) random: Mutex<StdRng>,
+    pub(crate) rng: Mutex<StdRng>,
 }
 
 /// The steady clock; tests stop and move it.
@@ -146,42 +146,42 @@
 }
 
 /// Units waiting to be committed beyond which new ones are refused.
-const MAX_WAITING_UNITS: usize = 1000;
+const MAX_WAITING_UPDATES: usize = 1000;
 
 impl Node {
     /// Puts a controller together; [`Node::run`] sets it going.
-    pub fn new(parts: Parts) -> Arc<Node> {
-        let settings = parts.settings;
+    pub fn new(config: NodeConfig) -> Arc<Node> {
+        let settings = config.settings;
         let params = &settings.params;
         let nodes = f64::from(params.nodes);
         // The limits are the service's, for all nodes together; what one node
         // leaves unused of its part absorbs the others' bursts.
         let state = StateClient::new(
-            parts.transport.clone(),
+            config.transport.clone(),
             settings.services.state.to_string(),
             params.state.rps / nodes,
             (params.state.write_rps / nodes).max(2.0),
         );
         let cloud = CloudClient::new(
-            parts.transport.clone(),
+            config.transport.clone(),
             settings.services.cloud.to_string(),
             params.cloud.rps * 0.8,
         );
         Arc::new(Node {
-            committer: Committer::new(params.state.txn_ops, MAX_WAITING_UNITS),
-            core: Mutex::new(Core::new(settings.clone(), parts.options.clone(), parts.identity)),
+            committer: Committer::new(params.state.txn_ops, MAX_WAITING_UPDATES),
+            core: Mutex::new(Core::new(settings.clone(), config.options.clone(), config.identity)),
             settings,
-            options: parts.options,
-            transport: parts.transport,
-            peers: parts.peers,
-            cells: parts.cells,
+            options: config.options,
+            transport: config.transport,
+            peers: config.peers,
+            cells: config.cells,
             state: Arc::new(state),
             cloud,
-            wall: parts.wall,
-            seed: parts.seed,
-            tasks: Mutex::default(),
-            questions: Mutex::default(),
-            wake_questions: Notify::new(),
+            wall_clock: config.wall_clock,
+            seed: config.seed,
+            background_tasks: Mutex::default(),
+            version_checks: Mutex::default(),
+            wake_version_checks: Notify::new(),
             wake_place: Notify::new(),
             wake_flush: Notify::new(),
             wake_command: Notify::new(),
@@ -190,21 +190,21 @@
             wake_fleet: Notify::new(),
             wake_federation: Notify::new(),
             wake_admission: Notify::new(),
-            wake_end: Notify::new(),
-            to_command: Mutex::default(),
-            requests: AtomicUsize::new(0),
-            helper: Mutex::default(),
+            wake_shutdown: Notify::new(),
+            machines_to_command: Mutex::default(),
+            active_user_requests: AtomicUsize::new(0),
+            forwarding_peer: Mutex::default(),
             shared_outage: AtomicBool::new(false),
-            lent: Mutex::default(),
-            borrowed: Mutex::default(),
-            consulting: AtomicBool::new(false),
-            consulted: AtomicUsize::new(0),
+            lent_write_rate: Mutex::default(),
+            borrowed_write_rate: Mutex::default(),
+            peer_probe_running: AtomicBool::new(false),
+            peer_probe_count: AtomicUsize::new(0),
             summaries: Mutex::default(),
-            exchanging: AtomicUsize::new(0),
-            touched: Mutex::default(),
+            active_cell_requests: AtomicUsize::new(0),
+            lease_renewed_at: Mutex::default(),
             caught_up_since: tokio::sync::Mutex::default(),
-            catching_up: Mutex::default(),
-            random: Mutex::new(StdRng::seed_from_u64(parts.seed)),
+            refusals_awaiting_catch_up: Mutex::default(),
+            rng: Mutex::new(StdRng::seed_from_u64(config.seed)),
         })
     }
 
@@ -238,67 +238,71 @@
             self.wake_federation.notify_waiters();
         }
         if wakeups.end {
-            self.wake_end.notify_one();
+            self.wake_shutdown.notify_one();
         }
         if !wakeups.command.is_empty() {
-            lock(&self.to_command).extend(wakeups.command);
+            lock(&self.machines_to_command).extend(wakeups.command);
             self.wake_command.notify_one();
         }
     }
 
     /// The time of day in seconds since 1970. Nothing that must hold rests on it.
     pub(crate) fn wall_seconds(&self) -> f64 {
-        (self.wall)().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
+        (self.wall_clock)().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
     }
 
     /// Starts a piece of work that ends with the process.
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
-        let mut tasks = lock(&self.tasks);
-        while tasks.try_join_next().is_some() {}
-        tasks.spawn(work);
+        let mut background_tasks = lock(&self.background_tasks);
+        while background_tasks.try_join_next().is_some() {}
+        background_tasks.spawn(work);
     }
 
     /// Why this process must end, if it must.
-    pub fn ended(&self) -> Option<String> {
+    pub fn shutdown_reason(&self) -> Option<String> {
         self.with(|core| core.ended.clone())
     }
 
     /// Ends all work at once, as the end of the process would.
     pub fn kill(&self) {
-        lock(&self.tasks).abort_all();
+        lock(&self.background_tasks).abort_all();
     }
 
     /// Answers a request to the address that users, workers and health checks use.
     pub async fn handle(self: &Arc<Self>, method: &Method, path: &str, body: Bytes) -> Reply {
         match (method, path) {
-            (&Method::GET, "/up") => self.up(),
+            (&Method::GET, "/up") => self.health_reply(),
             (&Method::POST, "/hello") => self.handle_heartbeat(&body),
-            _ => self.user_request(method, path, body).await,
+            _ => self.handle_user_request(method, path, body).await,
         }
     }
 
     /// The answer to a request that can't be taken whatever it says, so that
     /// nothing of it need be read: after a restart all workers report at once,
     /// and again every few seconds until the records are known.
-    pub fn refuse_unread(&self, path: &str) -> Option<Reply> {
-        (path == "/hello" && !self.with(|core| core.loaded)).then(|| Reply::busy("not ready", 1))
+    pub fn reject_without_reading(&self, path: &str) -> Option<Reply> {
+        (path == "/hello" && !self.with(|core| core.loaded)).then(|| Reply::unavailable("not ready", 1))
     }
 
     /// A node that has not read the records yet is of no use while others are,
     /// but in an outage that all share it stays in service: coming back costs
     /// users longer than the refusals that they get meanwhile.
-    fn up(&self) -> Reply {
+    fn health_reply(&self) -> Reply {
         let ready =
             self.with(|core| core.loaded && core.may_accept()) || self.shared_outage.load(Ordering::Relaxed);
-        if ready { Reply::json(200, &serde_json::json!({"up": true})) } else { Reply::busy("not ready", 1) }
+        if ready {
+            Reply::json(200, &serde_json::json!({"up": true}))
+        } else {
+            Reply::unavailable("not ready", 1)
+        }
     }
 
     fn handle_heartbeat(&self, body: &[u8]) -> Reply {
         // Most of a report is its tasks: they are read only if they are needed.
         if let Ok(head) = serde_json::from_slice::<HeartbeatHead>(body)
-            && let Some(answer) = self.with(|core| core.not_taken(&head, now()))
+            && let Some(answer) = self.with(|core| core.reject_or_redirect(&head, now()))
         {
-            return answer_heartbeat(answer);
+            return heartbeat_reply(answer);
         }
         let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(report) => report,
@@ -307,15 +311,15 @@
                 return Reply::problem(400, "unreadable report");
             }
         };
-        answer_heartbeat(self.with(|core| core.handle_heartbeat(&report, now())))
+        heartbeat_reply(self.with(|core| core.handle_heartbeat(&report, now())))
     }
 }
 
-fn answer_heartbeat(answer: HeartbeatOutcome) -> Reply {
+fn heartbeat_reply(answer: HeartbeatOutcome) -> Reply {
     match answer {
         HeartbeatOutcome::Reply(commands) => Reply::json(200, &commands),
         HeartbeatOutcome::Redirect(report_to) => Reply::json(421, &Redirect { report_to }),
-        HeartbeatOutcome::Unavailable => Reply::busy("holder unknown", 1),
+        HeartbeatOutcome::Unavailable => Reply::unavailable("holder unknown", 1),
     }
 }
 
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -12,21 +12,21 @@
     /// Longest time that a shard lease is good for without a confirmation.
     pub shard_lease: Duration,
     /// Interval between drains.
-    pub drain_every: Duration,
+    pub drain_interval: Duration,
     /// Machines up to this dominant share may be drained.
-    pub drain_trigger: f64,
+    pub drain_max_share: f64,
     /// Window over which the highest share caps what a drain fills.
     pub drain_window: Duration,
     /// Whether waiting work may displace running work of lower rank.
     pub preempt: bool,
     /// Work that has run longer is not displaced.
-    pub preempt_limit: Duration,
+    pub max_preemptible_runtime: Duration,
     /// How long a machine stays idle before it is returned; unset: by
     /// its boot time and price.
-    pub idle_return: Option<Duration>,
+    pub idle_release_after: Option<Duration>,
     /// Whether to rent the cheapest machines that do, or those that are up
     /// soonest. The platform's settings do not say which the users want.
-    pub thrift: bool,
+    pub prefer_cheapest_machines: bool,
     /// Machines of a shard; unset: as many as the limit of a value lets one
     /// record describe.
     pub shard_machines: Option<usize>,
@@ -46,13 +46,13 @@
         Options {
             node_lease: Duration::from_secs(4),
             shard_lease: Duration::from_secs(30),
-            drain_every: Duration::from_secs(10),
-            drain_trigger: 0.5,
+            drain_interval: Duration::from_secs(10),
+            drain_max_share: 0.5,
             drain_window: Duration::from_secs(10),
             preempt: true,
-            preempt_limit: Duration::from_secs(60),
-            idle_return: None,
-            thrift: true,
+            max_preemptible_runtime: Duration::from_secs(60),
+            idle_release_after: None,
+            prefer_cheapest_machines: true,
             shard_machines: None,
             standby_machines: 6,
             max_requests: 256,
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -15,14 +15,14 @@
 use tokio::task::JoinSet;
 
 /// How often the leader asks for room that is not recorded yet.
-const ROOM_EVERY: Duration = Duration::from_millis(500);
+const FREED_ROOM_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// How long changes are left to another node, counted by the one that leaves
 /// them; the other counts on them for less, whatever the answer took.
-const LENT: Duration = Duration::from_millis(700);
-const LENDS: Duration = Duration::from_millis(1500);
+const BORROWED_RATE_LIFETIME: Duration = Duration::from_millis(700);
+const LENT_RATE_LIFETIME: Duration = Duration::from_millis(1500);
 /// The part of what a node has that it leaves to another while it has no use for
 /// it; the rest is for what comes up.
-const LEAVES: f64 = 0.6;
+const LENDABLE_RATE_SHARE: f64 = 0.6;
 /// How long a worker has to answer a probe.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 
@@ -32,9 +32,9 @@
     /// Which of these workers the peer gets an answer from.
     async fn probe(&self, peer: &Peer, addresses: Vec<String>) -> Option<Vec<String>>;
     /// How the peer sees the world.
-    async fn sight(&self, peer: &Peer) -> Option<SightReply>;
+    async fn controller_status(&self, peer: &Peer) -> Option<SightReply>;
     /// Room that has become free in the peer's shards and is not recorded yet.
-    async fn room(&self, peer: &Peer) -> Option<RoomReply>;
+    async fn freed_room(&self, peer: &Peer) -> Option<RoomReply>;
     /// Has a user's request answered by the peer.
     async fn forward(&self, peer: &Peer, request: ForwardRequest) -> Option<Reply>;
     /// What the peer refused lately for want of credit.
@@ -50,10 +50,10 @@
     async fn probe(&self, _: &Peer, _: Vec<String>) -> Option<Vec<String>> {
         None
     }
-    async fn sight(&self, _: &Peer) -> Option<SightReply> {
+    async fn controller_status(&self, _: &Peer) -> Option<SightReply> {
         None
     }
-    async fn room(&self, _: &Peer) -> Option<RoomReply> {
+    async fn freed_room(&self, _: &Peer) -> Option<RoomReply> {
         None
     }
     async fn forward(&self, _: &Peer, _: ForwardRequest) -> Option<Reply> {
@@ -69,9 +69,11 @@
 
 impl PeerService {
     /// How this node sees the world.
-    pub fn own_sight(&self) -> SightReply {
-        let age =
-            self.0.state_age().map_or(u64::MAX, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
+    pub fn local_status(&self) -> SightReply {
+        let age = self
+            .0
+            .lease_renewal_age()
+            .map_or(u64::MAX, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
         SightReply {
             host: self.0.settings.host_name.clone(),
             state_age_ms: age,
@@ -82,28 +84,28 @@
     /// Room that has become free in this node's shards and is not recorded yet.
     /// What of this node's changes nobody here needs is left to the asking one
     /// for as long as that may count on it.
-    pub fn own_room(&self) -> RoomReply {
+    pub fn local_freed_room(&self) -> RoomReply {
         let room = self.0.with(|core| core.freed_room());
-        RoomReply { spare_changes: self.0.lend(), ..room }
+        RoomReply { spare_changes: self.0.lend_write_rate(), ..room }
     }
 
     /// What this node refused lately for want of credit.
-    pub fn own_demand(&self) -> DemandReply {
+    pub fn local_demand(&self) -> DemandReply {
         self.0.with(|core| core.own_demand(now()))
     }
 
     /// Answers another node's user, from what this node knows and reaches.
-    pub async fn own_forward(&self, request: ForwardRequest) -> Option<Reply> {
+    pub async fn answer_forwarded_request(&self, request: ForwardRequest) -> Option<Reply> {
         let method = http::Method::from_bytes(request.method.as_bytes()).ok()?;
-        Some(self.0.answer_user(&method, &request.path, request.body.into()).await)
+        Some(self.0.answer_user_locally(&method, &request.path, request.body.into()).await)
     }
 
     /// Which of these workers this node gets an answer from.
-    pub async fn own_probe(&self, addresses: Vec<String>) -> Vec<String> {
+    pub async fn probe_workers(&self, addresses: Vec<String>) -> Vec<String> {
         let mut probes = JoinSet::new();
         for address in addresses.into_iter().take(MAX_CONSULTED) {
             let node = self.0.clone();
-            probes.spawn(async move { node.ask_status(&address).await.map(|_| address) });
+            probes.spawn(async move { node.fetch_worker_status(&address).await.map(|_| address) });
         }
         probes.join_all().await.into_iter().flatten().collect()
     }
@@ -115,14 +117,14 @@
         &self,
         _: tonic::Request<SightRequest>,
     ) -> Result<tonic::Response<SightReply>, tonic::Status> {
-        Ok(tonic::Response::new(self.own_sight()))
+        Ok(tonic::Response::new(self.local_status()))
     }
 
     async fn demand(
         &self,
         _: tonic::Request<DemandRequest>,
     ) -> Result<tonic::Response<DemandReply>, tonic::Status> {
-        Ok(tonic::Response::new(self.own_demand()))
+        Ok(tonic::Response::new(self.local_demand()))
     }
 
     async fn admission(
@@ -143,7 +145,7 @@
         &self,
         request: tonic::Request<ProbeRequest>,
     ) -> Result<tonic::Response<ProbeReply>, tonic::Status> {
-        let reached = self.own_probe(request.into_inner().addresses).await;
+        let reached = self.probe_workers(request.into_inner().addresses).await;
         Ok(tonic::Response::new(ProbeReply { reached }))
     }
 
@@ -151,14 +153,14 @@
         &self,
         _: tonic::Request<RoomRequest>,
     ) -> Result<tonic::Response<RoomReply>, tonic::Status> {
-        Ok(tonic::Response::new(self.own_room()))
+        Ok(tonic::Response::new(self.local_freed_room()))
     }
 
     async fn forward(
         &self,
         request: tonic::Request<ForwardRequest>,
     ) -> Result<tonic::Response<ForwardReply>, tonic::Status> {
-        let Some(reply) = self.own_forward(request.into_inner()).await else {
+        let Some(reply) = self.answer_forwarded_request(request.into_inner()).await else {
             return Err(tonic::Status::invalid_argument("no such method"));
         };
         let Reply { status, body, retry_after } = reply;
@@ -169,9 +171,9 @@
 impl Node {
     /// As leader, asks the holders again and again what has become free, since
     /// their records follow only when changes are to be had.
-    pub(crate) async fn room_loop(self: Arc<Self>) {
+    pub(crate) async fn freed_room_loop(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(ROOM_EVERY).await;
+            tokio::time::sleep(FREED_ROOM_POLL_INTERVAL).await;
             let ask =
                 self.with(|core| core.leads(now()) && core.shards.len() > core.role.leased_shards.len());
             if !ask {
@@ -180,47 +182,50 @@
             let mut asked = JoinSet::new();
             for peer in &self.settings.peers {
                 let (peers, peer) = (self.peers.clone(), peer.clone());
-                asked.spawn(async move { peers.room(&peer).await });
+                asked.spawn(async move { peers.freed_room(&peer).await });
             }
             let mut spare = 0.0;
             for reply in asked.join_all().await.into_iter().flatten() {
                 self.with(|core| core.take_room(&reply, now()));
                 spare += reply.spare_changes.clamp(0.0, self.settings.params.state.write_rps);
             }
-            *lock(&self.borrowed) = Some((spare, now() + LENT));
+            *lock(&self.borrowed_write_rate) = Some((spare, now() + BORROWED_RATE_LIFETIME));
             self.set_rates();
         }
     }
 
     /// Leaves most of this node's changes to the asking one if nothing here waits
     /// for any; returns how many a second.
-    fn lend(&self) -> f64 {
+    fn lend_write_rate(&self) -> f64 {
         let idle = self.state.write_room() > 0.9 && self.committer.waiting() == 0;
-        let share = if idle { self.own_write_rate() * LEAVES } else { 0.0 };
-        let mut lent = lock(&self.lent);
+        let share = if idle { self.own_write_rate() * LENDABLE_RATE_SHARE } else { 0.0 };
+        let mut lent_write_rate = lock(&self.lent_write_rate);
         if share > 0.0 {
-            *lent = Some((share, now() + LENDS));
+            *lent_write_rate = Some((share, now() + LENT_RATE_LIFETIME));
         }
-        drop(lent);
+        drop(lent_write_rate);
         self.set_rates();
         share
     }
 
     /// Changes a second that this node has lent and borrowed.
-    pub(crate) fn loans(&self) -> (f64, f64) {
-        let open = |loan: &Option<(f64, std::time::Instant)>| {
+    pub(crate) fn lent_and_borrowed_rates(&self) -> (f64, f64) {
+        let active_rate = |loan: &Option<(f64, std::time::Instant)>| {
             loan.filter(|(_, until)| *until > now()).map_or(0.0, |(rate, _)| rate)
         };
-        (open(&lock(&self.lent)), open(&lock(&self.borrowed)))
+        (active_rate(&lock(&self.lent_write_rate)), active_rate(&lock(&self.borrowed_write_rate)))
     }
 
     /// How long ago the state service last answered this node's renewal.
-    pub(crate) fn state_age(&self) -> Option<Duration> {
-        lock(&self.touched).map(|at| now().saturating_duration_since(at))
+    pub(crate) fn lease_renewal_age(&self) -> Option<Duration> {
+        lock(&self.lease_renewed_at).map(|at| now().saturating_duration_since(at))
     }
 
     /// Asks a worker for its report.
-    pub(crate) async fn ask_status(&self, address: &str) -> Option<dapplecroft_wire::workers::Heartbeat> {
+    pub(crate) async fn fetch_worker_status(
+        &self,
+        address: &str,
+    ) -> Option<dapplecroft_wire::workers::Heartbeat> {
         let request = Request {
             address: address.to_string(),
             method: http::Method::GET,
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -3,7 +3,7 @@
 use crate::admission::OpenSpending;
 use crate::core::{Ruling, SubmissionPlan};
 use crate::jobs::Job;
-use crate::node::{Answered, Node, Question, Reply, lock, now};
+use crate::node::{Node, Reply, VersionCheck, VersionCheckResult, lock, now};
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use bytes::Bytes;
 use dapplecroft_sched::Resources;
@@ -25,27 +25,27 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(1800);
 
 /// Bytes of a value that are kept for what is noted of a job later on.
-const NOTES: usize = 200;
+const LATER_FIELDS_BYTES: usize = 200;
 
 /// Seconds after which to ask again about a job that another cell answers for.
-const OTHER_CELL_RETRY: u32 = 5;
+const OTHER_CELL_RETRY_S: u32 = 5;
 
 /// Bytes of a tag of admission control beside its names: two numbers and what separates
 /// them.
-const TAG_NUMBERS: usize = 64;
+const CREDIT_TAG_NUMBERS_BYTES: usize = 64;
 
 /// How often a submission is looked at again when what it was bound to has changed.
-const MAX_RULINGS: usize = 3;
+const MAX_SUBMISSION_ATTEMPTS: usize = 3;
 
 /// Questions waiting for the state service beyond which reads are refused.
-const MAX_QUESTIONS: usize = 1000;
+const MAX_PENDING_VERSION_CHECKS: usize = 1000;
 
 /// What is known of a job's id, for certain.
-enum Known {
+enum JobLookup {
     /// Its status, fresh.
     Job(JobStatus),
     /// There is no such job.
-    Nothing,
+    NotFound,
     /// It is here for another cell, which alone answers for it.
     OtherCell,
     /// It can't be told now.
@@ -55,19 +55,29 @@
 impl Node {
     /// Answers a user, through a peer while this node alone has lost the state
     /// service.
-    pub(crate) async fn user_request(self: &Arc<Self>, method: &Method, path: &str, body: Bytes) -> Reply {
-        let helper = *lock(&self.helper);
-        if let Some(peer) = helper.and_then(|n| self.settings.peers.get(n)) {
+    pub(crate) async fn handle_user_request(
+        self: &Arc<Self>,
+        method: &Method,
+        path: &str,
+        body: Bytes,
+    ) -> Reply {
+        let forwarding_peer = *lock(&self.forwarding_peer);
+        if let Some(peer) = forwarding_peer.and_then(|n| self.settings.peers.get(n)) {
             let request =
                 ForwardRequest { method: method.to_string(), path: path.to_string(), body: body.to_vec() };
             if let Some(reply) = self.peers.forward(peer, request).await {
                 return reply;
             }
         }
-        self.answer_user(method, path, body).await
+        self.answer_user_locally(method, path, body).await
     }
 
-    pub(crate) async fn answer_user(self: &Arc<Self>, method: &Method, path: &str, body: Bytes) -> Reply {
+    pub(crate) async fn answer_user_locally(
+        self: &Arc<Self>,
+        method: &Method,
+        path: &str,
+        body: Bytes,
+    ) -> Reply {
         let Some(rest) = path.strip_prefix("/v2/runs") else {
             return Reply::problem(404, "no such path");
         };
@@ -77,71 +87,71 @@
         }
         // A bounded number of requests at a time: what is more is told to come
         // back at once instead of waiting for nothing.
-        let slot = self.requests.fetch_add(1, Ordering::Relaxed);
+        let slot = self.active_user_requests.fetch_add(1, Ordering::Relaxed);
         let reply = if slot >= self.options.max_requests {
-            Reply::busy("overloaded", 2)
+            Reply::unavailable("overloaded", 2)
         } else {
             match (method, parts.as_slice()) {
-                (&Method::POST, []) => limited(CHANGE_TIMEOUT, self.submit(&body)).await,
-                (&Method::GET, [id]) => limited(READ_TIMEOUT, self.show(id)).await,
-                (&Method::POST, [id, "withdraw"]) => limited(CHANGE_TIMEOUT, self.withdraw(id)).await,
+                (&Method::POST, []) => with_timeout(CHANGE_TIMEOUT, self.submit(&body)).await,
+                (&Method::GET, [id]) => with_timeout(READ_TIMEOUT, self.get_job(id)).await,
+                (&Method::POST, [id, "withdraw"]) => with_timeout(CHANGE_TIMEOUT, self.cancel_job(id)).await,
                 (_, [] | [_] | [_, "withdraw"]) => Reply::problem(405, "no such method"),
                 _ => Reply::problem(404, "no such path"),
             }
         };
-        self.requests.fetch_sub(1, Ordering::Relaxed);
+        self.active_user_requests.fetch_sub(1, Ordering::Relaxed);
         reply
     }
 
     /// What is committed about a job. Done and withdrawn never change, so they are
     /// answered from memory, also in an outage; anything else, "no such job" included, is
     /// confirmed with the state service first.
-    async fn known(self: &Arc<Self>, id: &str) -> Known {
+    async fn look_up_job(self: &Arc<Self>, id: &str) -> JobLookup {
         let key = records::job_key(id);
         let version = self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => Err(Known::OtherCell),
+            _ if core.is_visiting(id) => Err(JobLookup::OtherCell),
             Some(Job::Open(job)) if job.is_open() => Ok(job.version),
             Some(Job::Away(job)) => Ok(job.version),
-            Some(job) => Err(Known::Job(job.status(id))),
+            Some(job) => Err(JobLookup::Job(job.status(id))),
             None => Ok(0),
         });
         let version = match version {
             Ok(version) => version,
             Err(known) => return known,
         };
-        if self.ask(key, version).await == Answered::Unavailable {
-            return Known::Unavailable;
+        if self.check_version(key, version).await == VersionCheckResult::Unavailable {
+            return JobLookup::Unavailable;
         }
         self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => Known::OtherCell,
-            Some(job) => Known::Job(job.status(id)),
-            None => Known::Nothing,
+            _ if core.is_visiting(id) => JobLookup::OtherCell,
+            Some(job) => JobLookup::Job(job.status(id)),
+            None => JobLookup::NotFound,
         })
     }
 
     /// Asks whether a key still has a version; if not, it is read again.
-    async fn ask(&self, key: String, version: u64) -> Answered {
+    async fn check_version(&self, key: String, version: u64) -> VersionCheckResult {
         let (reply, answer) = oneshot::channel();
         {
-            let mut questions = lock(&self.questions);
-            if questions.len() >= MAX_QUESTIONS {
-                return Answered::Unavailable;
+            let mut version_checks = lock(&self.version_checks);
+            if version_checks.len() >= MAX_PENDING_VERSION_CHECKS {
+                return VersionCheckResult::Unavailable;
             }
-            questions.push(Question { key, version, reply });
+            version_checks.push(VersionCheck { key, version, reply });
         }
-        self.wake_questions.notify_one();
-        answer.await.unwrap_or(Answered::Unavailable)
+        self.wake_version_checks.notify_one();
+        answer.await.unwrap_or(VersionCheckResult::Unavailable)
     }
 
-    async fn show(self: &Arc<Self>, id: &str) -> Reply {
+    async fn get_job(self: &Arc<Self>, id: &str) -> Reply {
         if !valid_id(id) {
             return Reply::problem(404, "no such job");
         }
-        match self.known(id).await {
-            Known::Job(status) => Reply::json(200, &status),
-            Known::Nothing => Reply::problem(404, "no such job"),
-            Known::OtherCell => other_cell(),
-            Known::Unavailable => Reply::busy("state service out of reach", 1),
+        match self.look_up_job(id).await {
+            JobLookup::Job(status) => Reply::json(200, &status),
+            JobLookup::NotFound => Reply::problem(404, "no such job"),
+            JobLookup::OtherCell => other_cell_reply(),
+            JobLookup::Unavailable => Reply::unavailable("state service out of reach", 1),
         }
     }
 
@@ -152,18 +162,18 @@
         };
         let id = spec.id.clone();
         if self.with(|core| core.jobs.contains_key(id.as_str())) {
-            return self.repeated(&id).await;
+            return self.reply_for_existing(&id).await;
         }
-        match self.judge(&spec) {
-            Judgement::Fits => {}
-            Judgement::Unknown => return Reply::busy("machine types not known yet", 2),
-            Judgement::Never(error) => {
-                return self.unless_known(&id, 422, &error).await;
+        match self.check_feasibility(&spec) {
+            Feasibility::Feasible => {}
+            Feasibility::Unknown => return Reply::unavailable("machine types not known yet", 2),
+            Feasibility::Infeasible(error) => {
+                return self.refuse_unless_accepted(&id, 422, &error).await;
             }
         }
         if spec.is_service() && self.with(|core| core.is_mixed()) {
             // A controller of the first version would take it for something else.
-            return Reply::busy("services are not taken before all controllers know them", 5);
+            return Reply::unavailable("services are not taken before all controllers know them", 5);
         }
         self.accept(spec).await
     }
@@ -184,15 +194,15 @@
             credit: None,
         };
         let value = self.with(|core| core.job_value(&record));
-        let notes = NOTES + self.tag_size(&spec);
-        if stored_size(&value) + notes > self.settings.params.state.lasting().value {
-            return self.unless_known(&id, 400, "too long to be stored").await;
+        let reserved_bytes = LATER_FIELDS_BYTES + self.max_credit_tag_bytes(&spec);
+        if stored_size(&value) + reserved_bytes > self.settings.params.state.lasting().value {
+            return self.refuse_unless_accepted(&id, 400, "too long to be stored").await;
         }
         // A conflict about credit means that the leader has granted or taken back some.
-        for _ in 0..MAX_RULINGS {
-            let plan = match self.rule(&spec) {
+        for _ in 0..MAX_SUBMISSION_ATTEMPTS {
+            let plan = match self.decide_admission(&spec) {
                 Ruling::Admitted(plan) => plan,
-                Ruling::Refused(pause) => return self.refused(&id, pause).await,
+                Ruling::Refused(pause) => return self.reply_without_credit(&id, pause).await,
             };
             record.credit.clone_from(&plan.tag);
             match self.commit_submission(&id, &record, plan).await {
@@ -201,27 +211,29 @@
                     return Reply::json(201, &status);
                 }
                 UpdateResult::Conflict(keys) if keys.contains(&records::job_key(&id)) => {
-                    return self.repeated(&id).await;
+                    return self.reply_for_existing(&id).await;
                 }
                 UpdateResult::Conflict(keys) => {
                     for key in keys {
                         self.refresh(&key, || true).await;
                     }
                 }
-                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => return Reply::busy("not stored", 1),
+                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => {
+                    return Reply::unavailable("not stored", 1);
+                }
             }
         }
-        Reply::busy("credit changes too quickly", 1)
+        Reply::unavailable("credit changes too quickly", 1)
     }
 
     /// Bytes of a value that the tag of admission control takes at most.
-    fn tag_size(&self, spec: &JobSpec) -> usize {
+    fn max_credit_tag_bytes(&self, spec: &JobSpec) -> usize {
         let names = self.settings.host_name.len() + spec.team.len() + spec.class.len();
-        if self.options.admission.is_some() { TAG_NUMBERS + names } else { 0 }
+        if self.options.admission.is_some() { CREDIT_TAG_NUMBERS_BYTES + names } else { 0 }
     }
 
-    fn rule(&self, spec: &JobSpec) -> Ruling {
-        let random = lock(&self.random).random();
+    fn decide_admission(&self, spec: &JobSpec) -> Ruling {
+        let random = lock(&self.rng).random();
         let wall = self.wall_seconds();
         self.with(|core| core.rule(spec, random, wall, now()))
     }
@@ -250,71 +262,77 @@
 
     /// Turns a submission away until there is credit; one that was accepted before gets
     /// its status, whatever the load.
-    async fn refused(self: &Arc<Self>, id: &str, pause: Duration) -> Reply {
+    async fn reply_without_credit(self: &Arc<Self>, id: &str, pause: Duration) -> Reply {
         if !self.catch_up().await {
-            return Reply::busy("overloaded", seconds(pause));
+            return Reply::unavailable("overloaded", retry_after_seconds(pause));
         }
         if self.with(|core| core.jobs.contains_key(id)) {
-            return self.repeated(id).await;
+            return self.reply_for_existing(id).await;
         }
         let reply = Reply::problem(429, "more is asked for than can be done: come back later");
-        Reply { retry_after: Some(seconds(pause)), ..reply }
+        Reply { retry_after: Some(retry_after_seconds(pause)), ..reply }
     }
 
     /// Refuses a submission for good, unless it was accepted before the settings
     /// changed.
-    async fn unless_known(self: &Arc<Self>, id: &str, status: u16, error: &str) -> Reply {
-        match self.known(id).await {
-            Known::Nothing => Reply::problem(status, error),
-            Known::Job(status) => Reply::json(200, &status),
-            Known::OtherCell => other_cell(),
-            Known::Unavailable => Reply::busy("state service out of reach", 1),
+    async fn refuse_unless_accepted(self: &Arc<Self>, id: &str, status: u16, error: &str) -> Reply {
+        match self.look_up_job(id).await {
+            JobLookup::NotFound => Reply::problem(status, error),
+            JobLookup::Job(status) => Reply::json(200, &status),
+            JobLookup::OtherCell => other_cell_reply(),
+            JobLookup::Unavailable => Reply::unavailable("state service out of reach", 1),
         }
     }
 
-    async fn repeated(self: &Arc<Self>, id: &str) -> Reply {
-        match self.known(id).await {
-            Known::Job(status) => Reply::json(200, &status),
-            Known::OtherCell => other_cell(),
-            Known::Nothing | Known::Unavailable => Reply::busy("state service out of reach", 1),
+    async fn reply_for_existing(self: &Arc<Self>, id: &str) -> Reply {
+        match self.look_up_job(id).await {
+            JobLookup::Job(status) => Reply::json(200, &status),
+            JobLookup::OtherCell => other_cell_reply(),
+            JobLookup::NotFound | JobLookup::Unavailable => {
+                Reply::unavailable("state service out of reach", 1)
+            }
         }
     }
 
     /// Whether a job can ever run.
-    fn judge(&self, spec: &JobSpec) -> Judgement {
+    fn check_feasibility(&self, spec: &JobSpec) -> Feasibility {
         let Some(team) = self.settings.params.teams.iter().find(|t| t.name == spec.team) else {
-            return Judgement::Never("unknown team".into());
+            return Feasibility::Infeasible("unknown team".into());
         };
         let over = |required: f64, limit: f64| limit > 0.0 && required > limit;
         // Tasks run one after the other if need be; replicas must all run.
         let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
         if over(spec.cpus * at_once, team.cpus_max) || over(spec.gpus * at_once, team.gpus_max) {
-            return Judgement::Never("needs more than the team's limit".into());
+            return Feasibility::Infeasible("needs more than the team's limit".into());
         }
         self.with(|core| {
-            let Some(catalog) = &core.catalog else { return Judgement::Unknown };
+            let Some(catalog) = &core.catalog else { return Feasibility::Unknown };
             let required = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
             let fits = catalog.machine_types.iter().any(|t| {
                 spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
                     && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
                     && required.fits(&Resources::new(t.cpus, t.gpus, t.memory_gb))
             });
-            if fits { Judgement::Fits } else { Judgement::Never("fits no allowed machine type".into()) }
+            if fits {
+                Feasibility::Feasible
+            } else {
+                Feasibility::Infeasible("fits no allowed machine type".into())
+            }
         })
     }
 
-    async fn withdraw(self: &Arc<Self>, id: &str) -> Reply {
+    async fn cancel_job(self: &Arc<Self>, id: &str) -> Reply {
         if !valid_id(id) {
             return Reply::problem(404, "no such job");
         }
         // A conflict means that something else about the job was committed
         // meanwhile: it is looked at again.
         for _ in 0..10 {
-            let status = match self.known(id).await {
-                Known::Job(status) => status,
-                Known::Nothing => return Reply::problem(404, "no such job"),
-                Known::OtherCell => return other_cell(),
-                Known::Unavailable => return Reply::busy("state service out of reach", 1),
+            let status = match self.look_up_job(id).await {
+                JobLookup::Job(status) => status,
+                JobLookup::NotFound => return Reply::problem(404, "no such job"),
+                JobLookup::OtherCell => return other_cell_reply(),
+                JobLookup::Unavailable => return Reply::unavailable("state service out of reach", 1),
             };
             if matches!(status.stage, Stage::Done | Stage::Withdrawn) {
                 return Reply::json(200, &status);
@@ -339,32 +357,34 @@
                     });
                     return match status {
                         Some(status) => Reply::json(200, &status),
-                        None => Reply::busy("not stored", 1),
+                        None => Reply::unavailable("not stored", 1),
                     };
                 }
                 UpdateResult::Conflict(_) => {}
-                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => return Reply::busy("not stored", 1),
+                UpdateResult::Refused(_) | UpdateResult::Unknown(_) => {
+                    return Reply::unavailable("not stored", 1);
+                }
             }
         }
-        Reply::busy("the job changes too quickly", 1)
+        Reply::unavailable("the job changes too quickly", 1)
     }
 }
 
-fn seconds(pause: Duration) -> u32 {
+fn retry_after_seconds(pause: Duration) -> u32 {
     u32::try_from(pause.as_secs()).unwrap_or(u32::MAX).max(1)
 }
 
 /// A job that is here for another cell: only that one tells its user how it stands.
-fn other_cell() -> Reply {
-    Reply::busy("another cell answers for this job", OTHER_CELL_RETRY)
+fn other_cell_reply() -> Reply {
+    Reply::unavailable("another cell answers for this job", OTHER_CELL_RETRY_S)
 }
 
-enum Judgement {
-    Fits,
+enum Feasibility {
+    Feasible,
     Unknown,
-    Never(String),
+    Infeasible(String),
 }
 
-async fn limited(limit: Duration, work: impl Future<Output = Reply>) -> Reply {
-    tokio::time::timeout(limit, work).await.unwrap_or_else(|_| Reply::busy("took too long", 1))
+async fn with_timeout(limit: Duration, work: impl Future<Output = Reply>) -> Reply {
+    tokio::time::timeout(limit, work).await.unwrap_or_else(|_| Reply::unavailable("took too long", 1))
 }
--- a/crates/dapplecroft-controller/tests/stories/checkpoints.rs
+++ b/crates/dapplecroft-controller/tests/stories/checkpoints.rs
@@ -184,7 +184,7 @@
             timing.runs.insert(job.into(), Duration::from_secs(seconds));
         }
     };
-    let options = Options { preempt: false, drain_every: Duration::from_secs(20), ..Options::default() };
+    let options = Options { preempt: false, drain_interval: Duration::from_secs(20), ..Options::default() };
     let c = Cluster::with(2, adjust, options).await;
     // Two larger tasks bring both machines up, a small one that saves fills each;
     // then the larger ones end, and a task waits that needs a whole machine.
--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -1,7 +1,7 @@
 //! Three controllers with a state service, a cloud and workers, in memory.
 
 use async_trait::async_trait;
-use dapplecroft_controller::{Cells, NoCells, Node, Options, Parts, PeerService, Peers, Reply};
+use dapplecroft_controller::{Cells, NoCells, Node, NodeConfig, Options, PeerService, Peers, Reply};
 use dapplecroft_fakes::{
     Action, FakeCloud, FakeState, Handler, InvariantChecker, Net, Rule, Told, WorkerTiming,
 };
@@ -56,19 +56,19 @@
 #[async_trait]
 impl Peers for FakePeers {
     async fn probe(&self, peer: &Peer, addresses: Vec<String>) -> Option<Vec<String>> {
-        Some(self.reach(peer)?.own_probe(addresses).await)
+        Some(self.reach(peer)?.probe_workers(addresses).await)
     }
-    async fn sight(&self, peer: &Peer) -> Option<SightReply> {
-        Some(self.reach(peer)?.own_sight())
+    async fn controller_status(&self, peer: &Peer) -> Option<SightReply> {
+        Some(self.reach(peer)?.local_status())
     }
-    async fn room(&self, peer: &Peer) -> Option<RoomReply> {
-        Some(self.reach(peer)?.own_room())
+    async fn freed_room(&self, peer: &Peer) -> Option<RoomReply> {
+        Some(self.reach(peer)?.local_freed_room())
     }
     async fn forward(&self, peer: &Peer, request: ForwardRequest) -> Option<Reply> {
-        self.reach(peer)?.own_forward(request).await
+        self.reach(peer)?.answer_forwarded_request(request).await
     }
     async fn demand(&self, peer: &Peer) -> Option<DemandReply> {
-        Some(self.reach(peer)?.own_demand())
+        Some(self.reach(peer)?.local_demand())
     }
 }
 
@@ -244,7 +244,7 @@
             *identities
         };
         let own = self.own_options.lock().unwrap().get(&n).cloned();
-        let node = Node::new(Parts {
+        let node = Node::new(NodeConfig {
             settings: Arc::new(settings(n, self.nodes, &self.next)),
             options: own.unwrap_or_else(|| self.options.clone()),
             identity: format!("process-{identity}"),
@@ -255,7 +255,7 @@
                 apart: self.apart.clone(),
                 host: host(n),
             }),
-            wall,
+            wall_clock: wall,
             seed: identity,
         });
         self.net.serve(&address(n), Arc::new(Front(node.clone())));
--- a/crates/dapplecroft-controller/tests/stories/combined_faults.rs
+++ b/crates/dapplecroft-controller/tests/stories/combined_faults.rs
@@ -122,7 +122,7 @@
                 c.net.rule(Rule::all(&host(n), STATE, Action::LoseAnswer).path("/multi").body(kind).times(3));
             }
         };
-        let options = Options { idle_return: Some(Duration::from_secs(5)), ..Options::default() };
+        let options = Options { idle_release_after: Some(Duration::from_secs(5)), ..Options::default() };
         let c = Cluster::custom(4, long(&["run-3"]), options, serde_json::Value::Null, lose).await;
         c.submit("run-1", "tight", 4, 4.0, "normal").await;
         c.submit("run-2", "free", 3, 8.0, "urgent").await;
--- a/crates/dapplecroft-controller/tests/stories/failures.rs
+++ b/crates/dapplecroft-controller/tests/stories/failures.rs
@@ -168,7 +168,7 @@
 /// A waiting task of a whole machine's size, and two machines that young small
 /// tasks keep half empty.
 async fn split_machines() -> Cluster {
-    let options = Options { preempt: false, drain_every: Duration::from_secs(20), ..Options::default() };
+    let options = Options { preempt: false, drain_interval: Duration::from_secs(20), ..Options::default() };
     let runs = slow(&[("run-1", 8), ("run-2", 8), ("run-3", 100), ("run-4", 100), ("run-5", 5)]);
     let c = Cluster::with(2, runs, options).await;
     // Two larger tasks bring both up, a small one fills each; then the larger
--- a/crates/dapplecroft-controller/tests/stories/late.rs
+++ b/crates/dapplecroft-controller/tests/stories/late.rs
@@ -25,7 +25,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_start_held_on_the_wire_is_void_once_its_task_has_moved() {
-    let options = Options { preempt_limit: Duration::from_secs(600), ..Options::default() };
+    let options = Options { max_preemptible_runtime: Duration::from_secs(600), ..Options::default() };
     let c = Cluster::with(
         2,
         |t| {
@@ -171,7 +171,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_list_older_than_the_last_brings_no_machine_back_and_takes_none() {
-    let options = Options { idle_return: Some(Duration::from_secs(5)), ..Options::default() };
+    let options = Options { idle_release_after: Some(Duration::from_secs(5)), ..Options::default() };
     let c = Cluster::with(
         3,
         |t| {
--- a/crates/dapplecroft-controller/tests/stories/restarts.rs
+++ b/crates/dapplecroft-controller/tests/stories/restarts.rs
@@ -128,11 +128,11 @@
     c.net.rule(Rule::all("", STATE, Action::Refuse));
     c.start_node(0);
     pause(0.2).await;
-    let refused = c.node(0).refuse_unread("/hello").unwrap();
+    let refused = c.node(0).reject_without_reading("/hello").unwrap();
     assert_eq!((refused.status, refused.retry_after), (503, Some(1)));
-    assert!(c.node(0).refuse_unread("/v2/runs/run-1").is_none(), "users get an answer of their own");
+    assert!(c.node(0).reject_without_reading("/v2/runs/run-1").is_none(), "users get an answer of their own");
     c.net.clear_rules();
-    c.until("records read", || c.node(0).refuse_unread("/hello").is_none()).await;
+    c.until("records read", || c.node(0).reject_without_reading("/hello").is_none()).await;
     c.start_node(1);
     c.start_node(2);
     assert_nothing_ran_twice(&c).await;
--- a/crates/dapplecroft-controller/tests/stories/upgrade.rs
+++ b/crates/dapplecroft-controller/tests/stories/upgrade.rs
@@ -218,8 +218,8 @@
     c.until("the switch", || c.is_switched()).await;
     let node = c.node(1);
     c.state.put("dc/format", json!({"layout": 3}));
-    c.until("it ends", || node.ended().is_some()).await;
-    let why = node.ended().unwrap();
+    c.until("it ends", || node.shutdown_reason().is_some()).await;
+    let why = node.shutdown_reason().unwrap();
     assert!(why.contains("layout 3") && !why.contains('\n'), "{why}");
 }
 
--- a/crates/dapplecroft/src/grpc.rs
+++ b/crates/dapplecroft/src/grpc.rs
@@ -46,13 +46,13 @@
         Some(reply.into_inner().reached)
     }
 
-    async fn sight(&self, peer: &Peer) -> Option<SightReply> {
+    async fn controller_status(&self, peer: &Peer) -> Option<SightReply> {
         let mut client = self.client(peer)?;
         let reply = tokio::time::timeout(SIGHT_TIMEOUT, client.sight(SightRequest {})).await.ok()?.ok()?;
         Some(reply.into_inner())
     }
 
-    async fn room(&self, peer: &Peer) -> Option<RoomReply> {
+    async fn freed_room(&self, peer: &Peer) -> Option<RoomReply> {
         let mut client = self.client(peer)?;
         let reply = tokio::time::timeout(SIGHT_TIMEOUT, client.room(RoomRequest {})).await.ok()?.ok()?;
         Some(reply.into_inner())
--- a/crates/dapplecroft/src/http.rs
+++ b/crates/dapplecroft/src/http.rs
@@ -21,7 +21,7 @@
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
         let method = request.method().clone();
         let path = request.uri().path().to_string();
-        let reply = match self.node.refuse_unread(&path) {
+        let reply = match self.node.reject_without_reading(&path) {
             Some(reply) => reply,
             None => match request.take_body().into_bytes_limit(MAX_BODY).await {
                 Ok(body) => self.node.handle(&method, &path, body).await,
--- a/crates/dapplecroft/src/main.rs
+++ b/crates/dapplecroft/src/main.rs
@@ -10,7 +10,7 @@
 mod peer_client;
 
 use clap::{Parser, Subcommand};
-use dapplecroft_controller::{Node, Options, Parts, PeerService, resolve_admission};
+use dapplecroft_controller::{Node, NodeConfig, Options, PeerService, resolve_admission};
 use dapplecroft_net::{Sockets, TcpTransport};
 use dapplecroft_wire::settings::Settings;
 use rand::RngExt;
@@ -157,14 +157,14 @@
     let (listen, back) = (settings.listen, settings.peer_listen);
     let cells_listen = options.federation.as_ref().map(|federation| federation.listen);
     let sockets = Sockets::new(settings.params.quota.max_connections.max(MIN_SOCKETS));
-    let node = Node::new(Parts {
+    let node = Node::new(NodeConfig {
         settings: Arc::new(settings),
         options,
         identity: format!("{:016x}", random.random::<u64>()),
         transport: Arc::new(TcpTransport::new(sockets.clone())),
         peers: Arc::new(grpc::GrpcPeers::default()),
         cells: Arc::new(cells::GrpcCells::default()),
-        wall: SystemTime::now,
+        wall_clock: SystemTime::now,
         seed: random.random(),
     });
     tracing::info!(%listen, %back, "starting");
@@ -175,5 +175,5 @@
         result = cells::serve(node.clone(), cells_listen) => result?,
         () = node.run() => {}
     }
-    Err(node.ended().map_or(Failure::Ended, Failure::MustEnd))
+    Err(node.shutdown_reason().map_or(Failure::Ended, Failure::MustEnd))
 }
--- a/crates/dapplecroft/src/options.rs
+++ b/crates/dapplecroft/src/options.rs
@@ -88,11 +88,11 @@
     };
     set(&mut options.node_lease, seconds("node_lease_s", 1.0, 60.0)?);
     set(&mut options.shard_lease, seconds("block_lease_s", 2.0, 600.0)?);
-    set(&mut options.drain_every, seconds("drain_every_s", 1.0, 3600.0)?);
+    set(&mut options.drain_interval, seconds("drain_every_s", 1.0, 3600.0)?);
     set(&mut options.drain_window, seconds("drain_window_s", 1.0, 3600.0)?);
-    set(&mut options.preempt_limit, seconds("preempt_limit_s", 0.0, 86400.0)?);
-    options.idle_return = seconds("idle_return_s", 1.0, 86400.0)?;
-    options.drain_trigger = number("drain_trigger", 0.0, 1.0)?.unwrap_or(options.drain_trigger);
+    set(&mut options.max_preemptible_runtime, seconds("preempt_limit_s", 0.0, 86400.0)?);
+    options.idle_release_after = seconds("idle_return_s", 1.0, 86400.0)?;
+    options.drain_max_share = number("drain_trigger", 0.0, 1.0)?.unwrap_or(options.drain_max_share);
     if let Some(most) = number("max_requests", 1.0, 10000.0)? {
         options.max_requests = most as usize;
     }
@@ -103,7 +103,8 @@
         options.standby_machines = machines as usize;
     }
     options.preempt = message::flag(&message, "preempt").unwrap_or(options.preempt);
-    options.thrift = message::flag(&message, "thrift").unwrap_or(options.thrift);
+    options.prefer_cheapest_machines =
+        message::flag(&message, "thrift").unwrap_or(options.prefer_cheapest_machines);
     options.federation = federation::read(&message)?;
     options.admission = admission::read(&message)?;
     Ok(options)
@@ -119,14 +120,14 @@
     let fields = [
         ("node_lease_s", seconds(options.node_lease)),
         ("block_lease_s", seconds(options.shard_lease)),
-        ("drain_every_s", seconds(options.drain_every)),
-        ("drain_trigger", Some(Value::F64(options.drain_trigger))),
+        ("drain_every_s", seconds(options.drain_interval)),
+        ("drain_trigger", Some(Value::F64(options.drain_max_share))),
         ("drain_window_s", seconds(options.drain_window)),
         ("preempt", Some(Value::Bool(options.preempt))),
-        ("preempt_limit_s", seconds(options.preempt_limit)),
-        ("idle_return_s", options.idle_return.and_then(seconds)),
+        ("preempt_limit_s", seconds(options.max_preemptible_runtime)),
+        ("idle_return_s", options.idle_release_after.and_then(seconds)),
         ("max_requests", count(options.max_requests)),
-        ("thrift", Some(Value::Bool(options.thrift))),
+        ("thrift", Some(Value::Bool(options.prefer_cheapest_machines))),
         ("block_machines", options.shard_machines.and_then(count)),
         ("standby_machines", count(options.standby_machines)),
     ];
--- a/crates/dapplecroft/src/options/tests.rs
+++ b/crates/dapplecroft/src/options/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn what_is_set_is_taken_and_the_rest_keeps_its_default() {
     let options = parse("# a note\ndrain_trigger: 0.25 preempt: false\nidle_return_s: 30").unwrap();
-    assert_eq!(options.drain_trigger, 0.25);
+    assert_eq!(options.drain_max_share, 0.25);
     assert!(!options.preempt);
-    assert_eq!(options.idle_return, Some(Duration::from_secs(30)));
+    assert_eq!(options.idle_release_after, Some(Duration::from_secs(30)));
     assert_eq!(options.node_lease, Options::default().node_lease);
 }
 
