--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -192,7 +192,7 @@
             let within = guaranteed.get(&unplaced.job).copied().unwrap_or(false);
             let claim = Claim { rank: job.rank(), within_quota: within };
             // Replicas serve for long: what they need gives way however old.
-            let limit = if job.is_service() { Duration::MAX } else { self.options.max_preemptible_runtime };
+            let limit = if job.is_service() { Duration::MAX } else { self.options.max_preempted_loss };
             let fetch_time = |host: &Host| self.fetch_time(&host.slot.machine, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -1,4 +1,5 @@
-//! Leadership, and how long this process may act without a confirmation.
+//! Leadership and shard leases of this process, and how long it may act on them without a confirmation
+//! from the state service.
 
 use super::{CommitTarget, Core, fleet};
 use crate::jobs::Job;
@@ -8,22 +9,22 @@
 use std::time::{Duration, Instant};
 
 impl Core {
-    /// The generation of this process's role: another one each time it was given up.
+    /// The generation of this process's role; it increases each time the role is given up.
     pub fn role_generation(&self) -> u64 {
         self.role.generation
     }
 
-    /// Notes a confirmation that was asked for by a generation of its role: that of
-    /// an earlier one does not count.
+    /// Records a confirmation that was requested in a given generation of the role. It is ignored if the
+    /// role has been given up since.
     pub fn confirm_role_for_generation(&mut self, generation: u64, sent: Instant, revision: u64) {
         if generation == self.role.generation {
             self.confirm_role(sent, revision);
         }
     }
 
-    /// Notes a confirmation of this node's role: sent when, at which revision.
-    /// It counts once all changes up to that revision are known, so that a
-    /// holder in contact has heard of every cancellation before it.
+    /// Records a confirmation of this process's role: when the request was sent, and the revision at which
+    /// the state service confirmed it. It counts only once the record replica has applied all changes up to
+    /// that revision, so that a shard holder in contact knows of every cancellation committed before.
     pub fn confirm_role(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
             self.role.contact = self.role.contact.max(Some(sent));
@@ -32,8 +33,8 @@
         }
     }
 
-    /// The conditions that confirm this process's role: the leader's key and
-    /// its shards are unchanged.
+    /// The conditions that confirm this process's role: its leader key and its shards' records are
+    /// unchanged.
     pub fn role_conditions(&self) -> Vec<Condition> {
         let leader = self.role.leadership.map(|version| Condition { key: records::LEADER.into(), version });
         let shards = self.role.leased_shards.iter();
@@ -43,21 +44,22 @@
             .collect()
     }
 
-    /// Takes note that a key of this process's role is no longer what it was.
+    /// Gives up the part of this process's role that depends on `key`, after the state service reported
+    /// that the key has changed.
     pub fn role_lost(&mut self, key: &str, now: Instant) {
         match records::Key::parse(key) {
             Some(records::Key::Leader) => {
                 self.resign("replaced", now);
-                // The copy may still have this process's own key, and it would
-                // take up its old role by that: not before a confirmation.
+                // The record replica may lag behind and still show this process's own leader key, by which
+                // it would become leader again. Without a new confirmation it must not act on that.
                 self.clear_confirmations();
             }
-            Some(records::Key::Shard(shard)) => self.lose_shard(shard, "leased to another", now),
+            Some(records::Key::Shard(shard)) => self.lose_shard(shard, "leased to another controller", now),
             _ => {}
         }
     }
 
-    /// Takes note of having become leader.
+    /// Records that this process has become leader; `version` is the version of its leader key.
     pub fn become_leader(&mut self, version: u64) {
         self.role.leadership = Some(version);
         self.federation.begin_term();
@@ -66,9 +68,9 @@
         self.wakeups.role = true;
     }
 
-    /// As leader, begins its work once all that earlier leaders committed is
-    /// known: nothing of theirs can be committed any more, since every such
-    /// commit names their key's version.
+    /// Starts the leader's work once the record replica has applied everything that earlier leaders
+    /// committed. They can commit nothing more, since each of their commits is conditional on the version
+    /// of their own leader key.
     pub fn start_leading_when_caught_up(&mut self, now: Instant) {
         let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.ready() {
@@ -83,15 +85,15 @@
         }
     }
 
-    /// Gives up leadership. Shards stay with their holder: the next leader
-    /// finds them in their records.
+    /// Gives up leadership. Shard leases stay with their holders; the next leader reads them from the
+    /// shards' records.
     pub fn resign(&mut self, why: &str, _now: Instant) {
         if self.role.leadership.take().is_some() {
             tracing::info!(why, "no longer leader");
         }
         self.wakeups.role = true;
-        // Allocations that are on their way are settled by their commits, which
-        // name the leader's key; the others are void.
+        // An allocation whose commit is in flight is settled by that commit, which is conditional on the
+        // leader key. The others are dropped.
         let jobs: Vec<Arc<str>> = self.open.iter().cloned().collect();
         for id in jobs {
             let Some(Job::Open(job)) = self.jobs.get_mut(&id) else { continue };
@@ -108,7 +110,7 @@
         self.unplaced.clear();
     }
 
-    /// Gives up everything that hangs on this process's lease.
+    /// Gives up leadership and all shards.
     pub fn step_down(&mut self, why: &str, now: Instant) {
         self.resign(why, now);
         let shards: Vec<u32> = self.role.leased_shards.keys().copied().collect();
@@ -124,42 +126,42 @@
         self.role.generation += 1;
     }
 
-    /// The longest time that this process acts without a confirmation: its
-    /// leases' term, or less if a cancellation that it has not heard of asks
-    /// for it.
+    /// How long this process may act without a confirmation: the term of its shard leases, or less if
+    /// that is needed to end tasks in time after a cancellation that it has not heard of.
     pub fn contact_limit(&self) -> Duration {
         self.settings.contact_limit().min(self.options.shard_lease)
     }
 
-    /// How long ago the request was sent that last confirmed this process's role.
+    /// Time since the request was sent that last confirmed this process's role; `None` if it is
+    /// unconfirmed.
     pub fn contact_age(&self, now: Instant) -> Option<Duration> {
         self.role.contact.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Whether this process may act under its leases now.
+    /// Whether the last confirmation is recent enough for this process to act on its leases.
     pub fn in_contact(&self, now: Instant) -> bool {
         self.contact_age(now).is_some_and(|age| age <= self.contact_limit())
     }
 
-    /// Whether this process leads, knows what its predecessors did, and may act.
+    /// Whether this process is leader, has applied what earlier leaders committed, and is in contact.
     pub fn leads(&self, now: Instant) -> bool {
         self.role.leadership.is_some() && self.fleet.ready() && self.in_contact(now)
     }
 
-    /// The leader's node, if it is another one and up.
+    /// The leader's host, if the leader is another process and alive.
     pub fn leader_host(&self) -> Option<&str> {
         let (leader, _) = self.leader.as_ref()?;
         let live = self.live_controllers.get(&leader.host).is_some_and(|l| l.identity == leader.identity);
         (live && leader.identity != self.identity).then_some(leader.host.as_str())
     }
 
-    /// Whether this process is leader or holder.
+    /// Whether this process is leader or holds a shard.
     pub fn has_role(&self) -> bool {
         self.role.leadership.is_some() || !self.role.leased_shards.is_empty()
     }
 
-    /// This node's part of the state service's writes: users write at every
-    /// node, the leader a little more, and placements go with the shards.
+    /// This controller's share of the state service's write rate. Users' requests cause writes at every
+    /// controller, the leader writes a little more, and placements are written by the shards' holders.
     pub fn write_share(&self) -> f64 {
         let nodes = f64::from(self.settings.params.nodes.max(1));
         let sizes = self.shard_sizes();
@@ -169,7 +171,8 @@
             0 => f64::from(u8::from(self.role.leadership.is_some())),
             _ => own as f64 / total as f64,
         };
-        // Many small tasks take more changes than a few large ones.
+        // Many small tasks cause more writes than a few large ones, so the size of the segments counts
+        // as much as the number of machines.
         let bytes = |held_only: bool| -> usize {
             let segments = self.segments.iter().filter(|(id, _)| !held_only || self.is_holder(id.shard));
             segments.map(|(_, l)| l.size).sum()
--- a/crates/dapplecroft-controller/src/core/roles/tests.rs
+++ b/crates/dapplecroft-controller/src/core/roles/tests.rs
@@ -2,8 +2,8 @@
 use crate::core::testing::core;
 use dapplecroft_wire::state::Followed;
 
-// After a cut, a replaced leader found its own key in its copy, which had
-// not caught up, and took its role up again for a moment.
+// After a network partition, the record replica of a replaced leader lagged behind and still showed its
+// own leader key, so the process became leader again for a moment.
 #[test]
 fn a_replaced_leader_does_not_act_on_its_stale_leader_key() {
     let now = Instant::now();
@@ -14,14 +14,14 @@
     core.confirm_role(now, 5);
     assert!(core.leads(now));
     core.role_lost(records::LEADER, now);
-    // The copy says still that the key is its own.
+    // The record replica still shows this process's own key.
     core.become_leader(5);
     core.start_leading_when_caught_up(now);
     assert!(!core.leads(now));
 }
 
-// One that was asked for before the role was lost, and answered after, would have
-// brought it back.
+// A confirmation that was requested before the role was lost and answered afterwards must not make the
+// process act on its new role.
 #[test]
 fn a_confirmation_requested_before_the_role_was_lost_does_not_count() {
     let now = Instant::now();
@@ -40,7 +40,8 @@
     assert!(core.leads(now));
 }
 
-// It counts from the sending, and only once the copy has caught up with it.
+// Contact is measured from the time the request was sent, and a confirmation counts only once the record
+// replica has applied its revision.
 #[test]
 fn contact_age_counts_from_the_sending_once_the_replica_has_caught_up() {
     let now = Instant::now();
@@ -48,12 +49,12 @@
     let mut core = core();
     core.follow(Followed { revision: 5, log: Vec::new() }, now);
     core.confirm_role(now, 9);
-    assert!(!core.in_contact(now), "a withdrawal at 9 may not be known yet");
+    assert!(!core.in_contact(now), "a cancellation at revision 9 may not be known yet");
     core.follow(Followed { revision: 8, log: Vec::new() }, now + limit / 2);
     assert!(!core.in_contact(now + limit / 2));
     core.follow(Followed { revision: 9, log: Vec::new() }, now + limit / 2);
     assert!(core.in_contact(now + limit) && !core.in_contact(now + limit + Duration::from_millis(1)));
-    // An older one that is answered later does not make it older, nor younger.
+    // An earlier request that is answered later changes nothing.
     core.confirm_role(now - Duration::from_secs(1), 9);
     assert_eq!(core.contact_age(now + limit), Some(limit));
 }
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -1,4 +1,4 @@
-//! Workers' sessions: what reports prove, and which commands follow.
+//! Worker sessions: what heartbeats prove about tasks, and which commands the shard holder sends in return.
 
 use super::Core;
 use crate::jobs::{Exit, Job, Stop, TaskId};
@@ -10,45 +10,46 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most commands in one message, far under the limit of a line.
+/// Maximum number of commands in one message, so that a message stays far below the maximum line length.
 const MAX_COMMANDS_PER_MESSAGE: usize = 200;
 
-/// A replica that ran for so long had started well.
+/// A service replica that ran at least this long counts as started successfully: its exit resets the
+/// job's failure count.
 const STABLE_REPLICA_RUN: Duration = Duration::from_secs(30);
-/// Replicas on a machine that the cloud takes back are stopped so long before:
-/// they start elsewhere as soon as that is known.
+/// How long before the cloud reclaims a machine its service replicas are stopped. Replacements start
+/// elsewhere as soon as the stop is known.
 const REPLICA_STOP_LEAD_TIME: Duration = Duration::from_secs(3);
 
-/// What a worker's report is answered with.
+/// How a worker's heartbeat is answered.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// Stay, and do this.
+    /// The worker keeps reporting to this controller and carries out these commands.
     Reply(HeartbeatReply),
-    /// Another node is the right one, if known.
+    /// The worker should report to another controller: its host, if known.
     Redirect(Option<String>),
-    /// This node can't tell now.
+    /// This controller cannot answer now; the worker should try again.
     Unavailable,
 }
 
 impl Core {
-    /// The answer to a report that this process does not take over: another one
-    /// is the right one, or nobody is known to be. `None`: it must be read.
+    /// Answers a heartbeat that this process must not apply, because another controller is responsible for
+    /// the machine or nobody is known to be. Returns `None` if the whole heartbeat must be read.
     pub fn reject_or_redirect(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
         let id = head.machine.as_str();
         if !self.loaded || self.released_machines.contains_key(id) {
-            // If its release was answered, this is a late copy of a message.
+            // Once the machine's release was confirmed, this can only be a delayed copy of a message.
             return Some(HeartbeatOutcome::Unavailable);
         }
         let Some(machine) = self.machines.get(id).filter(|m| m.group.is_some()) else {
-            // A record names every machine before it is used, so one without is
-            // for the leader to take in.
+            // Every machine is recorded before it is used. One without a record is handled by the
+            // leader, which adds the record.
             let unexpected = self.leads(now) && !self.is_expected(id);
             return (!unexpected).then(|| self.redirect_to_leader());
         };
         let shard = machine.shard;
         let Some(shard_lease) = self.active_lease(shard, now) else {
-            // A holder that has lost the state service stops answering, so that
-            // its workers' leases end before a cancellation's limit.
+            // A shard holder that has lost the state service stops answering its workers, so that
+            // their leases expire within the time allowed for a cancellation.
             return Some(match self.holder_host(shard) {
                 _ if self.is_holder(shard) => HeartbeatOutcome::Unavailable,
                 Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
@@ -56,8 +57,8 @@
             });
         };
         if head.token > machine.token(shard_lease.epoch) {
-            // Someone with a newer lease commands this worker.
-            tracing::info!(machine = id, "a worker knows a newer token than this holder's");
+            // A controller with a newer lease commands this worker.
+            tracing::info!(machine = id, "worker has seen a newer fencing token than this shard holder has");
             return Some(HeartbeatOutcome::Redirect(None));
         }
         None
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Answers a report.
+    /// Applies a heartbeat and answers it.
     pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: Instant) -> HeartbeatOutcome {
         let head = HeartbeatHead { machine: report.machine.clone(), token: report.token };
         if let Some(answer) = self.reject_or_redirect(&head, now) {
@@ -85,14 +86,15 @@
         self.apply_heartbeat(report, now);
         let Some(machine) = self.machines.get(id) else { return HeartbeatOutcome::Unavailable };
         let token = machine.token(shard_lease.epoch);
-        // Only the worker's newest message is answered with commands.
+        // Only the worker's newest message gets commands; delayed or repeated ones get none.
         let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
         let commands = if newest { self.pending_commands(id, true, now) } else { Vec::new() };
         self.record_sent_commands(id, &commands, token);
         HeartbeatOutcome::Reply(HeartbeatReply { token, commands })
     }
 
-    /// Takes over a report, however it came. Late copies are ignored.
+    /// Updates the machine and its tasks from a worker's report, whether it came as a heartbeat or in
+    /// answer to a probe or to commands. Reports no newer than the last one are ignored.
     pub fn apply_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
@@ -102,8 +104,8 @@
             return;
         }
         let first = machine.heard.is_none();
-        // Commands on their way stay counted as such even if the session is new:
-        // `clear` must wait until none can be.
+        // `commanding` is kept even if the session is new: `clear` must wait until no direct command
+        // can still be in flight.
         machine.session = report.session;
         machine.sequence = report.sequence;
         machine.seen_token = report.token;
@@ -130,7 +132,11 @@
                 Some(id) => {
                     tasks.insert(id, task.clone());
                 }
-                None => tracing::warn!(machine = report.machine, task = task.task, "an unreadable task"),
+                None => tracing::warn!(
+                    machine = report.machine,
+                    task = task.task,
+                    "worker reported a task with an invalid id"
+                ),
             }
         }
         machine.reported = tasks;
@@ -150,7 +156,8 @@
         self.wakeups.command.insert(id);
     }
 
-    /// Works out what a machine's newest message proves.
+    /// Updates tasks from what the machine's newest report proves: which ones run, which have exited, and
+    /// which are unexpected. `synced`: the report was sent under the current fencing token.
     fn reconcile_reported_tasks(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
@@ -165,7 +172,8 @@
                 continue;
             };
             if session > placed.session {
-                // The worker's lease ended: it killed and forgot its tasks.
+                // The worker's lease expired and a new session began: it killed and forgot the tasks of
+                // the earlier session.
                 exits.push((task.clone(), placed.attempt, None));
                 continue;
             }
@@ -186,9 +194,9 @@
                 }
                 Some(_) => {}
                 None if placed.stop.is_some() && !machine.commanding => {
-                    // It is not there. That proves nothing while a start can
-                    // still be on its way under the present token, and all if
-                    // the worker has since accepted a higher one.
+                    // The worker does not list the task. While a start sent under the current token may
+                    // still be in flight, that proves nothing. Once the worker has accepted a higher
+                    // token, the start is void, so the task has ended.
                     if placed.sent < token {
                         exits.push((task.clone(), placed.attempt, None));
                     } else {
@@ -204,7 +212,7 @@
             .filter(|(_, r)| r.state == TaskState::Running)
             .filter_map(|(t, _)| self.open_job(&t.job).and_then(|j| j.requirements.image.clone()))
             .collect();
-        // What no record has on this machine must end before it runs elsewhere.
+        // A task that runs on this machine without a record must end here before it may run elsewhere.
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         for image in ran {
@@ -224,8 +232,8 @@
         }
     }
 
-    /// Notes that a task's stay on a machine has ended, by proof, for whatever
-    /// reason; `None`: the session, or the machine, is gone.
+    /// Records that a task's attempt on a machine has provably ended. `why` is the exit reason that the
+    /// worker reported, or `None` if the worker's session ended or the machine was released.
     pub(super) fn record_task_exit(
         &mut self,
         task: &TaskId,
@@ -235,7 +243,7 @@
         now: Instant,
     ) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
-        // A replica is never done: whatever it ended by, it is wanted again.
+        // A service replica is never done: it is started again whatever the exit reason.
         let service = job.is_service();
         let done = why == Some(ExitReason::Done) && !service;
         let Some(segment_id) = job.placed.get(&task.index).map(|p| p.segment) else { return };
@@ -244,8 +252,8 @@
         }
         match why {
             Some(ExitReason::Done | ExitReason::Error) if service => {
-                // At once, unless it goes on ending soon after its starts. That
-                // is its own fault, and no machine's.
+                // The replica is restarted at once, unless it keeps exiting soon after it starts: then
+                // the job's backoff applies. The service is at fault, so no machine is marked.
                 let ran = job.placed.get(&task.index).and_then(|p| p.running);
                 if ran.is_some_and(|at| now.saturating_duration_since(at) >= STABLE_REPLICA_RUN) {
                     job.failed_on.clear();
@@ -253,7 +261,7 @@
                 } else {
                     job.failed(id, now);
                 }
-                tracing::info!(task = %task, machine = id, ?why, failures = job.failures, "a replica ended");
+                tracing::info!(task = %task, machine = id, ?why, failures = job.failures, "replica exited");
             }
             Some(ExitReason::Done) => {
                 job.failed_on.clear();
@@ -261,7 +269,7 @@
             }
             Some(ExitReason::Error) => {
                 job.failed(id, now);
-                tracing::info!(task = %task, machine = id, "a task failed");
+                tracing::info!(task = %task, machine = id, "task failed");
                 let failed_on_one_machine = job.failed_on.len() < 2;
                 let machines: Vec<String> = job.failed_on.iter().cloned().collect();
                 for name in machines {
@@ -269,7 +277,8 @@
                         if failed_on_one_machine {
                             machine.failed_jobs.insert(task.job.clone());
                         } else {
-                            // It fails elsewhere too: the job's fault.
+                            // The job has failed on several machines: the job is at fault, not the
+                            // machines.
                             machine.failed_jobs.remove(&task.job);
                         }
                     }
@@ -277,7 +286,7 @@
                 self.wakeups.fleet = true;
             }
             Some(ExitReason::Full | ExitReason::InUse | ExitReason::NoSuch) => {
-                tracing::info!(task = %task, machine = id, ?why, "a start was refused");
+                tracing::info!(task = %task, machine = id, ?why, "worker refused to start a task");
                 if let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) {
                     job.not_before = Some(now + Duration::from_secs(1));
                 }
@@ -285,12 +294,13 @@
             _ => {}
         }
         self.free(task);
-        // What runs where a record of the first layout says so ends in a segment.
+        // Exits are recorded in segments. A task that was placed by a record of the first layout has no
+        // segment, so one is assigned here.
         let segment = if segment_id.segment.is_some() { Some(segment_id) } else { self.assign_segment(id) };
         self.note_end(&task.job, segment.unwrap_or(segment_id), now);
     }
 
-    /// Ends everything on a machine whose release was answered: it is gone.
+    /// Records the exit of every task on a machine whose release the cloud has confirmed.
     pub fn machine_released(&mut self, id: &Arc<str>, now: Instant) {
         self.released_machines.entry(id.clone()).or_insert(now);
         self.unexpected_tasks.retain(|_, on| on != id);
@@ -305,12 +315,18 @@
         self.wakeups.fleet = true;
     }
 
-    /// The cloud takes a machine soon: tasks that can't finish before are moved.
+    /// Handles the cloud's notice that it will reclaim a machine: tasks that cannot finish before then are
+    /// asked to stop, so that they continue elsewhere.
     fn handle_reclaim_notice(&mut self, id: &Arc<str>, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(taken_at) = machine.taken_at else { return };
         let left = taken_at.saturating_duration_since(now);
-        tracing::info!(machine = &**id, ?left, tasks = machine.tasks.len(), "the cloud takes a machine back");
+        tracing::info!(
+            machine = &**id,
+            ?left,
+            tasks = machine.tasks.len(),
+            "the cloud will reclaim a machine"
+        );
         for task in machine.tasks.clone() {
             let Some(job) = self.open_job(&task.job).filter(|j| !j.is_service()) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
@@ -323,9 +339,9 @@
         self.wakeups.fleet = true;
     }
 
-    /// Replicas have no end to reach before their machine goes: they serve as
-    /// long as can be, and move in the last moment. Left alone, their machine
-    /// would have to be missed, and proven gone, first.
+    /// Stops service replicas shortly before the cloud reclaims their machine. They have no work to finish,
+    /// so they serve as long as possible. If they were not stopped, replacements could start only after the
+    /// machine had stopped reporting and was proven gone.
     pub(super) fn stop_replicas_before_reclaim(&mut self, now: Instant) {
         let soon = |m: &&Machine| m.taken_at.is_some_and(|at| at <= now + REPLICA_STOP_LEAD_TIME);
         let held = |m: &&Machine| self.is_holder(m.shard);
@@ -338,9 +354,9 @@
         }
     }
 
-    /// The difference between what the records want of a machine and what it
-    /// last reported. `clear` is only told in the answer to a report: it is the
-    /// one command that must not be overtaken by a repeated start.
+    /// Commands that bring a machine from what it last reported to what the records ask of it. `clear` is
+    /// only sent in the reply to a heartbeat (`in_reply`): a delayed copy of a start must not arrive after
+    /// it.
     fn pending_commands(&self, id: &str, in_reply: bool, now: Instant) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
@@ -364,8 +380,8 @@
                     grace_s: 0.0,
                 }),
                 (Some(placed), state) if state != TaskState::Exited => {
-                    // A second `kill` would end a save that is under way: only a
-                    // cancellation does that.
+                    // A second `kill` would interrupt the task's checkpoint. Only a cancellation may do
+                    // that.
                     let saves = state == TaskState::Saving;
                     if let Some(stop) = placed.stop.filter(|stop| !saves || *stop == Stop::Withdrawn) {
                         let grace = if stop == Stop::Withdrawn { Duration::ZERO } else { placed.grace };
@@ -379,14 +395,15 @@
                 _ => {}
             }
         }
-        // Whoever has been out of contact for longer may have missed cancellations
-        // that users were told of: it goes on answering, but it begins nothing.
+        // A controller that has been out of contact with the state service for longer than this may have
+        // missed cancellations that were already confirmed to users. It keeps answering its workers, but it
+        // starts no tasks.
         let may_start = self.contact_age(now).is_some_and(|age| age <= self.options.node_lease);
         for task in machine.tasks.iter().filter(|_| may_start) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
             let here = placed.committed && *placed.machine == *id && placed.session == machine.session;
-            // Under another attempt it is still to be cleared there first.
+            // If the worker still lists an earlier attempt, that one must be cleared first.
             let still_reported = machine.reported.contains_key(task);
             if here && placed.stop.is_none() && !still_reported && !job.exits.contains_key(&task.index) {
                 commands.push(Command::Start { task: task.to_string(), attempt: placed.attempt });
@@ -413,7 +430,8 @@
         }
     }
 
-    /// Direct commands that a machine should receive now, with its address.
+    /// Direct commands to send to a machine now, with its worker's address. `None` if there is nothing to
+    /// send, or the machine cannot be commanded yet.
     pub fn next_direct_commands(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
         let machine = self.machines.get(id)?;
         let shard_lease = self.active_lease(machine.shard, now)?;
@@ -423,8 +441,8 @@
         }
         let commands = self.pending_commands(id, false, now);
         let machine = self.machines.get_mut(id)?;
-        // Without commands a message still brings the present token to the
-        // worker, so that its tasks are known and it can take work soon.
+        // A message without commands still brings the current token to the worker. Its next report then
+        // counts as proof of its tasks, and it can be given work sooner.
         let token_outdated = !machine.synced(shard_lease.epoch);
         if commands.is_empty() && !token_outdated {
             return None;
@@ -436,8 +454,7 @@
         Some((address, DirectCommands { token, session, commands }))
     }
 
-    /// Notes what became of direct commands: answered, with the worker's report
-    /// if it could be read; certainly not delivered; or unknown.
+    /// Records the outcome of direct commands that were sent to a machine.
     pub fn direct_commands_finished(
         &mut self,
         id: &str,
@@ -448,13 +465,13 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if !machine.is_present(sent.token, shard_lease.epoch) {
-            // Sent before the shard was lost, or taken up anew.
+            // The commands were sent before this process lost the shard or acquired it again.
             return;
         }
         machine.commanding = false;
         match outcome {
             CommandOutcome::Answered(report) => {
-                // Refused for a newer token: whoever holds that is in command.
+                // The worker has seen a newer token and refused: whoever holds that token commands it.
                 machine.command_after = (report.token > sent.token).then(|| now + Duration::from_secs(1));
                 if report.machine == *id {
                     self.apply_heartbeat(report, now);
@@ -462,25 +479,25 @@
             }
             CommandOutcome::NotDelivered => machine.command_after = Some(now + Duration::from_secs(1)),
             CommandOutcome::Unknown => {
-                // They may be executed much later, also after the task has moved
-                // or was cleared: a higher token makes them void.
+                // The worker may execute the commands much later, even after the task has moved or was
+                // cleared. A higher token makes them void.
                 machine.raise_token();
                 machine.command_after = Some(now + Duration::from_secs(1));
-                tracing::debug!(machine = id, "outcome of commands unknown, token raised");
+                tracing::debug!(machine = id, "outcome of direct commands unknown; fencing token raised");
             }
         }
         self.wakeups.command.insert(id.into());
     }
 }
 
-/// What became of direct commands.
+/// Outcome of sending direct commands.
 #[derive(Debug, Clone, Copy)]
 pub enum CommandOutcome<'a> {
-    /// The worker answered.
+    /// The worker answered with its report.
     Answered(&'a Heartbeat),
-    /// They certainly never left.
+    /// The commands were certainly not delivered.
     NotDelivered,
-    /// Nobody knows.
+    /// The commands may or may not have been delivered.
     Unknown,
 }
 
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -6,7 +6,8 @@
 use dapplecroft_wire::workers::TaskStatus;
 use serde_json::json;
 
-/// A core that commands a worker whose one task saves, and is to be stopped.
+/// A core that holds the shard of a machine whose only task is saving a checkpoint and has been asked to
+/// stop.
 fn core_with_saving_task(stop: Stop, now: Instant) -> Core {
     let mut core = core();
     core.apply("dc/j/run-1", Some(job_record("run-1", 1, json!({"0": [[0, 0]]}))), 5, now);
@@ -31,8 +32,8 @@
     core
 }
 
-// What was left of a notice shrank while the task saved, until nothing was: a second
-// command, with no time, ended the save.
+// Guards against a second `kill` that interrupts a checkpoint: the time left before a reclaim shrank to
+// zero while the task was saving, and a repeated command without grace time ended the save.
 #[test]
 fn only_a_cancellation_interrupts_a_task_that_is_saving() {
     let now = Instant::now();
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -94,7 +94,7 @@
     pub(crate) async fn catch_up(&self) -> bool {
         let begun = now();
         let Some(_place) = CatchUpPlace::take(self) else { return false };
-        let mut last = self.caught_up_since.lock().await;
+        let mut last = self.caught_up_as_of.lock().await;
         if last.is_some_and(|at| at >= begun) {
             return true;
         }
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -1,4 +1,5 @@
-//! One controller: the core behind a lock, its clients, and request handling.
+//! One controller: its scheduling core behind a lock, its clients of other systems, and its request
+//! handling.
 
 use crate::cells::Cells;
 use crate::core::{Core, HeartbeatOutcome, Wakeups};
@@ -24,34 +25,34 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::JoinSet;
 
-/// What a controller is put together from.
+/// Settings and dependencies of a controller.
 pub struct NodeConfig {
     /// The platform's settings.
     pub settings: Arc<Settings>,
     /// The operators' settings.
     pub options: Options,
-    /// The identity of this process: another one at every start.
+    /// The identity of this process; different at every start.
     pub identity: String,
-    /// Carries requests to outside systems.
+    /// Transport for HTTP requests to the state service, the cloud and the workers.
     pub transport: Arc<dyn Transport>,
-    /// The other controllers.
+    /// Client of the other controllers of this cell.
     pub peers: Arc<dyn Peers>,
-    /// Other cells.
+    /// Client of the other cells of the federation.
     pub cells: Arc<dyn Cells>,
-    /// The time of day.
+    /// Source of the time of day.
     pub wall_clock: fn() -> SystemTime,
-    /// Seed of what little chance there is (who stands for election when).
+    /// Seed of the random numbers, such as the delay before standing for election.
     pub seed: u64,
 }
 
-/// An answer to a request.
+/// Response to an HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
     /// JSON body.
     pub body: Vec<u8>,
-    /// Value of `Retry-After`.
+    /// Value of the `Retry-After` header in seconds.
     pub retry_after: Option<u32>,
 }
 
@@ -69,21 +70,21 @@
     }
 }
 
-/// A question whether a key still has a version, and where the answer goes.
+/// A request to check with the state service whether a key still has a version.
 pub(crate) struct VersionCheck {
     pub key: String,
     pub version: u64,
     pub reply: oneshot::Sender<VersionCheckResult>,
 }
 
-/// What became of a question.
+/// Result of a version check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum VersionCheckResult {
-    /// It was so when asked.
+    /// The key had this version when the state service was asked.
     Confirmed,
-    /// It was not, and has been read again.
+    /// The key had another version; its record has been read again.
     Refreshed,
-    /// The state service could not be asked.
+    /// The state service did not answer.
     Unavailable,
 }
 
@@ -114,48 +115,49 @@
     pub(crate) wake_shutdown: Notify,
     pub(crate) machines_to_command: Mutex<BTreeSet<Arc<str>>>,
     pub(crate) active_user_requests: AtomicUsize,
-    /// The peer that answers users for this node, while this node alone is out
-    /// of contact with the state service.
+    /// Index of the peer to which users' requests are forwarded while only this controller has lost contact
+    /// with the state service.
     pub(crate) forwarding_peer: Mutex<Option<usize>>,
-    /// Whether nobody is known to reach the state service.
+    /// Whether this controller has lost the state service and knows no peer that still reaches it.
     pub(crate) shared_outage: AtomicBool,
-    /// Changes a second left to the leader, and until when.
+    /// Writes per second that this controller lends to the leader, and until when.
     pub(crate) lent_write_rate: Mutex<Option<(f64, Instant)>>,
-    /// Changes a second that other nodes leave to this one, and until when.
+    /// Writes per second that other controllers lend to this one, and until when.
     pub(crate) borrowed_write_rate: Mutex<Option<(f64, Instant)>>,
     pub(crate) peer_probe_running: AtomicBool,
-    /// How many silent machines the others were asked about so far.
+    /// Number of silent machines that peers have been asked to probe so far; determines which ones are
+    /// next.
     pub(crate) peer_probe_count: AtomicUsize,
-    /// What other cells have told of themselves.
+    /// Summaries that other cells have sent of their state.
     pub(crate) summaries: Mutex<SummaryBook>,
-    /// How many requests of other cells are being worked on.
+    /// Number of requests from other cells that are being handled.
     pub(crate) active_cell_requests: AtomicUsize,
-    /// When the state service last answered this node's lease renewal.
+    /// When the last lease renewal that the state service answered was sent.
     pub(crate) lease_renewed_at: Mutex<Option<Instant>>,
-    /// Since when the copy of the records is known to show all that was committed.
-    pub(crate) caught_up_since: tokio::sync::Mutex<Option<Instant>>,
-    /// How many refusals wait for that.
+    /// The time as of which the record replica is known to contain everything that had been committed.
+    pub(crate) caught_up_as_of: tokio::sync::Mutex<Option<Instant>>,
+    /// Number of refusals that wait for the record replica to catch up.
     pub(crate) refusals_awaiting_catch_up: Mutex<usize>,
-    /// What little chance there is in answers to users.
+    /// Random numbers for answers to users, such as the time after which to retry.
     pub(crate) rng: Mutex<StdRng>,
 }
 
-/// The steady clock; tests stop and move it.
+/// The monotonic clock; tests pause and advance it.
 pub(crate) fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// Units waiting to be committed beyond which new ones are refused.
+/// Maximum number of atomic updates waiting to be committed; further ones are refused.
 const MAX_WAITING_UPDATES: usize = 1000;
 
 impl Node {
-    /// Puts a controller together; [`Node::run`] sets it going.
+    /// Creates a controller; [`Node::run`] starts it.
     pub fn new(config: NodeConfig) -> Arc<Node> {
         let settings = config.settings;
         let params = &settings.params;
         let nodes = f64::from(params.nodes);
-        // The limits are the service's, for all nodes together; what one node
-        // leaves unused of its part absorbs the others' bursts.
+        // The rate limits are those of the service, for all controllers together. Each controller gets an
+        // equal part; what one leaves unused absorbs bursts of the others.
         let state = StateClient::new(
             config.transport.clone(),
             settings.services.state.to_string(),
@@ -202,14 +204,14 @@
             summaries: Mutex::default(),
             active_cell_requests: AtomicUsize::new(0),
             lease_renewed_at: Mutex::default(),
-            caught_up_since: tokio::sync::Mutex::default(),
+            caught_up_as_of: tokio::sync::Mutex::default(),
             refusals_awaiting_catch_up: Mutex::default(),
             rng: Mutex::new(StdRng::seed_from_u64(config.seed)),
         })
     }
 
-    /// Works with the core, and wakes the loops that have something to do then.
-    /// The lock is never held across a wait.
+    /// Runs `work` on the locked core, then wakes the loops that have something to do. The lock is never
+    /// held across an `await`.
     pub fn with<R>(&self, work: impl FnOnce(&mut Core) -> R) -> R {
         let (result, wakeups) = {
             let mut core = lock(&self.core);
@@ -246,29 +248,29 @@
         }
     }
 
-    /// The time of day in seconds since 1970. Nothing that must hold rests on it.
+    /// The time of day in seconds since 1970. Correctness must not depend on it.
     pub(crate) fn wall_seconds(&self) -> f64 {
         (self.wall_clock)().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
     }
 
-    /// Starts a piece of work that ends with the process.
+    /// Starts a background task that is aborted by [`Node::kill`].
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         let mut background_tasks = lock(&self.background_tasks);
         while background_tasks.try_join_next().is_some() {}
         background_tasks.spawn(work);
     }
 
-    /// Why this process must end, if it must.
+    /// Why this process must exit, if it must.
     pub fn shutdown_reason(&self) -> Option<String> {
         self.with(|core| core.ended.clone())
     }
 
-    /// Ends all work at once, as the end of the process would.
+    /// Aborts all background tasks at once, as the end of the process would.
     pub fn kill(&self) {
         lock(&self.background_tasks).abort_all();
     }
 
-    /// Answers a request to the address that users, workers and health checks use.
+    /// Answers an HTTP request from a user, a worker or a health check.
     pub async fn handle(self: &Arc<Self>, method: &Method, path: &str, body: Bytes) -> Reply {
         match (method, path) {
             (&Method::GET, "/up") => self.health_reply(),
@@ -277,16 +279,17 @@
         }
     }
 
-    /// The answer to a request that can't be taken whatever it says, so that
-    /// nothing of it need be read: after a restart all workers report at once,
-    /// and again every few seconds until the records are known.
+    /// The refusal of a request that cannot be handled whatever its body says, so that the body need not be
+    /// read. After a restart all workers report at once, and again every few seconds until the records have
+    /// been loaded.
     pub fn reject_without_reading(&self, path: &str) -> Option<Reply> {
         (path == "/hello" && !self.with(|core| core.loaded)).then(|| Reply::unavailable("not ready", 1))
     }
 
-    /// A node that has not read the records yet is of no use while others are,
-    /// but in an outage that all share it stays in service: coming back costs
-    /// users longer than the refusals that they get meanwhile.
+    /// Answers a health check. A controller that has not loaded the records is reported as not ready, so
+    /// that requests go to the others. In an outage of the state service that all controllers share it
+    /// stays in service: users would wait longer for its return to service than the refusals cost them
+    /// meanwhile.
     fn health_reply(&self) -> Reply {
         let ready =
             self.with(|core| core.loaded && core.may_accept()) || self.shared_outage.load(Ordering::Relaxed);
@@ -298,7 +301,7 @@
     }
 
     fn handle_heartbeat(&self, body: &[u8]) -> Reply {
-        // Most of a report is its tasks: they are read only if they are needed.
+        // The tasks make up most of a heartbeat; they are parsed only if they are needed.
         if let Ok(head) = serde_json::from_slice::<HeartbeatHead>(body)
             && let Some(answer) = self.with(|core| core.reject_or_redirect(&head, now()))
         {
@@ -307,7 +310,7 @@
         let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(error) => {
-                tracing::warn!(%error, "an unreadable report");
+                tracing::warn!(%error, "heartbeat could not be parsed");
                 return Reply::problem(400, "unreadable report");
             }
         };
@@ -323,7 +326,7 @@
     }
 }
 
-/// A lock that a panic elsewhere does not spoil.
+/// Locks a mutex, even if another thread panicked while holding it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -1,43 +1,48 @@
-//! Operators' own settings with their defaults.
+//! The operators' settings and their defaults.
 
 use dapplecroft_admission::RawAdmission;
 use dapplecroft_federation::Federation;
 use std::time::Duration;
 
-/// What operators may tune, beyond what the platform hands over.
+/// What operators may tune, in addition to the platform's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// How long the leader's and the nodes' keys outlive their process.
+    /// Time to live of the state service's lease on the leader key and on each controller's liveness key:
+    /// how long the keys remain after their process has died.
     pub node_lease: Duration,
-    /// Longest time that a shard lease is good for without a confirmation.
+    /// How long a shard's holder may act on its lease without a confirmation from the state service.
     pub shard_lease: Duration,
-    /// Interval between drains.
+    /// Minimum time between two drains. A drain moves tasks off a machine to make room for waiting ones;
+    /// tasks that have been placed for longer than this are not moved.
     pub drain_interval: Duration,
-    /// Machines up to this dominant share may be drained.
+    /// Only machines whose booked dominant share (the highest of its CPU, GPU and memory shares) is at most
+    /// this may be drained.
     pub drain_max_share: f64,
-    /// Window over which the highest share caps what a drain fills.
+    /// A drain fills no machine beyond the highest dominant share seen on any machine during this time.
     pub drain_window: Duration,
-    /// Whether waiting work may displace running work of lower rank.
+    /// Whether waiting tasks may preempt running tasks of lower rank.
     pub preempt: bool,
-    /// Work that has run longer is not displaced.
-    pub max_preemptible_runtime: Duration,
-    /// How long a machine stays idle before it is returned; unset: by
-    /// its boot time and price.
+    /// A task is not preempted if more machine time than this would be lost (for a task without
+    /// checkpoints: the time since it was placed). There is no limit if the waiting task belongs to a
+    /// service.
+    pub max_preempted_loss: Duration,
+    /// How long a machine may be idle before it is released; if unset, this depends on its boot time
+    /// and price.
     pub idle_release_after: Option<Duration>,
-    /// Whether to rent the cheapest machines that do, or those that are up
-    /// soonest. The platform's settings do not say which the users want.
+    /// Whether to rent the cheapest suitable machines (`true`) or those that boot soonest. The platform's
+    /// settings do not say which of the two users want.
     pub prefer_cheapest_machines: bool,
-    /// Machines of a shard; unset: as many as the limit of a value lets one
-    /// record describe.
+    /// Maximum number of machines in a shard; if unset, as many as one record can describe within the state
+    /// service's limit on the size of a value.
     pub shard_machines: Option<usize>,
-    /// Ordinary machines that are kept up for services to come, where the aims
-    /// name any.
+    /// Number of on-demand (not spot) machines kept ready for future services, if the objectives name any
+    /// services.
     pub standby_machines: usize,
-    /// Users' requests worked on at a time; more get 503.
+    /// Maximum number of users' requests handled at the same time; further ones get status 503.
     pub max_requests: usize,
-    /// The federation of cells that this one belongs to, if any.
+    /// The federation that this cell belongs to, if any.
     pub federation: Option<Federation>,
-    /// Admission control; unset: every submission that can run is accepted.
+    /// Admission control; if unset, every submission that can run is accepted.
     pub admission: Option<RawAdmission>,
 }
 
@@ -50,7 +55,7 @@
             drain_max_share: 0.5,
             drain_window: Duration::from_secs(10),
             preempt: true,
-            max_preemptible_runtime: Duration::from_secs(60),
+            max_preempted_loss: Duration::from_secs(60),
             idle_release_after: None,
             prefer_cheapest_machines: true,
             shard_machines: None,
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -1,4 +1,4 @@
-//! What controllers ask of each other.
+//! Requests between the controllers of a cell.
 
 use crate::core::MAX_CONSULTED;
 use crate::node::{Node, Reply, lock, now};
@@ -14,34 +14,34 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// How often the leader asks for room that is not recorded yet.
+/// How often the leader asks the shard holders for freed capacity that is not in the records yet.
 const FREED_ROOM_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// How long changes are left to another node, counted by the one that leaves
-/// them; the other counts on them for less, whatever the answer took.
+/// How long the borrower uses a lent write rate. It is shorter than [`LENT_RATE_LIFETIME`], so that the
+/// borrower stops before the lender uses the rate again, however long the reply took.
 const BORROWED_RATE_LIFETIME: Duration = Duration::from_millis(700);
+/// How long the lender leaves a lent write rate unused.
 const LENT_RATE_LIFETIME: Duration = Duration::from_millis(1500);
-/// The part of what a node has that it leaves to another while it has no use for
-/// it; the rest is for what comes up.
+/// The fraction of its write rate that an idle controller lends; it keeps the rest for new work.
 const LENDABLE_RATE_SHARE: f64 = 0.6;
-/// How long a worker has to answer a probe.
+/// How long a worker may take to answer a probe.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Asks other controllers. No answer is `None`, and proves nothing.
+/// Client for requests to other controllers. `None` means that no answer came, which proves nothing.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Which of these workers the peer gets an answer from.
+    /// Has the peer probe workers; returns the addresses of those that answered it.
     async fn probe(&self, peer: &Peer, addresses: Vec<String>) -> Option<Vec<String>>;
-    /// How the peer sees the world.
+    /// The peer's host, whether it has loaded the records, and when it last reached the state service.
     async fn controller_status(&self, peer: &Peer) -> Option<SightReply>;
-    /// Room that has become free in the peer's shards and is not recorded yet.
+    /// Capacity that has become free in the peer's shards and is not in the records yet.
     async fn freed_room(&self, peer: &Peer) -> Option<RoomReply>;
-    /// Has a user's request answered by the peer.
+    /// Forwards a user's request to the peer, which answers it.
     async fn forward(&self, peer: &Peer, request: ForwardRequest) -> Option<Reply>;
-    /// What the peer refused lately for want of credit.
+    /// The submissions that the peer recently refused for lack of credit.
     async fn demand(&self, peer: &Peer) -> Option<DemandReply>;
 }
 
-/// Nobody to ask.
+/// A client for a controller without peers: no request is answered.
 #[derive(Debug, Default)]
 pub struct NoPeers;
 
@@ -64,11 +64,12 @@
     }
 }
 
-/// Answers what other controllers ask.
+/// Answers requests of other controllers.
 pub struct PeerService(pub Arc<Node>);
 
 impl PeerService {
-    /// How this node sees the world.
+    /// This controller's host, whether it has loaded the records, and when it last reached the state
+    /// service.
     pub fn local_status(&self) -> SightReply {
         let age = self
             .0
@@ -81,26 +82,26 @@
         }
     }
 
-    /// Room that has become free in this node's shards and is not recorded yet.
-    /// What of this node's changes nobody here needs is left to the asking one
-    /// for as long as that may count on it.
+    /// Capacity that has become free in this controller's shards and is not in the records yet. The reply
+    /// also lends the part of this controller's write rate that it does not need to the controller that
+    /// asks.
     pub fn local_freed_room(&self) -> RoomReply {
         let room = self.0.with(|core| core.freed_room());
         RoomReply { spare_changes: self.0.lend_write_rate(), ..room }
     }
 
-    /// What this node refused lately for want of credit.
+    /// The submissions that this controller recently refused for lack of credit.
     pub fn local_demand(&self) -> DemandReply {
         self.0.with(|core| core.own_demand(now()))
     }
 
-    /// Answers another node's user, from what this node knows and reaches.
+    /// Answers a user's request that another controller forwarded.
     pub async fn answer_forwarded_request(&self, request: ForwardRequest) -> Option<Reply> {
         let method = http::Method::from_bytes(request.method.as_bytes()).ok()?;
         Some(self.0.answer_user_locally(&method, &request.path, request.body.into()).await)
     }
 
-    /// Which of these workers this node gets an answer from.
+    /// Probes workers; returns the addresses of those that answered this controller.
     pub async fn probe_workers(&self, addresses: Vec<String>) -> Vec<String> {
         let mut probes = JoinSet::new();
         for address in addresses.into_iter().take(MAX_CONSULTED) {
@@ -169,8 +170,8 @@
 }
 
 impl Node {
-    /// As leader, asks the holders again and again what has become free, since
-    /// their records follow only when changes are to be had.
+    /// As leader, regularly asks the shard holders what has become free, since their records are updated
+    /// only as the write rate allows. The replies also carry the write rates that the holders lend.
     pub(crate) async fn freed_room_loop(self: Arc<Self>) {
         loop {
             tokio::time::sleep(FREED_ROOM_POLL_INTERVAL).await;
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Leaves most of this node's changes to the asking one if nothing here waits
-    /// for any; returns how many a second.
+    /// Lends most of this controller's write rate to the one that asks if nothing here waits to be
+    /// committed; returns the lent rate in writes per second.
     fn lend_write_rate(&self) -> f64 {
         let idle = self.state.write_room() > 0.9 && self.committer.waiting() == 0;
         let share = if idle { self.own_write_rate() * LENDABLE_RATE_SHARE } else { 0.0 };
@@ -208,7 +209,7 @@
         share
     }
 
-    /// Changes a second that this node has lent and borrowed.
+    /// Writes per second that this controller currently lends and borrows.
     pub(crate) fn lent_and_borrowed_rates(&self) -> (f64, f64) {
         let active_rate = |loan: &Option<(f64, std::time::Instant)>| {
             loan.filter(|(_, until)| *until > now()).map_or(0.0, |(rate, _)| rate)
@@ -216,12 +217,12 @@
         (active_rate(&lock(&self.lent_write_rate)), active_rate(&lock(&self.borrowed_write_rate)))
     }
 
-    /// How long ago the state service last answered this node's renewal.
+    /// Time since the last lease renewal was sent that the state service answered.
     pub(crate) fn lease_renewal_age(&self) -> Option<Duration> {
         lock(&self.lease_renewed_at).map(|at| now().saturating_duration_since(at))
     }
 
-    /// Asks a worker for its report.
+    /// Probes a worker: fetches its current report.
     pub(crate) async fn fetch_worker_status(
         &self,
         address: &str,
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -1,4 +1,4 @@
-//! The users' interface.
+//! The HTTP API for users: submitting, showing and cancelling jobs.
 
 use crate::admission::OpenSpending;
 use crate::core::{Ruling, SubmissionPlan};
@@ -19,41 +19,41 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Users wait 5 s for a submission and 2 s for a poll; after that an answer is
-/// of no use to them.
+/// Time limit of a request that changes something. Users wait 5 s for it (2 s for a poll); a later answer
+/// is of no use to them.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
+/// Time limit of a request that only reads.
 const READ_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Bytes of a value that are kept for what is noted of a job later on.
+/// Bytes of a job's record that are kept free for fields that are added to it later.
 const LATER_FIELDS_BYTES: usize = 200;
 
-/// Seconds after which to ask again about a job that another cell answers for.
+/// `Retry-After` for a job about which another cell must be asked.
 const OTHER_CELL_RETRY_S: u32 = 5;
 
-/// Bytes of a tag of admission control beside its names: two numbers and what separates
-/// them.
+/// Bytes of admission control's credit tag in addition to the names in it: two numbers and separators.
 const CREDIT_TAG_NUMBERS_BYTES: usize = 64;
 
-/// How often a submission is looked at again when what it was bound to has changed.
+/// Maximum number of attempts to commit a submission whose credit conditions keep changing.
 const MAX_SUBMISSION_ATTEMPTS: usize = 3;
 
-/// Questions waiting for the state service beyond which reads are refused.
+/// Maximum number of version checks that wait for the state service; further ones are refused.
 const MAX_PENDING_VERSION_CHECKS: usize = 1000;
 
-/// What is known of a job's id, for certain.
+/// What is certain about a job's id.
 enum JobLookup {
-    /// Its status, fresh.
+    /// The job's current status.
     Job(JobStatus),
     /// There is no such job.
     NotFound,
-    /// It is here for another cell, which alone answers for it.
+    /// The job runs here on behalf of its home cell, which alone answers its user.
     OtherCell,
-    /// It can't be told now.
+    /// The state service could not confirm what is known.
     Unavailable,
 }
 
 impl Node {
-    /// Answers a user, through a peer while this node alone has lost the state
+    /// Answers a user's request, forwarding it to a peer while only this controller has lost the state
     /// service.
     pub(crate) async fn handle_user_request(
         self: &Arc<Self>,
@@ -85,8 +85,8 @@
         if body.len() > MAX_BODY {
             return Reply::problem(400, "over 64 KiB");
         }
-        // A bounded number of requests at a time: what is more is told to come
-        // back at once instead of waiting for nothing.
+        // Requests beyond the limit are refused at once with a time to retry, rather than left to wait
+        // until they time out.
         let slot = self.active_user_requests.fetch_add(1, Ordering::Relaxed);
         let reply = if slot >= self.options.max_requests {
             Reply::unavailable("overloaded", 2)
@@ -103,9 +103,9 @@
         reply
     }
 
-    /// What is committed about a job. Done and withdrawn never change, so they are
-    /// answered from memory, also in an outage; anything else, "no such job" included, is
-    /// confirmed with the state service first.
+    /// What is committed about a job. The final stages (done and withdrawn) never change, so they are
+    /// answered from memory, even in an outage. Anything else, including that there is no such job, is
+    /// first confirmed with the state service.
     async fn look_up_job(self: &Arc<Self>, id: &str) -> JobLookup {
         let key = records::job_key(id);
         let version = self.with(|core| match core.jobs.get(id) {
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Asks whether a key still has a version; if not, it is read again.
+    /// Checks with the state service whether a key still has a version; if not, its record is read again.
     async fn check_version(&self, key: String, version: u64) -> VersionCheckResult {
         let (reply, answer) = oneshot::channel();
         {
@@ -172,13 +172,13 @@
             }
         }
         if spec.is_service() && self.with(|core| core.is_mixed()) {
-            // A controller of the first version would take it for something else.
+            // A controller that runs the first version would misread it as a job of another kind.
             return Reply::unavailable("services are not taken before all controllers know them", 5);
         }
         self.accept(spec).await
     }
 
-    /// Commits that a job is accepted, as far as admission control lets it.
+    /// Commits a job's acceptance if admission control has credit for it.
     async fn accept(self: &Arc<Self>, spec: JobSpec) -> Reply {
         let id = spec.id.clone();
         let mut record = JobRecord {
@@ -198,7 +198,7 @@
         if stored_size(&value) + reserved_bytes > self.settings.params.state.lasting().value {
             return self.refuse_unless_accepted(&id, 400, "too long to be stored").await;
         }
-        // A conflict about credit means that the leader has granted or taken back some.
+        // A conflict on a credit record means that the leader has granted or revoked credit meanwhile.
         for _ in 0..MAX_SUBMISSION_ATTEMPTS {
             let plan = match self.decide_admission(&spec) {
                 Ruling::Admitted(plan) => plan,
@@ -226,7 +226,7 @@
         Reply::unavailable("credit changes too quickly", 1)
     }
 
-    /// Bytes of a value that the tag of admission control takes at most.
+    /// Maximum size in bytes of admission control's credit tag in the job's record.
     fn max_credit_tag_bytes(&self, spec: &JobSpec) -> usize {
         let names = self.settings.host_name.len() + spec.team.len() + spec.class.len();
         if self.options.admission.is_some() { CREDIT_TAG_NUMBERS_BYTES + names } else { 0 }
@@ -260,8 +260,8 @@
         result
     }
 
-    /// Turns a submission away until there is credit; one that was accepted before gets
-    /// its status, whatever the load.
+    /// Refuses a submission for lack of credit, with a time to retry. If the job was accepted before, its
+    /// status is returned instead, whatever the load.
     async fn reply_without_credit(self: &Arc<Self>, id: &str, pause: Duration) -> Reply {
         if !self.catch_up().await {
             return Reply::unavailable("overloaded", retry_after_seconds(pause));
@@ -273,8 +273,7 @@
         Reply { retry_after: Some(retry_after_seconds(pause)), ..reply }
     }
 
-    /// Refuses a submission for good, unless it was accepted before the settings
-    /// changed.
+    /// Refuses a submission permanently, unless the job was accepted earlier, before the settings changed.
     async fn refuse_unless_accepted(self: &Arc<Self>, id: &str, status: u16, error: &str) -> Reply {
         match self.look_up_job(id).await {
             JobLookup::NotFound => Reply::problem(status, error),
@@ -294,13 +293,13 @@
         }
     }
 
-    /// Whether a job can ever run.
+    /// Checks whether a job can ever run, given its team's quota limit and the machine types.
     fn check_feasibility(&self, spec: &JobSpec) -> Feasibility {
         let Some(team) = self.settings.params.teams.iter().find(|t| t.name == spec.team) else {
             return Feasibility::Infeasible("unknown team".into());
         };
         let over = |required: f64, limit: f64| limit > 0.0 && required > limit;
-        // Tasks run one after the other if need be; replicas must all run.
+        // Tasks can run one after the other if necessary, but a service's replicas must all run at once.
         let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
         if over(spec.cpus * at_once, team.cpus_max) || over(spec.gpus * at_once, team.gpus_max) {
             return Feasibility::Infeasible("needs more than the team's limit".into());
@@ -325,8 +324,8 @@
         if !valid_id(id) {
             return Reply::problem(404, "no such job");
         }
-        // A conflict means that something else about the job was committed
-        // meanwhile: it is looked at again.
+        // A conflict means that another change of the job was committed meanwhile: try again with the new
+        // record.
         for _ in 0..10 {
             let status = match self.look_up_job(id).await {
                 JobLookup::Job(status) => status,
@@ -374,14 +373,18 @@
     u32::try_from(pause.as_secs()).unwrap_or(u32::MAX).max(1)
 }
 
-/// A job that is here for another cell: only that one tells its user how it stands.
+/// The reply about a job that runs here for another cell: only its home cell reports its status to the
+/// user.
 fn other_cell_reply() -> Reply {
     Reply::unavailable("another cell answers for this job", OTHER_CELL_RETRY_S)
 }
 
+/// Whether a job can ever run.
 enum Feasibility {
     Feasible,
+    /// The machine types are not known yet.
     Unknown,
+    /// The job can never run, for this reason.
     Infeasible(String),
 }
 
--- a/crates/dapplecroft-controller/tests/stories/late.rs
+++ b/crates/dapplecroft-controller/tests/stories/late.rs
@@ -25,7 +25,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_start_held_on_the_wire_is_void_once_its_task_has_moved() {
-    let options = Options { max_preemptible_runtime: Duration::from_secs(600), ..Options::default() };
+    let options = Options { max_preempted_loss: Duration::from_secs(600), ..Options::default() };
     let c = Cluster::with(
         2,
         |t| {
--- a/crates/dapplecroft/src/options.rs
+++ b/crates/dapplecroft/src/options.rs
@@ -90,7 +90,7 @@
     set(&mut options.shard_lease, seconds("block_lease_s", 2.0, 600.0)?);
     set(&mut options.drain_interval, seconds("drain_every_s", 1.0, 3600.0)?);
     set(&mut options.drain_window, seconds("drain_window_s", 1.0, 3600.0)?);
-    set(&mut options.max_preemptible_runtime, seconds("preempt_limit_s", 0.0, 86400.0)?);
+    set(&mut options.max_preempted_loss, seconds("preempt_limit_s", 0.0, 86400.0)?);
     options.idle_release_after = seconds("idle_return_s", 1.0, 86400.0)?;
     options.drain_max_share = number("drain_trigger", 0.0, 1.0)?.unwrap_or(options.drain_max_share);
     if let Some(most) = number("max_requests", 1.0, 10000.0)? {
@@ -124,7 +124,7 @@
         ("drain_trigger", Some(Value::F64(options.drain_max_share))),
         ("drain_window_s", seconds(options.drain_window)),
         ("preempt", Some(Value::Bool(options.preempt))),
-        ("preempt_limit_s", seconds(options.max_preemptible_runtime)),
+        ("preempt_limit_s", seconds(options.max_preempted_loss)),
         ("idle_return_s", options.idle_release_after.and_then(seconds)),
         ("max_requests", count(options.max_requests)),
         ("thrift", Some(Value::Bool(options.prefer_cheapest_machines))),
