--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -254,7 +254,7 @@
         let released: BTreeSet<Arc<str>> =
             machines.filter(|id| self.released_machines.contains_key(id)).collect();
         for id in released {
-            self.machine_gone(&id, now);
+            self.machine_released(&id, now);
         }
     }
 
--- a/crates/dapplecroft-controller/src/core/commit/tests.rs
+++ b/crates/dapplecroft-controller/src/core/commit/tests.rs
@@ -75,7 +75,7 @@
     core.apply(&other.key(), Some(span("run-2", "i-2", 0)), 5, now);
     core.role.leased_shards.insert(0, ShardLease { epoch: 1, version: 1 });
     core.load_machine_segments(0);
-    core.end(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
+    core.record_task_exit(&TaskId { job: "run-1".into(), index: 0 }, 1, Some(ExitReason::Done), "i-1", now);
     let commit = core.next_commit(true, false, now).unwrap();
     assert_eq!((&commit.target, commit.merged_segment), (&CommitTarget::Segment(one), Some(other)));
     let left = commit.update.changes.iter().find(|c| c.key() == other.key()).unwrap();
@@ -87,7 +87,7 @@
     // The merged segment's number is free again, the segment is not merged a second time, and the
     // update that uses it again has its present version as a condition.
     assert!(!core.segment_numbers(0).contains(&1));
-    core.end(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
+    core.record_task_exit(&TaskId { job: "run-2".into(), index: 0 }, 1, None, "i-2", now);
     let commit = core.next_commit(true, false, now).unwrap();
     assert_eq!((&commit.target, commit.merged_segment), (&CommitTarget::Segment(one), None));
     core.finish_commit(&commit, CommitOutcome::Committed(10), now);
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -53,7 +53,7 @@
         }
         self.drain_state.last_check = Some(now);
         self.record_highest_booked_share(now);
-        let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_every;
+        let recent = |at: Instant| now.saturating_duration_since(at) < self.options.drain_interval;
         if self.drain_state.last_drain.is_some_and(recent) {
             return None;
         }
@@ -157,16 +157,16 @@
         let mut tasks: Vec<TaskId> = Vec::new();
         let mut residents: Vec<PlacedTask> = Vec::new();
         for machine in self.machines.values().filter(|m| m.shard == shard) {
-            for (task, resident) in self.residents(machine, slots.len(), self.options.drain_every, now) {
+            for (task, resident) in self.residents(machine, slots.len(), self.options.drain_interval, now) {
                 tasks.push(task);
                 residents.push(resident);
             }
             slots.push(self.slot(machine, now));
         }
         let rules = RepackLimits {
-            max_source_share: self.options.drain_trigger,
+            max_source_share: self.options.drain_max_share,
             max_target_share: self.max_fill_share(now),
-            max_task_age: self.options.drain_every,
+            max_task_age: self.options.drain_interval,
         };
         let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
         let moves = plan
@@ -222,7 +222,7 @@
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
         let target_waits = self.waiting_jobs.contains(record.for_job.as_str());
-        let overdue = now.saturating_duration_since(first_seen) > self.options.drain_every * 2;
+        let overdue = now.saturating_duration_since(first_seen) > self.options.drain_interval * 2;
         if (tasks_remain || (emptied && target_waits)) && !overdue {
             return None;
         }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -108,7 +108,7 @@
         if !self.loaded || !self.has_role() || !self.in_contact(now) {
             return actions;
         }
-        self.move_replicas(now);
+        self.stop_replicas_before_reclaim(now);
         self.released_machines
             .retain(|_, at| now.saturating_duration_since(*at) < RELEASED_MACHINE_RETENTION);
         let due = self.update_machine_phases(&mut actions, now);
@@ -174,7 +174,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
-            self.machine_gone(&id, now);
+            self.machine_released(&id, now);
             self.forget_machine(&id);
         }
     }
@@ -271,7 +271,7 @@
         {
             return;
         }
-        let thrift = self.options.thrift;
+        let thrift = self.options.prefer_cheapest_machines;
         let offers = self.offers(now);
         let machines = MAX_RENT * (max_requests - self.fleet.pending_rentals.len()) as u32;
         let mut plan =
@@ -421,7 +421,7 @@
     pub fn release_completed(&mut self, ids: &[Arc<str>], now: Instant) {
         for id in ids {
             self.fleet.released_in_records.insert(id.clone());
-            self.machine_gone(id, now);
+            self.machine_released(id, now);
         }
         self.wakeups.fleet = true;
     }
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -79,7 +79,7 @@
     /// which is in proportion to the capacity that it holds. Empty if the operator has
     /// set how long idle machines are kept.
     pub(super) fn surplus_machines(&mut self, now: Instant) -> BTreeSet<Arc<str>> {
-        if self.options.idle_return.is_some() {
+        if self.options.idle_release_after.is_some() {
             return BTreeSet::new();
         }
         let window = self.longest_boot_time() * ARRIVAL_WINDOW_BOOT_TIMES;
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -205,7 +205,7 @@
             let claim = Claim { rank: job.priority_rank(), within_quota };
             // Service replicas run for long, so tasks are preempted for them however
             // much work those tasks lose.
-            let max_loss = if job.is_service() { Duration::MAX } else { self.options.preempt_limit };
+            let max_loss = if job.is_service() { Duration::MAX } else { self.options.max_preempted_loss };
             let image_fetch_time = |machine: &OccupiedMachine| self.image_fetch_time(&machine.slot.name, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -1,4 +1,4 @@
-//! Workers' sessions: what reports prove, and which commands follow.
+//! Worker sessions: what heartbeats prove about tasks, and which commands the shard holder sends in return.
 
 use super::Core;
 use crate::jobs::{Job, StopReason, TaskExit, TaskId};
@@ -10,45 +10,46 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most commands in one message, far under the limit of a line.
-const MAX_COMMANDS: usize = 200;
+/// Maximum number of commands in one message, so that a message stays far below the maximum line length.
+const MAX_COMMANDS_PER_MESSAGE: usize = 200;
 
-/// A replica that ran for so long had started well.
+/// A service replica that ran at least this long counts as started successfully: its exit resets the
+/// job's failure count.
 const STABLE_REPLICA_RUN: Duration = Duration::from_secs(30);
-/// Replicas on a machine that the cloud takes back are stopped so long before:
-/// they start elsewhere as soon as that is known.
-const LAST_MOMENT: Duration = Duration::from_secs(3);
+/// How long before the cloud reclaims a machine its service replicas are stopped. Replacements start
+/// elsewhere as soon as the stop is known.
+const REPLICA_STOP_LEAD_TIME: Duration = Duration::from_secs(3);
 
-/// What a worker's report is answered with.
+/// How a worker's heartbeat is answered.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// Stay, and do this.
+    /// The worker keeps reporting to this controller and carries out these commands.
     Reply(HeartbeatReply),
-    /// Another node is the right one, if known.
+    /// The worker should report to another controller: its host, if known.
     Redirect(Option<String>),
-    /// This node can't tell now.
+    /// This controller cannot answer now; the worker should try again.
     Unavailable,
 }
 
 impl Core {
-    /// The answer to a report that this process does not take over: another one
-    /// is the right one, or nobody is known to be. `None`: it must be read.
-    pub fn not_taken(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
+    /// Answers a heartbeat that this process must not apply, because another controller is responsible for
+    /// the machine or nobody is known to be. Returns `None` if the whole heartbeat must be read.
+    pub fn reject_or_redirect(&self, head: &HeartbeatHead, now: Instant) -> Option<HeartbeatOutcome> {
         let id = head.machine.as_str();
         if !self.loaded || self.released_machines.contains_key(id) {
-            // If its release was answered, this is a late copy of a message.
+            // Once the machine's release was confirmed, this can only be a delayed copy of a message.
             return Some(HeartbeatOutcome::Unavailable);
         }
         let Some(machine) = self.machines.get(id).filter(|m| m.group.is_some()) else {
-            // A record names every machine before it is used, so one without is
-            // for the leader to take in.
+            // Every machine is recorded before it is used. One without a record is handled by the
+            // leader, which adds the record.
             let unexpected = self.leads(now) && !self.is_in_uncommitted_group(id);
-            return (!unexpected).then(|| self.not_here());
+            return (!unexpected).then(|| self.redirect_to_leader());
         };
         let shard = machine.shard;
         let Some(shard_lease) = self.active_lease(shard, now) else {
-            // A holder that has lost the state service stops answering, so that
-            // its workers' leases end before a cancellation's limit.
+            // A shard holder that has lost the state service stops answering its workers, so that
+            // their leases expire within the time allowed for a cancellation.
             return Some(match self.remote_holder_host(shard) {
                 _ if self.is_holder(shard) => HeartbeatOutcome::Unavailable,
                 Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
@@ -56,43 +57,44 @@
             });
         };
         if head.token > machine.token(shard_lease.epoch) {
-            // Someone with a newer lease commands this worker.
-            tracing::info!(machine = id, "a worker knows a newer token than this holder's");
+            // A controller with a newer lease commands this worker.
+            tracing::info!(machine = id, "worker has seen a newer fencing token than this shard holder has");
             return Some(HeartbeatOutcome::Redirect(None));
         }
         None
     }
 
-    fn not_here(&self) -> HeartbeatOutcome {
+    fn redirect_to_leader(&self) -> HeartbeatOutcome {
         match self.leader_host() {
             Some(host) => HeartbeatOutcome::Redirect(Some(host.to_string())),
             None => HeartbeatOutcome::Unavailable,
         }
     }
 
-    /// Answers a report.
+    /// Applies a heartbeat and answers it.
     pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: Instant) -> HeartbeatOutcome {
         let head = HeartbeatHead { machine: report.machine.clone(), token: report.token };
-        if let Some(answer) = self.not_taken(&head, now) {
+        if let Some(answer) = self.reject_or_redirect(&head, now) {
             return answer;
         }
         let id = report.machine.as_str();
         let shard = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.shard);
-        let Some(shard_lease) = shard.and_then(|b| self.active_lease(b, now)) else {
+        let Some(shard_lease) = shard.and_then(|shard| self.active_lease(shard, now)) else {
             self.handle_unrecorded_heartbeat(report, now);
-            return self.not_here();
+            return self.redirect_to_leader();
         };
         self.apply_heartbeat(report, now);
         let Some(machine) = self.machines.get(id) else { return HeartbeatOutcome::Unavailable };
         let token = machine.token(shard_lease.epoch);
-        // Only the worker's newest message is answered with commands.
+        // Only the worker's newest message gets commands; delayed or repeated ones get none.
         let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
-        let commands = if newest { self.commands(id, true, now) } else { Vec::new() };
-        self.note_sent(id, &commands, token);
+        let commands = if newest { self.pending_commands(id, true, now) } else { Vec::new() };
+        self.record_sent_commands(id, &commands, token);
         HeartbeatOutcome::Reply(HeartbeatReply { token, commands })
     }
 
-    /// Takes over a report, however it came. Late copies are ignored.
+    /// Updates the machine and its tasks from a worker's report, whether it came as a heartbeat or in
+    /// answer to a probe or to commands. Reports no newer than the last one are ignored.
     pub fn apply_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
         let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
@@ -102,8 +104,8 @@
             return;
         }
         let first = machine.last_heartbeat.is_none();
-        // Commands on their way stay counted as such even if the session is new:
-        // `clear` must wait until none can be.
+        // `commanding` is kept even if the session is new: `clear` must wait until no direct command
+        // can still be in flight.
         machine.session = report.session;
         machine.sequence = report.sequence;
         machine.seen_token = report.token;
@@ -130,7 +132,11 @@
                 Some(id) => {
                     tasks.insert(id, task.clone());
                 }
-                None => tracing::warn!(machine = report.machine, task = task.task, "an unreadable task"),
+                None => tracing::warn!(
+                    machine = report.machine,
+                    task = task.task,
+                    "worker reported a task with an invalid id"
+                ),
             }
         }
         machine.reported = tasks;
@@ -143,21 +149,22 @@
             self.wakeups.fleet = true;
         }
         let id = machine.id.clone();
-        self.take_proof(&id, synced, now);
+        self.reconcile_reported_tasks(&id, synced, now);
         if noticed {
-            self.notice(&id, now);
+            self.handle_reclaim_notice(&id, now);
         }
         self.wakeups.command.insert(id);
     }
 
-    /// Works out what a machine's newest message proves.
-    fn take_proof(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
+    /// Updates tasks from what the machine's newest report proves: which ones run, which have exited, and
+    /// which are unexpected. `synced`: the report was sent under the current fencing token.
+    fn reconcile_reported_tasks(&mut self, id: &Arc<str>, synced: bool, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         let token = machine.token(shard_lease.epoch);
         let session = machine.session;
-        let mut ends = Vec::new();
-        let mut raise = false;
+        let mut exits = Vec::new();
+        let mut raise_token = false;
         for task in &machine.tasks {
             let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { continue };
             let Some(placed) = job.placed.get_mut(&task.index).filter(|p| p.committed && p.machine == *id)
@@ -165,8 +172,9 @@
                 continue;
             };
             if session > placed.session {
-                // The worker's lease ended: it killed and forgot its tasks.
-                ends.push((task.clone(), placed.attempt, None));
+                // The worker's lease expired and a new session began: it killed and forgot the tasks of
+                // the earlier session.
+                exits.push((task.clone(), placed.attempt, None));
                 continue;
             }
             if !synced {
@@ -175,7 +183,7 @@
             match machine.reported.get(task).filter(|r| r.attempt == placed.attempt) {
                 Some(report) if report.state == TaskState::Exited => {
                     let why = report.why.unwrap_or(ExitReason::Other);
-                    ends.push((task.clone(), placed.attempt, Some(why)));
+                    exits.push((task.clone(), placed.attempt, Some(why)));
                 }
                 Some(report) if report.state == TaskState::Running => {
                     if placed.running_since.is_none() {
@@ -186,13 +194,13 @@
                 }
                 Some(_) => {}
                 None if placed.stop_reason.is_some() && !machine.command_in_flight => {
-                    // It is not there. That proves nothing while a start can
-                    // still be on its way under the present token, and all if
-                    // the worker has since accepted a higher one.
+                    // The worker does not list the task. While a start sent under the current token may
+                    // still be in flight, that proves nothing. Once the worker has accepted a higher
+                    // token, the start is void, so the task has ended.
                     if placed.start_token < token {
-                        ends.push((task.clone(), placed.attempt, None));
+                        exits.push((task.clone(), placed.attempt, None));
                     } else {
-                        raise = true;
+                        raise_token = true;
                     }
                 }
                 None => {}
@@ -204,7 +212,7 @@
             .filter(|(_, r)| r.state == TaskState::Running)
             .filter_map(|(t, _)| self.open_job(&t.job).and_then(|j| j.requirements.image.clone()))
             .collect();
-        // What no record has on this machine must end before it runs elsewhere.
+        // A task that runs on this machine without a record must end here before it may run elsewhere.
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         for image in ran {
@@ -215,18 +223,18 @@
                 self.unexpected_tasks.insert(task.clone(), id.clone());
             }
         }
-        if raise {
+        if raise_token {
             machine.raise_token();
             self.wakeups.command.insert(id.clone());
         }
-        for (task, attempt, why) in ends {
-            self.end(&task, attempt, why, id, now);
+        for (task, attempt, why) in exits {
+            self.record_task_exit(&task, attempt, why, id, now);
         }
     }
 
-    /// Notes that a task's stay on a machine has ended, by proof, for whatever
-    /// reason; `None`: the session, or the machine, is gone.
-    pub(super) fn end(
+    /// Records that a task's attempt on a machine has provably ended. `why` is the exit reason that the
+    /// worker reported, or `None` if the worker's session ended or the machine was released.
+    pub(super) fn record_task_exit(
         &mut self,
         task: &TaskId,
         attempt: u64,
@@ -235,7 +243,7 @@
         now: Instant,
     ) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
-        // A replica is never done: whatever it ended by, it is wanted again.
+        // A service replica is never done: it is started again whatever the exit reason.
         let service = job.is_service();
         let done = why == Some(ExitReason::Done) && !service;
         let Some(segment_id) = job.placed.get(&task.index).map(|p| p.segment) else { return };
@@ -244,8 +252,8 @@
         }
         match why {
             Some(ExitReason::Done | ExitReason::Error) if service => {
-                // At once, unless it goes on ending soon after its starts. That
-                // is its own fault, and no machine's.
+                // The replica is restarted at once, unless it keeps exiting soon after it starts: then
+                // the job's backoff applies. The service is at fault, so no machine is marked.
                 let ran = job.placed.get(&task.index).and_then(|p| p.running_since);
                 if ran.is_some_and(|at| now.saturating_duration_since(at) >= STABLE_REPLICA_RUN) {
                     job.failed_machines.clear();
@@ -253,7 +261,7 @@
                 } else {
                     job.record_failure(id, now);
                 }
-                tracing::info!(task = %task, machine = id, ?why, failures = job.failures, "a replica ended");
+                tracing::info!(task = %task, machine = id, ?why, failures = job.failures, "replica exited");
             }
             Some(ExitReason::Done) => {
                 job.failed_machines.clear();
@@ -261,15 +269,16 @@
             }
             Some(ExitReason::Error) => {
                 job.record_failure(id, now);
-                tracing::info!(task = %task, machine = id, "a task failed");
-                let alone = job.failed_machines.len() < 2;
+                tracing::info!(task = %task, machine = id, "task failed");
+                let failed_on_one_machine = job.failed_machines.len() < 2;
                 let machines: Vec<String> = job.failed_machines.iter().cloned().collect();
                 for name in machines {
                     if let Some(machine) = self.machines.get_mut(name.as_str()) {
-                        if alone {
+                        if failed_on_one_machine {
                             machine.failed_jobs.insert(task.job.clone());
                         } else {
-                            // It fails elsewhere too: the job's fault.
+                            // The job has failed on several machines: the job is at fault, not the
+                            // machines.
                             machine.failed_jobs.remove(&task.job);
                         }
                     }
@@ -277,7 +286,7 @@
                 self.wakeups.fleet = true;
             }
             Some(ExitReason::Full | ExitReason::InUse | ExitReason::NoSuch) => {
-                tracing::info!(task = %task, machine = id, ?why, "a start was refused");
+                tracing::info!(task = %task, machine = id, ?why, "worker refused to start a task");
                 if let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) {
                     job.backoff_until = Some(now + Duration::from_secs(1));
                 }
@@ -285,13 +294,14 @@
             _ => {}
         }
         self.free_exited_task(task);
-        // What runs where a record of the first layout says so ends in a segment.
+        // Exits are recorded in segments. A task that was placed by a record of the first layout has no
+        // segment, so one is assigned here.
         let segment = if segment_id.segment.is_some() { Some(segment_id) } else { self.assign_segment(id) };
         self.queue_exit_commit(&task.job, segment.unwrap_or(segment_id), now);
     }
 
-    /// Ends everything on a machine whose release was answered: it is gone.
-    pub fn machine_gone(&mut self, id: &Arc<str>, now: Instant) {
+    /// Records the exit of every task on a machine whose release the cloud has confirmed.
+    pub fn machine_released(&mut self, id: &Arc<str>, now: Instant) {
         self.released_machines.entry(id.clone()).or_insert(now);
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get(id) else { return };
@@ -299,18 +309,24 @@
             let placed = self.open_job(&task.job).and_then(|j| j.placed.get(&task.index));
             let own = placed.filter(|p| p.committed && p.machine == *id && self.is_holder(p.segment.shard));
             if let Some(attempt) = own.map(|p| p.attempt) {
-                self.end(&task, attempt, None, id, now);
+                self.record_task_exit(&task, attempt, None, id, now);
             }
         }
         self.wakeups.fleet = true;
     }
 
-    /// The cloud takes a machine soon: tasks that can't finish before are moved.
-    fn notice(&mut self, id: &Arc<str>, now: Instant) {
+    /// Handles the cloud's notice that it will reclaim a machine: tasks that cannot finish before then are
+    /// asked to stop, so that they continue elsewhere.
+    fn handle_reclaim_notice(&mut self, id: &Arc<str>, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(taken_at) = machine.reclaim_at else { return };
         let left = taken_at.saturating_duration_since(now);
-        tracing::info!(machine = &**id, ?left, tasks = machine.tasks.len(), "the cloud takes a machine back");
+        tracing::info!(
+            machine = &**id,
+            ?left,
+            tasks = machine.tasks.len(),
+            "the cloud will reclaim a machine"
+        );
         for task in machine.tasks.clone() {
             let Some(job) = self.open_job(&task.job).filter(|j| !j.is_service()) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
@@ -323,11 +339,11 @@
         self.wakeups.fleet = true;
     }
 
-    /// Replicas have no end to reach before their machine goes: they serve as
-    /// long as can be, and move in the last moment. Left alone, their machine
-    /// would have to be missed, and proven gone, first.
-    pub(super) fn move_replicas(&mut self, now: Instant) {
-        let soon = |m: &&Machine| m.reclaim_at.is_some_and(|at| at <= now + LAST_MOMENT);
+    /// Stops service replicas shortly before the cloud reclaims their machine. They have no work to finish,
+    /// so they serve as long as possible. If they were not stopped, replacements could start only after the
+    /// machine had stopped reporting and was proven gone.
+    pub(super) fn stop_replicas_before_reclaim(&mut self, now: Instant) {
+        let soon = |m: &&Machine| m.reclaim_at.is_some_and(|at| at <= now + REPLICA_STOP_LEAD_TIME);
         let held = |m: &&Machine| self.is_holder(m.shard);
         let leaving: Vec<TaskId> =
             self.machines.values().filter(soon).filter(held).flat_map(|m| m.tasks.iter().cloned()).collect();
@@ -338,10 +354,10 @@
         }
     }
 
-    /// The difference between what the records want of a machine and what it
-    /// last reported. `clear` is only told in the answer to a report: it is the
-    /// one command that must not be overtaken by a repeated start.
-    fn commands(&self, id: &str, in_answer: bool, now: Instant) -> Vec<Command> {
+    /// Commands that bring a machine from what it last reported to what the records ask of it. `clear` is
+    /// only sent in the reply to a heartbeat (`in_reply`): a delayed copy of a start must not arrive after
+    /// it.
+    fn pending_commands(&self, id: &str, in_reply: bool, now: Instant) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
             return Vec::new();
@@ -349,12 +365,12 @@
         let synced = machine.is_synced(shard_lease.epoch);
         let mut commands = Vec::new();
         for (task, report) in &machine.reported {
-            let own = self
+            let committed = self
                 .open_job(&task.job)
                 .and_then(|j| j.placed.get(&task.index))
                 .filter(|p| p.committed && *p.machine == *id && p.attempt == report.attempt);
-            match (own, report.state) {
-                (None, TaskState::Exited) if in_answer && synced && !machine.command_in_flight => {
+            match (committed, report.state) {
+                (None, TaskState::Exited) if in_reply && synced && !machine.command_in_flight => {
                     commands.push(Command::Clear { task: report.task.clone(), attempt: report.attempt });
                 }
                 (None, TaskState::Exited) => {}
@@ -364,8 +380,8 @@
                     grace_s: 0.0,
                 }),
                 (Some(placed), state) if state != TaskState::Exited => {
-                    // A second `kill` would end a save that is under way: only a
-                    // cancellation does that.
+                    // A second `kill` would interrupt the task's checkpoint. Only a cancellation may do
+                    // that.
                     let saves = state == TaskState::Saving;
                     if let Some(stop) =
                         placed.stop_reason.filter(|stop| !saves || *stop == StopReason::JobCancelled)
@@ -382,28 +398,29 @@
                 _ => {}
             }
         }
-        // Whoever has been out of contact for longer may have missed cancellations
-        // that users were told of: it goes on answering, but it begins nothing.
-        let begins = self.contact_age(now).is_some_and(|age| age <= self.options.node_lease);
-        for task in machine.tasks.iter().filter(|_| begins) {
+        // A controller that has been out of contact with the state service for longer than this may have
+        // missed cancellations that were already confirmed to users. It keeps answering its workers, but it
+        // starts no tasks.
+        let may_start = self.contact_age(now).is_some_and(|age| age <= self.options.node_lease);
+        for task in machine.tasks.iter().filter(|_| may_start) {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(placed) = job.placed.get(&task.index) else { continue };
             let here = placed.committed && *placed.machine == *id && placed.session == machine.session;
-            // Under another attempt it is still to be cleared there first.
-            let listed = machine.reported.contains_key(task);
+            // If the worker still lists an earlier attempt, that one must be cleared first.
+            let still_reported = machine.reported.contains_key(task);
             if here
                 && placed.stop_reason.is_none()
-                && !listed
+                && !still_reported
                 && !job.uncommitted_exits.contains_key(&task.index)
             {
                 commands.push(Command::Start { task: task.to_string(), attempt: placed.attempt });
             }
         }
-        commands.truncate(MAX_COMMANDS);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
-    fn note_sent(&mut self, id: &str, commands: &[Command], token: u64) {
+    fn record_sent_commands(&mut self, id: &str, commands: &[Command], token: u64) {
         for command in commands {
             let Command::Start { task, .. } = command else { continue };
             let Some(task) = TaskId::parse(task) else { continue };
@@ -420,69 +437,77 @@
         }
     }
 
-    /// Direct commands that a machine should receive now, with its address.
-    pub fn next_command(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
+    /// Direct commands to send to a machine now, with its worker's address. `None` if there is nothing to
+    /// send, or the machine cannot be commanded yet.
+    pub fn next_direct_commands(&mut self, id: &str, now: Instant) -> Option<(String, DirectCommands)> {
         let machine = self.machines.get(id)?;
         let shard_lease = self.active_lease(machine.shard, now)?;
-        let unknown = machine.session == 0 || machine.command_in_flight || machine.release_in_flight;
-        if unknown || machine.commands_paused_until.is_some_and(|at| at > now) {
+        let cannot_receive = machine.session == 0 || machine.command_in_flight || machine.release_in_flight;
+        if cannot_receive || machine.commands_paused_until.is_some_and(|at| at > now) {
             return None;
         }
-        let commands = self.commands(id, false, now);
+        let commands = self.pending_commands(id, false, now);
         let machine = self.machines.get_mut(id)?;
-        // Without commands a message still brings the present token to the
-        // worker, so that its tasks are known and it can take work soon.
-        let behind = !machine.is_synced(shard_lease.epoch);
-        if commands.is_empty() && !behind {
+        // A message without commands still brings the current token to the worker. Its next report then
+        // counts as proof of its tasks, and it can be given work sooner.
+        let token_outdated = !machine.is_synced(shard_lease.epoch);
+        if commands.is_empty() && !token_outdated {
             return None;
         }
         let address = machine.address.clone()?;
         machine.command_in_flight = true;
         let (token, session) = (machine.token(shard_lease.epoch), machine.session);
-        self.note_sent(id, &commands, token);
+        self.record_sent_commands(id, &commands, token);
         Some((address, DirectCommands { token, session, commands }))
     }
 
-    /// Notes what became of direct commands: answered, with the worker's report
-    /// if it could be read; certainly not delivered; or unknown.
-    pub fn command_ended(&mut self, id: &str, sent: &DirectCommands, end: CommandEnd<'_>, now: Instant) {
+    /// Records the outcome of direct commands that were sent to a machine.
+    pub fn direct_commands_finished(
+        &mut self,
+        id: &str,
+        sent: &DirectCommands,
+        outcome: CommandOutcome<'_>,
+        now: Instant,
+    ) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if !machine.is_token_since_reset(sent.token, shard_lease.epoch) {
-            // Sent before the shard was lost, or taken up anew.
+            // The commands were sent before this process lost the shard or acquired it again.
             return;
         }
         machine.command_in_flight = false;
-        match end {
-            CommandEnd::Answered(report) => {
-                // Refused for a newer token: whoever holds that is in command.
+        match outcome {
+            CommandOutcome::Answered(report) => {
+                // The worker has seen a newer token and refused: whoever holds that token commands it.
                 machine.commands_paused_until =
                     (report.token > sent.token).then(|| now + Duration::from_secs(1));
                 if report.machine == *id {
                     self.apply_heartbeat(report, now);
                 }
             }
-            CommandEnd::NotDelivered => machine.commands_paused_until = Some(now + Duration::from_secs(1)),
-            CommandEnd::Unknown => {
-                // They may be executed much later, also after the task has moved
-                // or was cleared: a higher token makes them void.
+            CommandOutcome::NotDelivered => {
+                machine.commands_paused_until = Some(now + Duration::from_secs(1))
+            }
+            CommandOutcome::Unknown => {
+                // The worker may execute the commands much later, even after the task has moved or was
+                // cleared. A higher token makes them void.
                 machine.raise_token();
                 machine.commands_paused_until = Some(now + Duration::from_secs(1));
-                tracing::debug!(machine = id, "outcome of commands unknown, token raised");
+                tracing::debug!(machine = id, "outcome of direct commands unknown; fencing token raised");
             }
         }
         self.wakeups.command.insert(id.into());
     }
 }
 
-/// What became of direct commands.
+/// Outcome of sending direct commands.
 #[derive(Debug, Clone, Copy)]
-pub enum CommandEnd<'a> {
-    /// The worker answered.
+pub enum CommandOutcome<'a> {
+    /// The worker answered with its report.
     Answered(&'a Heartbeat),
-    /// They certainly never left.
+    /// The commands were certainly not delivered.
     NotDelivered,
-    /// Nobody knows.
+    /// The commands may or may not have been delivered.
     Unknown,
 }
 
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -44,11 +44,11 @@
                 let node = self.clone();
                 self.spawn(async move { node.commit_group_update(update).await });
             }
-            if !actions.silent.is_empty() && !self.consulting.swap(true, Ordering::Relaxed) {
+            if !actions.silent.is_empty() && !self.peer_probe_running.swap(true, Ordering::Relaxed) {
                 let node = self.clone();
                 self.spawn(async move {
                     node.consult_peers(actions.silent, actions.silent_count).await;
-                    node.consulting.store(false, Ordering::Relaxed);
+                    node.peer_probe_running.store(false, Ordering::Relaxed);
                 });
             }
             // Wake-ups that arrive in quick succession cause only one step.
@@ -116,7 +116,7 @@
 
     /// Asks a worker for its status and applies the answer like a heartbeat.
     async fn probe(&self, id: Arc<str>, address: String) {
-        let report = self.ask_status(&address).await;
+        let report = self.fetch_worker_status(&address).await;
         self.with(|core| match report {
             Some(report) if *report.machine == *id => {
                 core.probe_answered(&id);
@@ -134,7 +134,7 @@
     /// others. That sample and the number of silent machines show whether this node is cut
     /// off, long before each silent machine has been probed.
     async fn consult_peers(&self, mut silent: Vec<(Arc<str>, String)>, silent_count: usize) {
-        let turn = self.consulted.fetch_add(MAX_CONSULTED_MACHINES, Ordering::Relaxed);
+        let turn = self.peer_probe_count.fetch_add(MAX_CONSULTED_MACHINES, Ordering::Relaxed);
         let begin = turn % silent.len().max(1);
         silent.rotate_left(begin);
         silent.truncate(MAX_CONSULTED_MACHINES);
