--- a/crates/dapplecroft-controller/src/admission.rs
+++ b/crates/dapplecroft-controller/src/admission.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 /// The classes that the users' aims name.
-pub(crate) fn known_classes(params: &Params) -> BTreeSet<String> {
+pub(crate) fn objective_classes(params: &Params) -> BTreeSet<String> {
     params.objectives.iter().filter_map(|objective| objective.class.clone()).collect()
 }
 
@@ -18,35 +18,37 @@
 /// accepted.
 pub fn resolve_admission(settings: &Settings, options: &Options) -> Result<Option<Admission>, SettingsError> {
     let params = &settings.params;
-    let team = |team: &dapplecroft_wire::settings::Team| PlatformTeam {
+    let to_platform_team = |team: &dapplecroft_wire::settings::Team| PlatformTeam {
         name: team.name.clone(),
         guaranteed_cpus: team.cpus,
     };
-    let platform =
-        Platform { teams: params.teams.iter().map(team).collect(), classes: known_classes(params) };
+    let platform = Platform {
+        teams: params.teams.iter().map(to_platform_team).collect(),
+        classes: objective_classes(params),
+    };
     options.admission.as_ref().map(|raw| raw.resolve(&platform)).transpose()
 }
 
 impl Node {
     /// What this node knows of admission; its leader knows most.
     pub async fn admission_status(&self) -> AdmissionReply {
-        let replies = self.ask_demand().await;
+        let replies = self.collect_demand().await;
         self.with(|core| core.admission_status(&replies, now()))
     }
 }
 
 /// Credit that a submission has set aside. If nobody waits for its outcome any more, that
 /// is unknown.
-pub(crate) struct OpenSpending<'a> {
+pub(crate) struct PendingSpending<'a> {
     node: &'a Node,
     id: String,
     spending: Spending,
     settlement: Settlement,
 }
 
-impl<'a> OpenSpending<'a> {
+impl<'a> PendingSpending<'a> {
     pub(crate) fn new(node: &'a Node, id: &str, spending: Spending) -> Self {
-        OpenSpending { node, id: id.to_string(), spending, settlement: Settlement::Unknown }
+        PendingSpending { node, id: id.to_string(), spending, settlement: Settlement::Unknown }
     }
 
     pub(crate) fn settle(mut self, result: &UpdateResult) {
@@ -58,7 +60,7 @@
     }
 }
 
-impl Drop for OpenSpending<'_> {
+impl Drop for PendingSpending<'_> {
     fn drop(&mut self) {
         self.node.with(|core| core.settle_spending(&self.id, &self.spending, self.settlement));
     }
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -2,7 +2,7 @@
 
 use super::convert::{ReceivedTransfer, from_cell, from_transfer, to_answer, to_reply};
 use super::{ExchangeError, MAX_TRANSFERS, PROTOCOL};
-use crate::admission::OpenSpending;
+use crate::admission::PendingSpending;
 use crate::core::{VisitPlan, VisitRequest};
 use crate::node::{Node, now};
 use dapplecroft_admission::Spending;
@@ -146,7 +146,7 @@
 
     /// Commits a step of a hand-over, and settles what it spends.
     async fn commit_step(&self, job: &str, update: AtomicUpdate, spending: Option<Spending>) -> bool {
-        let spending = spending.map(|spending| OpenSpending::new(self, job, spending));
+        let spending = spending.map(|spending| PendingSpending::new(self, job, spending));
         let result = self.commit_update_for_cells(update).await;
         if let Some(spending) = spending {
             spending.settle(&result);
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -6,10 +6,10 @@
 mod status;
 mod submission;
 
-pub use submission::{Ruling, SubmissionPlan};
+pub use submission::{AdmissionDecision, SubmissionPlan};
 
 use super::Core;
-use crate::admission::{known_classes, resolve_admission};
+use crate::admission::{objective_classes, resolve_admission};
 use crate::jobs::Job;
 use crate::options::Options;
 use crate::records::{self, JobRecord, JobStage, Key};
@@ -51,7 +51,7 @@
             None
         })?;
         let host = settings.host_name.as_str();
-        let classes = known_classes(&settings.params);
+        let classes = objective_classes(&settings.params);
         Some(CreditState {
             admission,
             ledger: Ledger::default(),
@@ -109,7 +109,7 @@
             }
             credit.ledger.apply_epoch(host, Some(record), version);
         });
-        self.take_own_grant();
+        self.apply_own_grant();
     }
 
     fn apply_grants(&mut self, key: &str, page: u32, value: Option<Value>, version: u64) {
@@ -118,7 +118,7 @@
             Some(record) => credit.ledger.apply_page(page, Some(record), version),
             None => credit.ledger.note_unreadable_page(version),
         });
-        self.take_own_grant();
+        self.apply_own_grant();
     }
 
     fn with_credit(&mut self, work: impl FnOnce(&mut CreditState)) {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_own_grant(&mut self) {
+    fn apply_own_grant(&mut self) {
         let host = self.settings.host_name.clone();
         self.with_credit(|credit| {
             if let Some((_, grant)) = credit.ledger.grant(&host) {
@@ -138,7 +138,7 @@
 
     /// Takes over what a job's record says of its charge. Of one that is known to be over
     /// everything is noted already.
-    pub(super) fn note_job_charge(&mut self, id: &str, record: &JobRecord) {
+    pub(super) fn apply_job_charge(&mut self, id: &str, record: &JobRecord) {
         if self.credit.is_none() || matches!(self.jobs.get(id), Some(Job::Final { .. })) {
             return;
         }
@@ -151,25 +151,25 @@
     }
 
     /// Notes that there is no record of a job any more: it was given back to its home cell.
-    pub(super) fn note_dropped_job(&mut self, id: &str) {
+    pub(super) fn remove_job_charge(&mut self, id: &str) {
         self.with_credit(|credit| credit.ledger.drop_job(id));
     }
 
-    pub(super) fn note_applied_revision(&mut self, revision: u64) {
+    pub(super) fn set_credit_revision(&mut self, revision: u64) {
         self.with_credit(|credit| credit.ledger.followed(revision));
     }
 
     /// What a job is charged: what its tag says, or what its specification comes to, if
     /// it was accepted while no credit was demanded.
     fn job_charge(&self, record: &JobRecord) -> JobCharge {
-        let own = record.spec.as_ref().zip(self.credit.as_ref());
-        let bucket = own.map(|(spec, credit)| credit.bucket(spec));
+        let spec_and_credit = record.spec.as_ref().zip(self.credit.as_ref());
+        let bucket = spec_and_credit.map(|(spec, credit)| credit.bucket(spec));
         let tag = record.credit.clone();
         let bucket = bucket.or_else(|| tag.as_ref().map(|tag| tag.bucket.clone()));
-        let reckoned = || record.spec.as_ref().map_or(0, |spec| self.reckoned_charge(spec, 1));
+        let computed = || record.spec.as_ref().map_or(0, |spec| self.computed_charge(spec, 1));
         JobCharge {
             bucket: bucket.unwrap_or_else(Bucket::shared),
-            charge: tag.as_ref().map_or_else(reckoned, |tag: &CreditTag| tag.charge),
+            charge: tag.as_ref().map_or_else(computed, |tag: &CreditTag| tag.charge),
             tag,
             over: record.spec.is_none() && record.stage != JobStage::Away,
             accepted_at: record.at,
@@ -177,30 +177,36 @@
     }
 
     /// What a specification is charged under the policy in force.
-    fn reckoned_charge(&self, spec: &JobSpec, least: u64) -> u64 {
+    fn computed_charge(&self, spec: &JobSpec, min_charge: u64) -> u64 {
         let policy = self.credit.as_ref().and_then(|credit| credit.policy());
         let (largest, limit) = policy.map_or((u64::MAX, 0), |policy| (policy.largest, policy.limit));
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
-        let allowed = types.filter(|t| spec.types.as_ref().is_none_or(|names| names.contains(&t.name)));
-        let shapes: Vec<MachineShape> =
-            allowed.map(|t| MachineShape { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }).collect();
-        let each = MachineShape { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
+        let allowed_types = types.filter(|t| spec.types.as_ref().is_none_or(|names| names.contains(&t.name)));
+        let machine_shapes: Vec<MachineShape> = allowed_types
+            .map(|t| MachineShape { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
+            .collect();
+        let per_task = MachineShape { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
         // A service keeps its processors busy for as long as the limit looks ahead.
         let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_of(limit));
-        let ahead = limit as f64 / cpus.max(1.0);
-        let estimate_s = if spec.is_service() { ahead } else { spec.estimate_s };
-        charge(&Footprint { tasks: spec.tasks, each, estimate_s }, shapes.iter(), least, largest)
+        let horizon_s = limit as f64 / cpus.max(1.0);
+        let estimate_s = if spec.is_service() { horizon_s } else { spec.estimate_s };
+        charge(
+            &Footprint { tasks: spec.tasks, each: per_task, estimate_s },
+            machine_shapes.iter(),
+            min_charge,
+            largest,
+        )
     }
 
     /// Whether this process can take users' submissions as far as credit goes; a new
     /// process has none until the leader has given it an epoch, which takes a moment.
-    pub fn may_accept(&self) -> bool {
+    pub fn can_accept_submissions(&self) -> bool {
         let credit = self.credit.as_ref().filter(|_| self.admission_in_force && self.leader.is_some());
         credit.is_none_or(|credit| credit.spender.has_epoch())
     }
 
     /// Work that waits in a bucket for credit, and what it was lately accepted a second.
-    fn bucket_outlook(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
+    fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
         let Some(credit) = &mut self.credit else { return (0, 0.0) };
         let waiting = credit.demand.waiting(bucket, now);
         let recent = credit.ledger.recent_of(bucket, wall);
@@ -208,7 +214,7 @@
     }
 
     /// What proves that the copy is new: any condition that holds will do.
-    pub fn credit_conditions(&self) -> Vec<Condition> {
+    pub fn freshness_conditions(&self) -> Vec<Condition> {
         vec![self.unchanged(records::ADMISSION_POLICY.into())]
     }
 }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-fn set<T: Serialize>(key: String, record: &T) -> Change {
+fn set_record<T: Serialize>(key: String, record: &T) -> Change {
     let value = serde_json::to_value(record).unwrap_or_default();
     Change::Set { key, value, lease: None }
 }
@@ -84,10 +84,11 @@
 
     fn plan_update(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> AtomicUpdate {
         let mut changes = Vec::new();
-        changes.extend(plan.policy.map(|policy| set(records::ADMISSION_POLICY.into(), &policy)));
-        changes.extend(plan.epochs.iter().map(|(host, epoch)| set(records::epoch_key(host), epoch)));
-        changes.extend(plan.pages.iter().map(|(page, grants)| set(records::grants_key(*page), grants)));
-        changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS.into(), &kept)));
+        changes.extend(plan.policy.map(|policy| set_record(records::ADMISSION_POLICY.into(), &policy)));
+        changes.extend(plan.epochs.iter().map(|(host, epoch)| set_record(records::epoch_key(host), epoch)));
+        changes
+            .extend(plan.pages.iter().map(|(page, grants)| set_record(records::grants_key(*page), grants)));
+        changes.extend(plan.reservations.map(|kept| set_record(records::RESERVATIONS.into(), &kept)));
         let mut conditions = vec![leader];
         conditions.extend(changes.iter().map(|change| self.unchanged(change.key().to_string())));
         AtomicUpdate { conditions, changes }
@@ -109,27 +110,27 @@
     }
 
     fn cpus_up(&self) -> f64 {
-        let up = self.machines.values().filter(|machine| machine.seems_open());
-        up.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
+        let open_machines = self.machines.values().filter(|machine| machine.seems_open());
+        open_machines.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
     }
 
     /// Forgets what an earlier term of this process had planned.
-    pub(in crate::core) fn begin_granting(&mut self) {
+    pub(in crate::core) fn reset_credit_planner(&mut self) {
         self.with_credit(|credit| credit.planner.reset());
     }
 
     /// The unit by which any controller lifts the demand for credit while a live one
     /// knows nothing of it: that one would take everything the others refuse, or, as
     /// leader, would never grant any.
-    pub fn lift_update(&self) -> Option<AtomicUpdate> {
-        let stranger =
+    pub fn suspension_update(&self) -> Option<AtomicUpdate> {
+        let unaware_host =
             self.live_controllers.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
         let (policy, _) = self.credit.as_ref()?.ledger.policy().filter(|(policy, _)| policy.in_force)?;
-        let lifted = PolicyRecord { in_force: false, ..policy.clone() };
-        let change = set(records::ADMISSION_POLICY.into(), &lifted);
+        let suspended = PolicyRecord { in_force: false, ..policy.clone() };
+        let change = set_record(records::ADMISSION_POLICY.into(), &suspended);
         let conditions = vec![
             self.unchanged(records::ADMISSION_POLICY.into()),
-            self.unchanged(records::live_key(stranger)),
+            self.unchanged(records::live_key(unaware_host)),
         ];
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
--- a/crates/dapplecroft-controller/src/core/credit/status.rs
+++ b/crates/dapplecroft-controller/src/core/credit/status.rs
@@ -35,16 +35,17 @@
 
     fn controller_credit(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerCredit> {
         let Some(credit) = &self.credit else { return Vec::new() };
-        let of = |(host, epoch): (&String, &dapplecroft_admission::EpochRecord)| ControllerCredit {
-            host: host.clone(),
-            epoch: epoch.epoch,
-            live: self.live_controllers.get(host).is_some_and(|live| live.identity == epoch.identity),
-            credit: credit.ledger.unspent(host).values().sum(),
-            stuck: replies.get(host).map_or(0, |reply| reply.stuck),
-            accepted: replies.get(host).map_or(0, |reply| reply.accepted),
-            refused: replies.get(host).map_or(0, |reply| reply.refused),
-        };
-        credit.ledger.epochs().map(of).collect()
+        let to_controller_credit =
+            |(host, epoch): (&String, &dapplecroft_admission::EpochRecord)| ControllerCredit {
+                host: host.clone(),
+                epoch: epoch.epoch,
+                live: self.live_controllers.get(host).is_some_and(|live| live.identity == epoch.identity),
+                credit: credit.ledger.unspent(host).values().sum(),
+                stuck: replies.get(host).map_or(0, |reply| reply.stuck),
+                accepted: replies.get(host).map_or(0, |reply| reply.accepted),
+                refused: replies.get(host).map_or(0, |reply| reply.refused),
+            };
+        credit.ledger.epochs().map(to_controller_credit).collect()
     }
 
     fn team_admission(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<TeamAdmission> {
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 /// A controller without an epoch has one within about this time.
-const EPOCH_SOON: Duration = Duration::from_secs(1);
+const EPOCH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What admission control says of a submission.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ruling {
+pub enum AdmissionDecision {
     /// It may be committed.
     Admitted(SubmissionPlan),
     /// There is no credit for it: come back after so long.
@@ -33,11 +33,19 @@
 
 impl Core {
     /// Sets credit aside for a submission.
-    pub fn rule(&mut self, spec: &JobSpec, random: f64, wall: f64, now: Instant) -> Ruling {
+    pub fn decide_admission(
+        &mut self,
+        spec: &JobSpec,
+        random: f64,
+        wall: f64,
+        now: Instant,
+    ) -> AdmissionDecision {
         match self.admit(spec) {
-            Ok(plan) => Ruling::Admitted(plan),
-            Err(Refusal::NoEpoch) => Ruling::Refused(EPOCH_SOON),
-            Err(Refusal::NoCredit) => Ruling::Refused(self.refuse(spec, random, wall, now)),
+            Ok(plan) => AdmissionDecision::Admitted(plan),
+            Err(Refusal::NoEpoch) => AdmissionDecision::Refused(EPOCH_RETRY_AFTER),
+            Err(Refusal::NoCredit) => {
+                AdmissionDecision::Refused(self.record_refusal(spec, random, wall, now))
+            }
         }
     }
 
@@ -51,21 +59,21 @@
             let policy = self.unchanged(records::ADMISSION_POLICY.into());
             return Ok(SubmissionPlan { conditions: vec![policy], ..SubmissionPlan::default() });
         }
-        if let Some(plan) = self.reserved_plan(&spec.id) {
+        if let Some(plan) = self.plan_for_reservation(&spec.id) {
             return Ok(plan);
         }
-        let charge = self.reckoned_charge(spec, self.least_charge());
-        self.spend(spec, charge)
+        let charge = self.computed_charge(spec, self.min_charge());
+        self.spend_credit(spec, charge)
     }
 
     /// The least that a job is charged in this controller's epoch.
-    fn least_charge(&self) -> u64 {
+    fn min_charge(&self) -> u64 {
         let credit = self.credit.as_ref();
         let epoch = credit.and_then(|credit| credit.ledger.epoch(&self.settings.host_name));
         epoch.map_or(1, |(record, _)| record.least.max(1))
     }
 
-    fn spend(&mut self, spec: &JobSpec, charge: u64) -> Result<SubmissionPlan, Refusal> {
+    fn spend_credit(&mut self, spec: &JobSpec, charge: u64) -> Result<SubmissionPlan, Refusal> {
         let Some(credit) = &mut self.credit else { return Ok(SubmissionPlan::default()) };
         let bucket = credit.bucket(spec);
         let spending = credit.spender.spend(&spec.id, &bucket, charge)?;
@@ -75,7 +83,7 @@
     }
 
     /// A job that room was saved up for spends that, at any controller.
-    fn reserved_plan(&self, id: &str) -> Option<SubmissionPlan> {
+    fn plan_for_reservation(&self, id: &str) -> Option<SubmissionPlan> {
         let credit = self.credit.as_ref()?;
         let reservation = credit.ledger.reservation(id)?;
         let tag = CreditTag {
@@ -88,14 +96,14 @@
         Some(SubmissionPlan { conditions, tag: Some(tag), spending: None })
     }
 
-    fn refuse(&mut self, spec: &JobSpec, random: f64, wall: f64, now: Instant) -> Duration {
-        let charge = self.reckoned_charge(spec, self.least_charge());
+    fn record_refusal(&mut self, spec: &JobSpec, random: f64, wall: f64, now: Instant) -> Duration {
+        let charge = self.computed_charge(spec, self.min_charge());
         let bucket = self.bucket_of(spec);
         if let Some(credit) = &mut self.credit {
             credit.demand.refused(&spec.id, &bucket, charge, now);
             credit.refused += 1;
         }
-        let (waiting, rate) = self.bucket_outlook(&bucket, wall, now);
+        let (waiting, rate) = self.bucket_backlog_and_rate(&bucket, wall, now);
         retry_after(waiting, rate, random)
     }
 
@@ -105,7 +113,7 @@
 
     /// Notes how a submission ended that had spent something.
     pub fn settle_spending(&mut self, id: &str, spending: &Spending, settlement: Settlement) {
-        let tag = self.accepted_tag(id);
+        let tag = self.known_credit_tag(id);
         let Some(credit) = &mut self.credit else { return };
         credit.accepted += u64::from(settlement == Settlement::Committed);
         credit.spender.settle(id, spending, settlement);
@@ -116,7 +124,7 @@
     }
 
     /// The tag of a job whose record is known.
-    fn accepted_tag(&self, id: &str) -> Option<Option<CreditTag>> {
+    fn known_credit_tag(&self, id: &str) -> Option<Option<CreditTag>> {
         match self.jobs.get(id)? {
             crate::jobs::Job::Open(job) => Some(job.record.credit.clone()),
             crate::jobs::Job::Away(job) => Some(job.record.credit.clone()),
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -32,7 +32,7 @@
 
 pub use capacity_usage::CapacityUsage;
 pub use commit::{CommitOutcome, CommitTarget, PendingCommit};
-pub use credit::{Ruling, SubmissionPlan};
+pub use credit::{AdmissionDecision, SubmissionPlan};
 pub use federation::{AwayRequest, NotAway, OfferUpdate, VisitPlan, VisitRequest};
 pub use fleet::{FleetActions, MAX_CONSULTED};
 pub use groups::GroupUpdate;
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -57,7 +57,7 @@
         self.applied_revision = self.applied_revision.max(revision);
         let applied_revision = self.applied_revision;
         self.dropped.retain(|_, at| *at > applied_revision);
-        self.note_applied_revision(applied_revision);
+        self.set_credit_revision(applied_revision);
         while let Some(&(sent, at)) = self.role.pending.front() {
             if at > applied_revision {
                 break;
@@ -337,7 +337,7 @@
         self.forget_job(&id);
         self.jobs.remove(&id);
         self.federation.visits.remove(&id);
-        self.note_dropped_job(&id);
+        self.remove_job_charge(&id);
     }
 
     fn apply_job(&mut self, id: &str, record: JobRecord, version: u64, now: Instant) {
@@ -346,7 +346,7 @@
             Some(origin) => self.federation.visits.insert(id.clone(), origin.clone()),
             None => self.federation.visits.remove(&id),
         };
-        self.note_job_charge(&id, &record);
+        self.apply_job_charge(&id, &record);
         if record.spec.is_none() {
             // Final for good: everything about it can be forgotten but this.
             self.forget_job(&id);
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -73,7 +73,7 @@
         let ready = self.role.leadership.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.ready() {
             self.fleet.begin(now);
-            self.begin_granting();
+            self.reset_credit_planner();
             let open: Vec<Arc<str>> = self.open.iter().cloned().collect();
             for id in open {
                 self.finish_if_over(&id);
--- a/crates/dapplecroft-controller/src/loops.rs
+++ b/crates/dapplecroft-controller/src/loops.rs
@@ -5,8 +5,8 @@
 mod election;
 mod federation;
 mod fleet;
-mod follow;
-mod work;
+mod placement;
+mod record_watch;
 
 use crate::node::Node;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
     /// ([`Node::ended`] says why); no loop ends by itself.
     pub async fn run(self: &Arc<Self>) {
         let mut loops = JoinSet::new();
-        loops.spawn(self.clone().follow_loop());
-        loops.spawn(self.clone().beat_loop());
+        loops.spawn(self.clone().watch_loop());
+        loops.spawn(self.clone().lease_renewal_loop());
         loops.spawn(self.clone().role_loop());
-        loops.spawn(self.clone().question_loop());
-        loops.spawn(self.clone().place_loop());
+        loops.spawn(self.clone().version_check_loop());
+        loops.spawn(self.clone().placement_loop());
         loops.spawn(self.clone().flush_loop());
         loops.spawn(self.clone().command_loop());
         loops.spawn(self.clone().fleet_loop());
         loops.spawn(self.clone().cloud_loop());
-        loops.spawn(self.clone().health_loop());
-        loops.spawn(self.clone().summary_loop());
+        loops.spawn(self.clone().state_health_loop());
+        loops.spawn(self.clone().status_log_loop());
         loops.spawn(self.clone().room_loop());
         if self.options.admission.is_some() {
             loops.spawn(self.clone().admission_loop());
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -13,9 +13,9 @@
 use tokio::time::{sleep, timeout};
 
 /// How often credit is granted.
-const ROUND: Duration = Duration::from_secs(1);
+const GRANT_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest pause between rounds, when something wakes the loop earlier.
-const SHORTEST_ROUND: Duration = Duration::from_millis(250);
+const MIN_GRANT_PAUSE: Duration = Duration::from_millis(250);
 /// How long a controller has to tell its demand.
 const DEMAND_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause before a transaction with an unknown outcome is tried again.
@@ -24,34 +24,34 @@
 impl Node {
     pub(crate) async fn admission_loop(self: Arc<Self>) {
         loop {
-            let _ = timeout(ROUND, self.wake_admission.notified()).await;
+            let _ = timeout(GRANT_INTERVAL, self.wake_admission.notified()).await;
             if self.with(|core| core.grants_credit(now())) {
-                let replies = self.ask_demand().await;
+                let replies = self.collect_demand().await;
                 let wall = self.wall_seconds();
                 if let Some(update) = self.with(|core| core.credit_update(&replies, wall, now())) {
-                    self.commit_credit(update).await;
+                    self.commit_credit_update(update).await;
                 }
             }
-            if let Some(update) = self.with(|core| core.lift_update()) {
+            if let Some(update) = self.with(|core| core.suspension_update()) {
                 tracing::warn!("a live controller knows nothing of admission: no credit is demanded");
-                self.commit_credit(update).await;
+                self.commit_credit_update(update).await;
             }
-            sleep(SHORTEST_ROUND).await;
+            sleep(MIN_GRANT_PAUSE).await;
         }
     }
 
     /// What each controller refused lately; those that do not answer are left out.
-    pub(crate) async fn ask_demand(&self) -> BTreeMap<String, DemandReply> {
-        let mut asked = JoinSet::new();
+    pub(crate) async fn collect_demand(&self) -> BTreeMap<String, DemandReply> {
+        let mut requests = JoinSet::new();
         for peer in self.settings.peers.clone() {
             let peers = self.peers.clone();
-            asked.spawn(async move {
+            requests.spawn(async move {
                 let reply = timeout(DEMAND_TIMEOUT, peers.demand(&peer)).await.ok().flatten();
                 reply.map(|reply| (peer.host_name, reply))
             });
         }
         let mut replies: BTreeMap<String, DemandReply> =
-            asked.join_all().await.into_iter().flatten().collect();
+            requests.join_all().await.into_iter().flatten().collect();
         replies.insert(self.settings.host_name.clone(), self.with(|core| core.own_demand(now())));
         replies
     }
@@ -60,9 +60,9 @@
     /// its conditions fail: only one of the copies can find them true. Until then nothing
     /// else is granted, since a late copy may change records that another plan leaves
     /// alone.
-    async fn commit_credit(&self, update: AtomicUpdate) {
+    async fn commit_credit_update(&self, update: AtomicUpdate) {
         let transaction = Transaction { conditions: update.conditions, changes: update.changes };
-        let mut unknown = false;
+        let mut outcome_unknown = false;
         loop {
             match self.state.transact(&transaction, true).await {
                 Outcome::Done(Verdicts::Committed(revision)) => {
@@ -75,13 +75,13 @@
                     }
                     return;
                 }
-                Outcome::Refused(error) if !unknown => {
+                Outcome::Refused(error) if !outcome_unknown => {
                     tracing::debug!(error, "credit not granted");
                     sleep(RETRY_PAUSE).await;
                     return;
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
-                    unknown = true;
+                    outcome_unknown = true;
                     tracing::debug!(error, "credit perhaps granted");
                     sleep(RETRY_PAUSE).await;
                 }
@@ -91,19 +91,19 @@
 
     /// Waits until this node's copy of the records shows all that was committed before
     /// the call. Whoever waits meanwhile shares one request; no more than a few may.
-    pub(crate) async fn catch_up(&self) -> bool {
-        let begun = now();
-        let Some(_place) = CatchUpPlace::take(self) else { return false };
-        let mut last = self.caught_up_since.lock().await;
-        if last.is_some_and(|at| at >= begun) {
+    pub(crate) async fn catch_up_replica(&self) -> bool {
+        let called_at = now();
+        let Some(_permit) = CatchUpPermit::acquire(self) else { return false };
+        let mut caught_up_since = self.caught_up_since.lock().await;
+        if caught_up_since.is_some_and(|at| at >= called_at) {
             return true;
         }
-        if let Some(at) = *last {
-            let passed = now().saturating_duration_since(at);
-            sleep(CATCH_UP_PAUSE.saturating_sub(passed)).await;
+        if let Some(at) = *caught_up_since {
+            let elapsed = now().saturating_duration_since(at);
+            sleep(MIN_CATCH_UP_INTERVAL.saturating_sub(elapsed)).await;
         }
-        let sent = now();
-        let conditions = self.with(|core| core.credit_conditions());
+        let sent_at = now();
+        let conditions = self.with(|core| core.freshness_conditions());
         let transaction = Transaction { conditions, changes: Vec::new() };
         let revision = match self.state.transact(&transaction, true).await {
             Outcome::Done(Verdicts::Committed(revision)) => revision,
@@ -115,41 +115,41 @@
             }
             Outcome::Refused(_) | Outcome::Unknown(_) => return false,
         };
-        let known = timeout(CATCH_UP_TIMEOUT, async {
+        let followed = timeout(CATCH_UP_TIMEOUT, async {
             while self.with(|core| core.applied_revision) < revision {
-                sleep(CATCH_UP_CHECK).await;
+                sleep(CATCH_UP_POLL_INTERVAL).await;
             }
         });
-        if known.await.is_err() {
+        if followed.await.is_err() {
             return false;
         }
-        *last = Some(sent);
+        *caught_up_since = Some(sent_at);
         true
     }
 }
 
-/// Shortest time between two requests of [`Node::catch_up`].
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(200);
+/// Shortest time between two requests of [`Node::catch_up_replica`].
+const MIN_CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// How long the watch may take to bring what is known to be committed.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
-const CATCH_UP_CHECK: Duration = Duration::from_millis(10);
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The most that wait for the copy at a time: others need their turn too.
-const MAX_CATCHING_UP: usize = 64;
+const MAX_CATCH_UP_WAITERS: usize = 64;
 
 /// One of those that may wait for the copy.
-struct CatchUpPlace<'a>(&'a Node);
+struct CatchUpPermit<'a>(&'a Node);
 
-impl<'a> CatchUpPlace<'a> {
-    fn take(node: &'a Node) -> Option<CatchUpPlace<'a>> {
-        let mut waiting = lock(&node.catching_up);
-        (*waiting < MAX_CATCHING_UP).then(|| {
-            *waiting += 1;
-            CatchUpPlace(node)
+impl<'a> CatchUpPermit<'a> {
+    fn acquire(node: &'a Node) -> Option<CatchUpPermit<'a>> {
+        let mut waiters = lock(&node.catching_up);
+        (*waiters < MAX_CATCH_UP_WAITERS).then(|| {
+            *waiters += 1;
+            CatchUpPermit(node)
         })
     }
 }
 
-impl Drop for CatchUpPlace<'_> {
+impl Drop for CatchUpPermit<'_> {
     fn drop(&mut self) {
         *lock(&self.0.catching_up) -= 1;
     }
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-fn value<T: Serialize>(record: &T) -> serde_json::Value {
+fn to_json<T: Serialize>(record: &T) -> serde_json::Value {
     serde_json::to_value(record).unwrap_or_default()
 }
 
@@ -22,16 +22,16 @@
     /// Renews this node's lease and has its role confirmed, again and again.
     /// Nothing else is done in this loop: on a busy node every wait takes long,
     /// and the lease must not end of that.
-    pub(crate) async fn beat_loop(self: Arc<Self>) {
+    pub(crate) async fn lease_renewal_loop(self: Arc<Self>) {
         let heartbeat_interval = self.options.node_lease / 4;
         while !self.with(|core| core.loaded) {
             let _ = timeout(heartbeat_interval / 4, self.wake_heartbeat.notified()).await;
         }
         loop {
-            let begun = now();
-            let ok = self.touch().await;
+            let started_at = now();
+            let ok = self.renew_lease().await;
             let pause = if ok { heartbeat_interval } else { heartbeat_interval / 4 };
-            let left = pause.saturating_sub(now().saturating_duration_since(begun));
+            let left = pause.saturating_sub(now().saturating_duration_since(started_at));
             let _ = timeout(left.max(heartbeat_interval / 20), self.wake_heartbeat.notified()).await;
         }
     }
@@ -43,9 +43,9 @@
         let heartbeat_interval = self.options.node_lease / 4;
         loop {
             if self.with(|core| core.loaded) {
-                self.stand(&mut random).await;
-                self.settle_layout().await;
-                self.take_up().await;
+                self.run_for_leader(&mut random).await;
+                self.advance_layout().await;
+                self.assume_roles().await;
                 self.lease_shards().await;
             }
             let _ = timeout(heartbeat_interval, self.wake_role.notified()).await;
@@ -53,15 +53,15 @@
     }
 
     /// Renews the lease, or gets one with this node's liveness key on it.
-    async fn touch(&self) -> bool {
-        let sent = now();
+    async fn renew_lease(&self) -> bool {
+        let sent_at = now();
         let Some(lease) = self.with(|core| core.role.lease) else {
-            return self.enter().await;
+            return self.acquire_lease().await;
         };
-        let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm());
+        let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm_roles());
         match touched {
             Outcome::Done(true) => {
-                *lock(&self.touched) = Some(sent);
+                *lock(&self.touched) = Some(sent_at);
                 self.set_rates();
                 // A late write of an earlier process of this node may have taken
                 // the place of this one's entry.
@@ -70,7 +70,7 @@
                         .get(&self.settings.host_name)
                         .is_some_and(|l| l.identity == core.identity)
                 });
-                own || self.announce(lease).await
+                own || self.write_live_record(lease).await
             }
             Outcome::Done(false) => {
                 tracing::info!("lease ended");
@@ -87,22 +87,22 @@
         }
     }
 
-    async fn enter(&self) -> bool {
+    async fn acquire_lease(&self) -> bool {
         if self.with(|core| core.role.abstains.is_some_and(|until| now() < until)) {
             return false;
         }
         let host = &self.settings.host_name;
         // A key of the same name belongs to a process that this one replaces:
         // there is one at a time, so it has ended and its lease can go at once.
-        let before = self.with(|core| {
+        let earlier_lease = self.with(|core| {
             core.live_controllers.get(host).filter(|l| l.identity != core.identity).map(|l| l.lease)
         });
-        if let Some(lease) = before {
+        if let Some(lease) = earlier_lease {
             tracing::info!("ending the lease of this node's earlier process");
             let _ = self.state.revoke(lease).await;
         }
         let Outcome::Done(lease) = self.state.grant(self.options.node_lease).await else { return false };
-        if self.announce(lease).await {
+        if self.write_live_record(lease).await {
             return true;
         }
         let _ = self.state.revoke(lease).await;
@@ -110,12 +110,12 @@
     }
 
     /// Writes this process's entry on its lease.
-    async fn announce(&self, lease: u64) -> bool {
+    async fn write_live_record(&self, lease: u64) -> bool {
         let identity = self.with(|core| core.identity.clone());
         let admission = self.options.admission.is_some();
         let record = LiveRecord { identity, lease, layout: records::LAYOUT, admission };
         let key = records::live_key(&self.settings.host_name);
-        let change = Change::Set { key, value: value(&record), lease: Some(lease) };
+        let change = Change::Set { key, value: to_json(&record), lease: Some(lease) };
         let transaction = Transaction { conditions: Vec::new(), changes: vec![change] };
         let outcome = self.state.transact(&transaction, true).await;
         let Outcome::Done(Verdicts::Committed(revision)) = outcome else { return false };
@@ -130,7 +130,7 @@
 
     /// Leaves this process's mark that it knows the new layout and, as leader,
     /// makes the switch to it once all members have left theirs.
-    async fn settle_layout(&self) {
+    async fn advance_layout(&self) {
         for step in [Core::supported_layout_transaction, Core::layout_switch_transaction] {
             let ready = |core: &mut Core| core.role.lease.and_then(|_| step(core));
             let Some(transaction) = self.with(ready) else { continue };
@@ -151,34 +151,34 @@
     }
 
     /// Stands for election if there is no leader.
-    async fn stand(&self, random: &mut StdRng) {
-        let vacant = |core: &mut Core| {
+    async fn run_for_leader(&self, random: &mut StdRng) {
+        let lease_if_leaderless = |core: &mut Core| {
             (core.leader.is_none() && core.role.lease.is_some()).then_some(core.role.lease).flatten()
         };
-        let own = self.with(|core| {
+        let own_version = self.with(|core| {
             let (leader, version) = core.leader.as_ref()?;
             let unused = core.role.leadership.is_none() && core.role.lease.is_some();
             (unused && leader.identity == core.identity).then_some(*version)
         });
-        if let Some(version) = own {
+        if let Some(version) = own_version {
             tracing::info!(term = version, "elected leader");
             self.with(|core| core.lead(version));
             self.set_rates();
             return;
         }
-        if self.with(vacant).is_none() {
+        if self.with(lease_if_leaderless).is_none() {
             return;
         }
         // Not all at once: whoever is first saves the others the attempt.
         sleep(Duration::from_millis(random.random_range(0..80))).await;
-        let Some(lease) = self.with(vacant) else { return };
+        let Some(lease) = self.with(lease_if_leaderless) else { return };
         let identity = self.with(|core| core.identity.clone());
         let record = LeaderRecord { host: self.settings.host_name.clone(), identity };
         let transaction = Transaction {
             conditions: vec![Condition { key: records::LEADER.into(), version: 0 }],
             changes: vec![Change::Set {
                 key: records::LEADER.into(),
-                value: value(&record),
+                value: to_json(&record),
                 lease: Some(lease),
             }],
         };
@@ -204,7 +204,7 @@
 
     /// Takes up what was won or leased to this process, once its copy of the
     /// records has caught up, and has it confirmed at once.
-    async fn take_up(&self) {
+    async fn assume_roles(&self) {
         let changed = self.with(|core| {
             let before = (core.role.leased_shards.len(), core.leads(now()));
             core.begin_to_lead(now());
@@ -214,7 +214,7 @@
         });
         if changed {
             self.set_rates();
-            self.confirm().await;
+            self.confirm_roles().await;
         }
     }
 
@@ -245,12 +245,12 @@
     }
 
     /// As leader or holder, asks whether all that is still this process's.
-    async fn confirm(&self) {
+    async fn confirm_roles(&self) {
         let (conditions, generation) = self.with(|core| (core.role_conditions(), core.generation()));
-        let sent: Instant = now();
-        let most = 4 * self.with(|core| core.limits().changes);
+        let sent_at: Instant = now();
+        let max_conditions = 4 * self.with(|core| core.limits().changes);
         let mut confirmed = None;
-        for part in conditions.chunks(most) {
+        for part in conditions.chunks(max_conditions) {
             let transaction = Transaction { conditions: part.to_vec(), changes: Vec::new() };
             match self.state.transact(&transaction, true).await {
                 Outcome::Done(Verdicts::Committed(revision)) => confirmed = confirmed.max(Some(revision)),
@@ -270,7 +270,7 @@
             }
         }
         if let Some(revision) = confirmed {
-            self.with(|core| core.confirmed_for(generation, sent, revision));
+            self.with(|core| core.confirmed_for(generation, sent_at, revision));
         }
     }
 
@@ -296,41 +296,49 @@
 
     /// Watches whether this node has lost the state service, and whether it is
     /// alone in that: then a peer answers its users.
-    pub(crate) async fn health_loop(self: Arc<Self>) {
+    pub(crate) async fn state_health_loop(self: Arc<Self>) {
         let heartbeat_interval = self.options.node_lease / 4;
         loop {
             sleep(heartbeat_interval / 2).await;
             let age = self.state_age();
             let loaded = self.with(|core| core.loaded);
             let lost = !loaded || age.is_none_or(|a| a > heartbeat_interval.mul_f64(1.6));
-            let fresh = if lost { self.fresh_peer(age, heartbeat_interval).await } else { None };
-            self.shared_outage.store(lost && fresh.is_none(), Ordering::Relaxed);
-            let before = std::mem::replace(&mut *lock(&self.helper), fresh);
-            if before.is_some() != fresh.is_some() {
-                tracing::info!(alone = fresh.is_some(), "whether this node alone has lost the state service");
+            let helper =
+                if lost { self.peer_with_state_contact(age, heartbeat_interval).await } else { None };
+            self.shared_outage.store(lost && helper.is_none(), Ordering::Relaxed);
+            let previous_helper = std::mem::replace(&mut *lock(&self.helper), helper);
+            if previous_helper.is_some() != helper.is_some() {
+                tracing::info!(
+                    alone = helper.is_some(),
+                    "whether this node alone has lost the state service"
+                );
             }
         }
     }
 
     /// A peer that has been in contact with the state service since this node
     /// was: in an outage that all share, nodes notice at about the same time.
-    async fn fresh_peer(&self, age: Option<Duration>, heartbeat_interval: Duration) -> Option<usize> {
-        let sights = self.settings.peers.iter().map(|peer| {
+    async fn peer_with_state_contact(
+        &self,
+        age: Option<Duration>,
+        heartbeat_interval: Duration,
+    ) -> Option<usize> {
+        let requests = self.settings.peers.iter().map(|peer| {
             let (peers, peer) = (self.peers.clone(), peer.clone());
             tokio::spawn(async move { peers.sight(&peer).await })
         });
-        let limit =
+        let max_age =
             age.unwrap_or(Duration::MAX).saturating_sub(heartbeat_interval).min(heartbeat_interval * 2);
-        let mut best = None;
-        for (n, sight) in sights.collect::<Vec<_>>().into_iter().enumerate() {
-            if let Ok(Some(sight)) = sight.await
-                && sight.ready
-                && u128::from(sight.state_age_ms) < limit.as_millis()
+        let mut freshest = None;
+        for (n, request) in requests.collect::<Vec<_>>().into_iter().enumerate() {
+            if let Ok(Some(reply)) = request.await
+                && reply.ready
+                && u128::from(reply.state_age_ms) < max_age.as_millis()
             {
-                let seen = (sight.state_age_ms, n);
-                best = Some(best.map_or(seen, |b: (u64, usize)| b.min(seen)));
+                let candidate = (reply.state_age_ms, n);
+                freshest = Some(freshest.map_or(candidate, |b: (u64, usize)| b.min(candidate)));
             }
         }
-        best.map(|(_, n)| n)
+        freshest.map(|(_, n)| n)
     }
 }
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -15,33 +15,33 @@
 use tokio::time::{sleep, timeout};
 
 /// How often another cell is asked while jobs are away there.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+const AWAY_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How often it is asked for its summary alone.
-const SUMMARY_EVERY: Duration = Duration::from_secs(2);
+const SUMMARY_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// How long an answer of another cell may take.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often jobs that wait are looked at.
-const OFFER_EVERY: Duration = Duration::from_secs(1);
+const OFFER_INTERVAL: Duration = Duration::from_secs(1);
 /// The most jobs that are offered, and given back, at a time: each costs a change.
-const MAX_OFFERS: usize = 4;
+const MAX_OFFERS_PER_ROUND: usize = 4;
 /// The most keys of finished hand-overs that are dropped at a time.
-const MAX_PRUNED: usize = 4;
+const MAX_PRUNED_PER_ROUND: usize = 4;
 /// Finished hand-overs are dropped while at least this part of a burst of changes is left.
-const PRUNE_ABOVE: f64 = 0.7;
+const PRUNE_MIN_WRITE_ROOM: f64 = 0.7;
 /// How long a user's cancellation waits for the other cell before the user is asked to
 /// come back, and how often it is looked at.
-const CANCEL_WAIT: Duration = Duration::from_millis(3500);
-const CANCEL_CHECK: Duration = Duration::from_millis(100);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(3500);
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Where a cell's loop stands.
 #[derive(Default)]
-struct PeerLoop {
+struct PeerCellProgress {
     /// The cell, as it last told of itself.
     cell: Option<CellId>,
     /// The last job that was asked about.
-    last: Option<Arc<str>>,
+    last_polled_job: Option<Arc<str>>,
     /// Whether the last exchange failed, so that only changes are logged.
-    failing: bool,
+    exchange_failing: bool,
 }
 
 impl Node {
@@ -57,47 +57,54 @@
     }
 
     async fn peer_cell_loop(self: Arc<Self>, peer: PeerCell) {
-        let mut state = PeerLoop::default();
+        let mut state = PeerCellProgress::default();
         loop {
             let away = self.with(|core| core.away_at(&peer.name));
-            let pause = if away > 0 { ASK_EVERY } else { SUMMARY_EVERY };
+            let pause = if away > 0 { AWAY_POLL_INTERVAL } else { SUMMARY_POLL_INTERVAL };
             let _ = timeout(pause, self.wake_federation.notified()).await;
             if self.with(|core| core.leads_federation(now())) {
-                self.ask_cell(&peer, &mut state).await;
+                self.poll_cell(&peer, &mut state).await;
             }
         }
     }
 
-    async fn ask_cell(&self, peer: &PeerCell, state: &mut PeerLoop) {
+    async fn poll_cell(&self, peer: &PeerCell, state: &mut PeerCellProgress) {
         let Some(federation) = &self.options.federation else { return };
-        let asked = now();
+        let asked_at = now();
         let prepared = self.with(|core| {
             // Not more than what was agreed with the incarnation that answers now: what
             // is away at an earlier one stays away.
-            let mut requests = core.away_requests(&peer.name, state.last.as_deref(), MAX_TRANSFERS);
-            let meant = |request: &crate::core::AwayRequest| core.away_cell(&request.job) == state.cell;
-            requests.retain(meant);
+            let mut requests =
+                core.away_requests(&peer.name, state.last_polled_job.as_deref(), MAX_TRANSFERS);
+            let for_current_cell =
+                |request: &crate::core::AwayRequest| core.away_cell(&request.job) == state.cell;
+            requests.retain(for_current_cell);
             Some((core.watermark_for(&peer.name)?, requests))
         });
         let Some((watermark, requests)) = prepared else { return };
         if let Some(last) = requests.last() {
-            state.last = Some(last.job.clone());
+            state.last_polled_job = Some(last.job.clone());
         }
         let request = to_transfers(&federation.cell, state.cell.as_ref(), watermark, requests);
         let exchange = self.cells.exchange(peer, request);
         let reply = timeout(EXCHANGE_TIMEOUT, exchange).await.unwrap_or(Err(ExchangeError::Unreachable));
-        let taken = match reply {
-            Ok(reply) => self.take_reply(peer, state, reply, asked).await.map_err(ExchangeError::from),
+        let result = match reply {
+            Ok(reply) => self.apply_reply(peer, state, reply, asked_at).await.map_err(ExchangeError::from),
             Err(error) => Err(error),
         };
-        self.note_exchange(peer, state, taken);
+        self.handle_exchange_result(peer, state, result);
     }
 
-    fn note_exchange(&self, peer: &PeerCell, state: &mut PeerLoop, taken: Result<(), ExchangeError>) {
-        match taken {
-            Ok(()) if state.failing => {
+    fn handle_exchange_result(
+        &self,
+        peer: &PeerCell,
+        state: &mut PeerCellProgress,
+        result: Result<(), ExchangeError>,
+    ) {
+        match result {
+            Ok(()) if state.exchange_failing => {
                 tracing::info!(cell = peer.name, "a cell answers again");
-                state.failing = false;
+                state.exchange_failing = false;
             }
             Ok(()) => {}
             Err(error) => {
@@ -105,20 +112,20 @@
                     // It has another incarnation now: its summary says which.
                     state.cell = None;
                 }
-                if !state.failing {
+                if !state.exchange_failing {
                     tracing::info!(cell = peer.name, %error, "a cell does not answer");
-                    state.failing = true;
+                    state.exchange_failing = true;
                 }
             }
         }
     }
 
-    async fn take_reply(
+    async fn apply_reply(
         &self,
         peer: &PeerCell,
-        state: &mut PeerLoop,
+        state: &mut PeerCellProgress,
         reply: ExchangeReply,
-        asked: Instant,
+        asked_at: Instant,
     ) -> Result<(), MalformedMessage> {
         let summary = from_reply(&reply)?;
         if summary.cell.name != peer.name {
@@ -126,15 +133,15 @@
         }
         let cell = summary.cell.clone();
         state.cell = Some(cell.clone());
-        lock(&self.summaries).note(summary, asked);
+        lock(&self.summaries).note(summary, asked_at);
         for answer in &reply.answers {
             let (epoch, transfer) = from_answer(answer)?;
-            self.take_answer(&answer.job, &cell, epoch, transfer).await;
+            self.apply_answer(&answer.job, &cell, epoch, transfer).await;
         }
         Ok(())
     }
 
-    async fn take_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
+    async fn apply_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
         if state == TransferState::Refused {
             lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
         }
@@ -147,19 +154,19 @@
 
     async fn offer_loop(self: Arc<Self>, federation: Federation) {
         loop {
-            sleep(OFFER_EVERY).await;
+            sleep(OFFER_INTERVAL).await;
             if !self.with(|core| core.leads_federation(now())) {
                 continue;
             }
             self.offer_jobs(&federation).await;
             self.with(|core| core.prepare_returns(now()));
-            for update in self.with(|core| core.return_updates(MAX_OFFERS, now())) {
+            for update in self.with(|core| core.return_updates(MAX_OFFERS_PER_ROUND, now())) {
                 let key = update.changes.last().map(|change| change.key().to_string());
                 let committed = self.commit_for_cells(update).await;
                 tracing::info!(key, committed, "a job of another cell is given back");
             }
-            if self.state.write_room() > PRUNE_ABOVE {
-                for update in self.with(|core| core.prune_updates(MAX_PRUNED)) {
+            if self.state.write_room() > PRUNE_MIN_WRITE_ROOM {
+                for update in self.with(|core| core.prune_updates(MAX_PRUNED_PER_ROUND)) {
                     self.commit_for_cells(update).await;
                 }
             }
@@ -167,15 +174,15 @@
     }
 
     async fn offer_jobs(&self, federation: &Federation) {
-        let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS, now()));
+        let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS_PER_ROUND, now()));
         lock(&self.summaries).forget_refusals(federation.refusal_pause, now());
-        for (job, wish) in candidates {
+        for (job, requirements) in candidates {
             let chosen = {
-                let mut book = lock(&self.summaries);
+                let mut summaries = lock(&self.summaries);
                 let (fresh, pause) = (federation.summary_fresh, federation.refusal_pause);
-                let chosen = book.choose(&job, &wish, fresh, pause, now());
+                let chosen = summaries.choose(&job, &requirements, fresh, pause, now());
                 if let Some(cell) = &chosen {
-                    book.note_offer(&cell.name, &wish);
+                    summaries.note_offer(&cell.name, &requirements);
                 }
                 chosen
             };
@@ -214,14 +221,14 @@
 
     /// Cancels a job that is away: its user is told so only once the other cell has
     /// committed that nothing of it starts any more, and this cell has committed that.
-    pub(crate) async fn withdraw_away(&self, id: &str) -> Reply {
-        let deadline = tokio::time::Instant::now() + CANCEL_WAIT;
+    pub(crate) async fn cancel_away_job(&self, id: &str) -> Reply {
+        let deadline = tokio::time::Instant::now() + CANCEL_TIMEOUT;
         loop {
             match self.with(|core| core.away_cancellation(id)) {
                 Ok(Some(update)) => {
                     self.commit_for_cells(update).await;
                 }
-                Ok(None) => sleep(CANCEL_CHECK).await,
+                Ok(None) => sleep(CANCEL_POLL_INTERVAL).await,
                 Err(_) => break,
             }
             if tokio::time::Instant::now() >= deadline {
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -11,19 +11,19 @@
 use tokio::time::{sleep, timeout};
 
 /// Shortest pause between rounds.
-const ROUND: Duration = Duration::from_millis(30);
+const MIN_ROUND_PAUSE: Duration = Duration::from_millis(30);
 /// Longest pause between rounds.
-const LONGEST_ROUND: Duration = Duration::from_millis(500);
+const MAX_ROUND_PAUSE: Duration = Duration::from_millis(500);
 /// Longest time that a round waits for what earlier ones decided to be recorded.
-const LONGEST_WAIT: Duration = Duration::from_millis(1500);
+const MAX_BACKLOG_WAIT: Duration = Duration::from_millis(1500);
 /// A round is due at least this often: pauses end, machines fall silent.
-const TICK: Duration = Duration::from_secs(1);
+const MAX_IDLE_INTERVAL: Duration = Duration::from_secs(1);
 /// How often ends of tasks that wait for company are looked at.
-const LAZY_TICK: Duration = Duration::from_millis(100);
+const DEFERRED_COMMIT_INTERVAL: Duration = Duration::from_millis(100);
 /// How often a line says how things stand.
-const SUMMARY: Duration = Duration::from_secs(30);
+const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(30);
 /// Commands that are sent before other work has its turn.
-const COMMANDS_AT_A_TIME: usize = 12;
+const COMMANDS_PER_YIELD: usize = 12;
 /// How long a worker has to answer direct commands.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -31,25 +31,28 @@
     /// Rounds of placement. What comes up during a round or the pause after it
     /// is decided together in the next; the pause grows with the time that a
     /// round takes, so batches widen with the load.
-    pub(crate) async fn place_loop(self: Arc<Self>) {
-        let mut last = now();
+    pub(crate) async fn placement_loop(self: Arc<Self>) {
+        let mut last_round = now();
         loop {
-            let _ = timeout(TICK, self.wake_place.notified()).await;
-            let began = now();
+            let _ = timeout(MAX_IDLE_INTERVAL, self.wake_place.notified()).await;
+            let started_at = now();
             let wall = self.wall_seconds();
             // While decisions wait to be recorded, the next round waits too, and
             // decides more at a time; but not for ever, since what waits may be
             // this node's alone, and other holders have nothing to do.
-            let scarce = self.state.write_room() < 0.3;
-            let recent = began.saturating_duration_since(last) < LONGEST_WAIT;
-            if scarce && recent && self.with(|core| core.backed_up()) > 4 * self.committer.enough() {
-                sleep(LONGEST_ROUND / 4).await;
+            let writes_scarce = self.state.write_room() < 0.3;
+            let round_recent = started_at.saturating_duration_since(last_round) < MAX_BACKLOG_WAIT;
+            if writes_scarce
+                && round_recent
+                && self.with(|core| core.backed_up()) > 4 * self.committer.enough()
+            {
+                sleep(MAX_ROUND_PAUSE / 4).await;
                 self.wake_place.notify_one();
                 continue;
             }
-            last = began;
+            last_round = started_at;
             let update = self.with(|core| {
-                core.place(wall, scarce, now());
+                core.place(wall, writes_scarce, now());
                 core.drain_step(now())
             });
             if let Some(update) = update {
@@ -62,27 +65,30 @@
                     node.with(|core| core.drain_written());
                 });
             }
-            let took = now().saturating_duration_since(began);
-            sleep((took * 4).clamp(ROUND, LONGEST_ROUND)).await;
+            let took = now().saturating_duration_since(started_at);
+            sleep((took * 4).clamp(MIN_ROUND_PAUSE, MAX_ROUND_PAUSE)).await;
         }
     }
 
     /// Starts a commit for each job that has something to commit.
     pub(crate) async fn flush_loop(self: Arc<Self>) {
         loop {
-            let relaxed = self.state.write_room() > 0.5;
+            let writes_plentiful = self.state.write_room() > 0.5;
             // Units are put together when they can go, so that each has all that
             // its job has to commit by then.
             // Records of machines wait there as well; they must not keep these out.
-            let others = self.with(|core| core.group_writes_in_flight());
-            let enough = self.committer.enough();
+            let group_writes = self.with(|core| core.group_writes_in_flight());
+            let batch_size = self.committer.enough();
             loop {
                 // What can wait leaves room for what can't, in the queue as well.
-                let full = self.committer.waiting() >= enough + others;
-                if full && self.committer.waiting_soon() >= enough {
+                let queue_full = self.committer.waiting() >= batch_size + group_writes;
+                if queue_full && self.committer.waiting_soon() >= batch_size {
                     break;
                 }
-                let Some(update) = self.with(|core| core.next_commit(relaxed, full, now())) else { break };
+                let Some(update) = self.with(|core| core.next_commit(writes_plentiful, queue_full, now()))
+                else {
+                    break;
+                };
                 let node = self.clone();
                 // It joins the queue at its first poll.
                 let (queued, joined) = tokio::sync::oneshot::channel();
@@ -92,8 +98,8 @@
                 });
                 let _ = joined.await;
             }
-            let lazy = self.with(|core| core.has_deferrable());
-            let pause = if lazy { LAZY_TICK } else { TICK };
+            let has_deferrable = self.with(|core| core.has_deferrable());
+            let pause = if has_deferrable { DEFERRED_COMMIT_INTERVAL } else { MAX_IDLE_INTERVAL };
             tokio::select! {
                 () = self.wake_flush.notified() => {}
                 () = self.committer.taken() => {}
@@ -106,7 +112,7 @@
     /// unknown may be made much later; trying the same again settles it, since
     /// only one of the two can find its conditions true.
     async fn commit_update(&self, update: PendingCommit) {
-        let mut pause = Duration::from_millis(100);
+        let mut retry_pause = Duration::from_millis(100);
         loop {
             let result = if update.urgent {
                 self.committer.commit_soon(update.update.clone()).await
@@ -136,31 +142,31 @@
                     tracing::debug!(error, subject = ?update.target, "a change is not committed yet");
                 }
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(Duration::from_secs(1));
+            sleep(retry_pause).await;
+            retry_pause = (retry_pause * 2).min(Duration::from_secs(1));
         }
         self.with(|core| core.commit_ended(&update, CommitOutcome::NotCommitted, now()));
     }
 
     /// Says every half minute how things stand on this node.
-    pub(crate) async fn summary_loop(self: Arc<Self>) {
+    pub(crate) async fn status_log_loop(self: Arc<Self>) {
         loop {
-            sleep(SUMMARY).await;
-            let s = self.with(|core| core.summary(now()));
+            sleep(STATUS_LOG_INTERVAL).await;
+            let status = self.with(|core| core.summary(now()));
             tracing::info!(
-                leads = s.leads,
-                blocks = s.shards,
-                machines = s.machines,
-                open = s.open_machines,
-                jobs = s.jobs,
-                unallocated = s.unallocated,
-                waiting = s.waiting,
-                placed = s.placed,
-                free_percent = s.free_percent,
-                usage = ?s.usage,
-                segments = s.segments,
-                bytes = s.bytes,
-                layout = s.layout,
+                leads = status.leads,
+                blocks = status.shards,
+                machines = status.machines,
+                open = status.open_machines,
+                jobs = status.jobs,
+                unallocated = status.unallocated,
+                waiting = status.waiting,
+                placed = status.placed,
+                free_percent = status.free_percent,
+                usage = ?status.usage,
+                segments = status.segments,
+                bytes = status.bytes,
+                layout = status.layout,
                 changes_waiting = self.committer.waiting(),
                 write_room = format!("{:.2}", self.state.write_room()),
                 request_room = format!("{:.2}", self.state.request_room()),
@@ -175,20 +181,20 @@
         loop {
             let ids = std::mem::take(&mut *lock(&self.to_command));
             for (n, id) in ids.into_iter().enumerate() {
-                if n % COMMANDS_AT_A_TIME == COMMANDS_AT_A_TIME - 1 {
+                if n % COMMANDS_PER_YIELD == COMMANDS_PER_YIELD - 1 {
                     // Hundreds at once must not go before renewals of leases.
                     yield_now().await;
                 }
                 if let Some((address, commands)) = self.with(|core| core.next_command(&id, now())) {
                     let node = self.clone();
-                    self.spawn(async move { node.command(&id, address, commands).await });
+                    self.spawn(async move { node.send_commands(&id, address, commands).await });
                 }
             }
             self.wake_command.notified().await;
         }
     }
 
-    async fn command(self: &Arc<Self>, id: &str, address: String, commands: DirectCommands) {
+    async fn send_commands(self: &Arc<Self>, id: &str, address: String, commands: DirectCommands) {
         let Ok(body) = serde_json::to_vec(&commands) else { return };
         let request = Request {
             address,
@@ -198,18 +204,24 @@
             timeout: COMMAND_TIMEOUT,
             one_of_many: true,
         };
-        let answer = self.transport.send(request).await;
-        let report: Option<Heartbeat> = match &answer {
-            Ok(r) if r.status == 200 || r.status == 409 => serde_json::from_slice(&r.body).ok(),
+        let result = self.transport.send(request).await;
+        let report: Option<Heartbeat> = match &result {
+            Ok(response) if response.status == 200 || response.status == 409 => {
+                serde_json::from_slice(&response.body).ok()
+            }
             _ => None,
         };
-        if let (Ok(r), None) = (&answer, &report) {
-            tracing::warn!(machine = id, status = r.status, "a worker's answer to commands cannot be read");
+        if let (Ok(response), None) = (&result, &report) {
+            tracing::warn!(
+                machine = id,
+                status = response.status,
+                "a worker's answer to commands cannot be read"
+            );
         }
-        let end = match (&answer, &report) {
+        let end = match (&result, &report) {
             (Ok(_), Some(report)) => CommandEnd::Answered(report),
             (Err(Failure::NotSent(_)), _) => CommandEnd::NotDelivered,
-            (Ok(r), None) if r.status == 400 => CommandEnd::NotDelivered,
+            (Ok(response), None) if response.status == 400 => CommandEnd::NotDelivered,
             _ => CommandEnd::Unknown,
         };
         self.with(|core| core.command_ended(id, &commands, end, now()));
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/record_watch.rs
@@ -12,27 +12,27 @@
 
 /// How long a watch stays open. Short, so that one that is lost in the network
 /// is soon replaced: a holder's contact depends on it.
-const WATCH: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(200);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl Node {
-    pub(crate) async fn follow_loop(self: Arc<Self>) {
+    pub(crate) async fn watch_loop(self: Arc<Self>) {
         loop {
-            while !self.read_all().await {
-                sleep(PAUSE).await;
+            while !self.load_all_records().await {
+                sleep(RETRY_PAUSE).await;
             }
             loop {
                 let from = self.with(|core| core.applied_revision);
-                match self.state.follow(PREFIX, from, WATCH).await {
+                match self.state.follow(PREFIX, from, WATCH_TIMEOUT).await {
                     Outcome::Done(Watched::Changes(followed)) => {
-                        let some = !followed.log.is_empty();
+                        let has_changes = !followed.log.is_empty();
                         self.with(|core| core.follow(followed, now()));
-                        if some {
-                            sleep(self.follow_gap()).await;
+                        if has_changes {
+                            sleep(self.watch_pause()).await;
                         }
                     }
                     Outcome::Done(Watched::TooOld) => break,
-                    Outcome::Refused(_) | Outcome::Unknown(_) => sleep(PAUSE).await,
+                    Outcome::Refused(_) | Outcome::Unknown(_) => sleep(RETRY_PAUSE).await,
                 }
             }
         }
@@ -40,13 +40,13 @@
 
     /// Pause between watches that bring changes, so that many small changes
     /// come in few answers.
-    fn follow_gap(&self) -> Duration {
+    fn watch_pause(&self) -> Duration {
         let params = &self.settings.params;
         let share = params.state.rps / f64::from(params.nodes.max(1)) * 0.3;
         Duration::from_secs_f64(1.0 / share.max(1.0))
     }
 
-    async fn read_all(&self) -> bool {
+    async fn load_all_records(&self) -> bool {
         match self.state.list(PREFIX).await {
             Outcome::Done((items, revision)) => {
                 let count = items.len();
@@ -64,14 +64,14 @@
     }
 
     /// Reads a key again, until that succeeds or the caller's reason is gone.
-    pub(crate) async fn refresh(&self, key: &str, still: impl Fn() -> bool) -> bool {
-        while still() {
+    pub(crate) async fn refresh(&self, key: &str, still_needed: impl Fn() -> bool) -> bool {
+        while still_needed() {
             match self.state.get(key).await {
                 Outcome::Done((item, revision)) => {
                     self.with(|core| core.apply(key, item.map(|i| i.value), revision, now()));
                     return true;
                 }
-                Outcome::Refused(_) | Outcome::Unknown(_) => sleep(PAUSE).await,
+                Outcome::Refused(_) | Outcome::Unknown(_) => sleep(RETRY_PAUSE).await,
             }
         }
         false
@@ -79,28 +79,28 @@
 
     /// Answers questions about versions, all that wait in one transaction that
     /// only compares.
-    pub(crate) async fn question_loop(self: Arc<Self>) {
+    pub(crate) async fn version_check_loop(self: Arc<Self>) {
         loop {
-            let most = 4 * self.with(|core| core.limits().changes);
+            let max_conditions = 4 * self.with(|core| core.limits().changes);
             let batch: Vec<Question> = {
                 let mut questions = lock(&self.questions);
                 questions.retain(|q| !q.reply.is_closed());
-                let n = questions.len().min(most);
+                let n = questions.len().min(max_conditions);
                 questions.drain(..n).collect()
             };
             if batch.is_empty() {
                 self.wake_questions.notified().await;
                 continue;
             }
-            self.answer(batch).await;
+            self.check_versions(batch).await;
             // Requests are scarce: the next questions share one.
             if self.state.request_room() < 0.5 {
-                sleep(PAUSE / 2).await;
+                sleep(RETRY_PAUSE / 2).await;
             }
         }
     }
 
-    async fn answer(&self, batch: Vec<Question>) {
+    async fn check_versions(&self, batch: Vec<Question>) {
         let mut versions: HashMap<&str, u64> = HashMap::new();
         for question in &batch {
             // Two askers may have seen different versions; the older one is
@@ -118,7 +118,7 @@
         };
         let Some(failed) = failed else {
             // A refusal is soon over or lasts: either way, not at full speed.
-            sleep(PAUSE / 4).await;
+            sleep(RETRY_PAUSE / 4).await;
             for question in batch {
                 let _ = question.reply.send(Answered::Unavailable);
             }
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -288,8 +288,8 @@
     /// but in an outage that all share it stays in service: coming back costs
     /// users longer than the refusals that they get meanwhile.
     fn up(&self) -> Reply {
-        let ready =
-            self.with(|core| core.loaded && core.may_accept()) || self.shared_outage.load(Ordering::Relaxed);
+        let ready = self.with(|core| core.loaded && core.can_accept_submissions())
+            || self.shared_outage.load(Ordering::Relaxed);
         if ready { Reply::json(200, &serde_json::json!({"up": true})) } else { Reply::busy("not ready", 1) }
     }
 
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -1,7 +1,7 @@
 //! The users' interface.
 
-use crate::admission::OpenSpending;
-use crate::core::{Ruling, SubmissionPlan};
+use crate::admission::PendingSpending;
+use crate::core::{AdmissionDecision, SubmissionPlan};
 use crate::jobs::Job;
 use crate::node::{Answered, Node, Question, Reply, lock, now};
 use crate::records::{self, JobRecord, JobStage, stored_size};
@@ -191,8 +191,8 @@
         // A conflict about credit means that the leader has granted or taken back some.
         for _ in 0..MAX_RULINGS {
             let plan = match self.rule(&spec) {
-                Ruling::Admitted(plan) => plan,
-                Ruling::Refused(pause) => return self.refused(&id, pause).await,
+                AdmissionDecision::Admitted(plan) => plan,
+                AdmissionDecision::Refused(pause) => return self.refused(&id, pause).await,
             };
             record.credit.clone_from(&plan.tag);
             match self.commit_submission(&id, &record, plan).await {
@@ -220,10 +220,10 @@
         if self.options.admission.is_some() { TAG_NUMBERS + names } else { 0 }
     }
 
-    fn rule(&self, spec: &JobSpec) -> Ruling {
+    fn rule(&self, spec: &JobSpec) -> AdmissionDecision {
         let random = lock(&self.random).random();
         let wall = self.wall_seconds();
-        self.with(|core| core.rule(spec, random, wall, now()))
+        self.with(|core| core.decide_admission(spec, random, wall, now()))
     }
 
     async fn commit_submission(
@@ -237,7 +237,7 @@
         let mut conditions = vec![Condition { key: key.clone(), version: 0 }];
         conditions.extend(plan.conditions);
         let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        let spending = plan.spending.map(|spending| OpenSpending::new(self, id, spending));
+        let spending = plan.spending.map(|spending| PendingSpending::new(self, id, spending));
         let result = self.committer.commit_first(update.clone()).await;
         if let UpdateResult::Committed(revision) = &result {
             self.with(|core| core.apply_changes(&update.changes, *revision, now()));
@@ -251,7 +251,7 @@
     /// Turns a submission away until there is credit; one that was accepted before gets
     /// its status, whatever the load.
     async fn refused(self: &Arc<Self>, id: &str, pause: Duration) -> Reply {
-        if !self.catch_up().await {
+        if !self.catch_up_replica().await {
             return Reply::busy("overloaded", seconds(pause));
         }
         if self.with(|core| core.jobs.contains_key(id)) {
@@ -320,7 +320,7 @@
                 return Reply::json(200, &status);
             }
             if self.with(|core| core.away_cell(id).is_some()) {
-                return self.withdraw_away(id).await;
+                return self.cancel_away_job(id).await;
             }
             let key = records::job_key(id);
             let Some((record, version)) = self.with(|core| core.cancelled_job_record(id)) else {
