--- a/crates/dapplecroft-controller/src/admission.rs
+++ b/crates/dapplecroft-controller/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission control on this platform, and how it stands, for operators.
+//! Resolves the admission control settings for this platform, reports the status of admission
+//! control, and settles credit spent by submissions.
 
 use crate::node::{Node, now};
 use crate::options::Options;
@@ -9,13 +10,13 @@
 use dapplecroft_wire::settings::{Params, Settings};
 use std::collections::BTreeSet;
 
-/// The classes that the users' aims name.
+/// The job classes that the platform's objectives name.
 pub(crate) fn objective_classes(params: &Params) -> BTreeSet<String> {
     params.objectives.iter().filter_map(|objective| objective.class.clone()).collect()
 }
 
-/// What of admission is in force on a platform; none: every submission that can run is
-/// accepted.
+/// Resolves the operators' admission settings against the platform's teams and classes. `None`
+/// if they do not enable admission control: every submission that can run is then accepted.
 pub fn resolve_admission(settings: &Settings, options: &Options) -> Result<Option<Admission>, SettingsError> {
     let params = &settings.params;
     let to_platform_team = |team: &dapplecroft_wire::settings::Team| PlatformTeam {
@@ -30,15 +31,16 @@
 }
 
 impl Node {
-    /// What this node knows of admission; its leader knows most.
+    /// Status of admission control as this controller knows it; the leader knows most.
     pub async fn admission_status(&self) -> AdmissionReply {
         let replies = self.collect_demand().await;
         self.with(|core| core.admission_status(&replies, now()))
     }
 }
 
-/// Credit that a submission has set aside. If nobody waits for its outcome any more, that
-/// is unknown.
+/// Credit set aside for a submission; settled on drop. If it is dropped before
+/// [`PendingSpending::settle`] is called, for example because the request was cancelled, the
+/// outcome counts as unknown.
 pub(crate) struct PendingSpending<'a> {
     node: &'a Node,
     id: String,
@@ -51,6 +53,7 @@
         PendingSpending { node, id: id.to_string(), spending, settlement: Settlement::Unknown }
     }
 
+    /// Settles the credit according to the commit's result.
     pub(crate) fn settle(mut self, result: &UpdateResult) {
         self.settlement = match result {
             UpdateResult::Committed(_) => Settlement::Committed,
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -1,6 +1,6 @@
-//! Admission control, as far as records go: what follows from them for this controller's
-//! submissions, and what the leader has to commit. What is granted and what may be spent
-//! is decided in `dapplecroft-admission`.
+//! Admission control: applies the credit records to this controller's submissions and builds the
+//! updates that the leader commits. How much credit is granted and what may be spent is decided
+//! in the crate `dapplecroft-admission`.
 
 mod leader;
 mod status;
@@ -24,30 +24,38 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// What is known of admission; kept only where the operators' settings ask for it.
+/// State of admission control. Present only if the operators' settings enable it.
 #[derive(Debug)]
 pub(crate) struct CreditState {
+    /// Outstanding work and granted credit of the whole cluster, from the records.
     ledger: Ledger,
+    /// This controller's own credit.
     spender: Spender,
+    /// Submissions that this controller refused for lack of credit.
     demand: DemandBook,
+    /// Plans grants; used by the leader.
     planner: Planner,
-    /// The classes that the users' aims name; others are counted as one.
+    /// Job classes that the objectives name. All other classes are counted as one.
     classes: BTreeSet<String>,
-    /// What operators set, as it is in force on this platform.
+    /// The operators' settings, resolved for this platform.
     admission: Admission,
+    /// Number of committed submissions that spent this process's credit.
     accepted: u64,
+    /// Number of submissions that this process has refused for lack of credit.
     refused: u64,
 }
 
 impl CreditState {
+    /// Builds the state from the settings; `None` if admission control is not enabled.
     pub(super) fn for_settings(
         settings: &Settings,
         options: &Options,
         identity: &str,
     ) -> Option<CreditState> {
         let admission = resolve_admission(settings, options).unwrap_or_else(|error| {
-            // The program checks before it starts; a program that embeds this may not.
-            tracing::error!(%error, "admission is off");
+            // The main program validates these settings before it starts, but a program that
+            // embeds this crate may not.
+            tracing::error!(%error, "invalid admission settings; admission control is disabled");
             None
         })?;
         let host = settings.host_name.as_str();
@@ -64,7 +72,7 @@
         })
     }
 
-    /// The bucket that a job's credit comes from.
+    /// The credit bucket that a job draws on.
     fn bucket(&self, spec: &JobSpec) -> Bucket {
         let known = self.classes.contains(&spec.class);
         let class = if known { spec.class.as_str() } else { dapplecroft_admission::records::OTHER_CLASS };
@@ -77,8 +85,8 @@
 }
 
 impl Core {
-    /// Takes over a record of admission. One that can't be read changes nothing of what
-    /// is known; credit that it may grant counts as spent.
+    /// Applies a record of admission control. A record that cannot be parsed leaves the known
+    /// state unchanged, and credit that the record may grant counts as spent.
     pub(super) fn apply_credit_record(&mut self, key: &str, parsed: Key, value: Option<Value>, version: u64) {
         match parsed {
             Key::AdmissionPolicy => self.apply_policy(key, value, version),
@@ -94,7 +102,7 @@
 
     fn apply_policy(&mut self, key: &str, value: Option<Value>, version: u64) {
         let Some(policy) = self.read::<PolicyRecord>(key, value) else { return };
-        // Known also where admission is off.
+        // Applied even if this controller's settings do not enable admission control.
         self.admission_in_force = policy.in_force;
         self.wakeups.role = true;
         self.with_credit(|credit| credit.ledger.apply_policy(Some(policy), version));
@@ -121,12 +129,14 @@
         self.apply_own_grant();
     }
 
+    /// Runs `work` on the credit state if admission control is enabled.
     fn with_credit(&mut self, work: impl FnOnce(&mut CreditState)) {
         if let Some(credit) = &mut self.credit {
             work(credit);
         }
     }
 
+    /// Passes this controller's current grant from the ledger to its spender.
     fn apply_own_grant(&mut self) {
         let host = self.settings.host_name.clone();
         self.with_credit(|credit| {
@@ -136,8 +146,8 @@
         });
     }
 
-    /// Takes over what a job's record says of its charge. Of one that is known to be over
-    /// everything is noted already.
+    /// Applies the charge in a job's record. Jobs already known to have ended are skipped: their
+    /// charges have been applied.
     pub(super) fn apply_job_charge(&mut self, id: &str, record: &JobRecord) {
         if self.credit.is_none() || matches!(self.jobs.get(id), Some(Job::Final { .. })) {
             return;
@@ -150,17 +160,19 @@
         });
     }
 
-    /// Notes that there is no record of a job any more: it was given back to its home cell.
+    /// Removes the charge of a job whose record was deleted. Only jobs of other cells are deleted,
+    /// after they were returned to their home cell or long after they ended.
     pub(super) fn remove_job_charge(&mut self, id: &str) {
         self.with_credit(|credit| credit.ledger.drop_job(id));
     }
 
+    /// Tells the ledger up to which revision all records have been applied.
     pub(super) fn set_credit_revision(&mut self, revision: u64) {
         self.with_credit(|credit| credit.ledger.followed(revision));
     }
 
-    /// What a job is charged: what its tag says, or what its specification comes to, if
-    /// it was accepted while no credit was demanded.
+    /// The charge of a job: from the credit tag in its record, or computed from its specification
+    /// if the job was accepted while submissions needed no credit.
     fn job_charge(&self, record: &JobRecord) -> JobCharge {
         let spec_and_credit = record.spec.as_ref().zip(self.credit.as_ref());
         let bucket = spec_and_credit.map(|(spec, credit)| credit.bucket(spec));
@@ -176,7 +188,7 @@
         }
     }
 
-    /// What a specification is charged under the policy in force.
+    /// The charge of a job specification under the current policy, at least `min_charge`.
     fn computed_charge(&self, spec: &JobSpec, min_charge: u64) -> u64 {
         let policy = self.credit.as_ref().and_then(|credit| credit.policy());
         let (largest, limit) = policy.map_or((u64::MAX, 0), |policy| (policy.largest, policy.limit));
@@ -186,7 +198,8 @@
             .map(|t| MachineShape { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
             .collect();
         let per_task = MachineShape { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
-        // A service keeps its processors busy for as long as the limit looks ahead.
+        // A service has no end, so it is charged for the whole time over which the policy limits
+        // outstanding work.
         let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_of(limit));
         let horizon_s = limit as f64 / cpus.max(1.0);
         let estimate_s = if spec.is_service() { horizon_s } else { spec.estimate_s };
@@ -198,14 +211,15 @@
         )
     }
 
-    /// Whether this process can take users' submissions as far as credit goes; a new
-    /// process has none until the leader has given it an epoch, which takes a moment.
+    /// Whether admission control lets this process accept users' submissions. A new process cannot
+    /// accept any until the leader has committed a credit epoch for it, which takes a moment.
+    /// Without a leader this does not hold it back.
     pub fn can_accept_submissions(&self) -> bool {
         let credit = self.credit.as_ref().filter(|_| self.admission_in_force && self.leader.is_some());
         credit.is_none_or(|credit| credit.spender.has_epoch())
     }
 
-    /// Work that waits in a bucket for credit, and what it was lately accepted a second.
+    /// Refused work that waits for credit in a bucket, and work recently accepted per second.
     fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
         let Some(credit) = &mut self.credit else { return (0, 0.0) };
         let waiting = credit.demand.waiting(bucket, now);
@@ -213,7 +227,8 @@
         (waiting, recent / dapplecroft_admission::ledger::RECENT.as_secs_f64())
     }
 
-    /// What proves that the copy is new: any condition that holds will do.
+    /// Conditions for the transaction that determines whether the replica is current. Any
+    /// condition that is expected to hold serves this purpose.
     pub fn freshness_conditions(&self) -> Vec<Condition> {
         vec![self.unchanged(records::ADMISSION_POLICY.into())]
     }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -1,5 +1,6 @@
-//! The leader's part: what it commits of admission, and what any controller commits when
-//! another one knows nothing of it.
+//! Updates of credit records: grants, which the leader commits, and the suspension of the
+//! requirement for credit, which any controller commits while another one does not support
+//! admission control.
 
 use crate::core::Core;
 use crate::records;
@@ -12,6 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
+/// A change that writes a record.
 fn set_record<T: Serialize>(key: String, record: &T) -> Change {
     let value = serde_json::to_value(record).unwrap_or_default();
     Change::Set { key, value, lease: None }
@@ -38,7 +40,7 @@
 }
 
 impl Core {
-    /// What this controller refused lately, for the leader.
+    /// The demand that this controller recently refused, for the leader.
     pub fn own_demand(&mut self, now: Instant) -> DemandReply {
         let identity = self.identity.clone();
         let Some(credit) = &mut self.credit else { return DemandReply::default() };
@@ -52,12 +54,14 @@
         }
     }
 
-    /// Whether this process grants credit.
+    /// Whether this process grants credit: it is the leader, admission control is enabled, and
+    /// the legacy record layout is no longer in use.
     pub fn grants_credit(&self, now: Instant) -> bool {
         self.credit.is_some() && !self.uses_legacy_layout() && self.leads(now)
     }
 
-    /// What the leader has to commit, given what the controllers that answered wanted.
+    /// The update of credit records that the leader should commit, given the demand of the
+    /// controllers that replied; `None` if nothing changes.
     pub fn credit_update(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
@@ -82,6 +86,7 @@
         (!plan.is_empty()).then(|| self.plan_update(leader, plan))
     }
 
+    /// The update that carries out a plan, conditional on leadership and on unchanged records.
     fn plan_update(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> AtomicUpdate {
         let mut changes = Vec::new();
         changes.extend(plan.policy.map(|policy| set_record(records::ADMISSION_POLICY.into(), &policy)));
@@ -94,9 +99,10 @@
         AtomicUpdate { conditions, changes }
     }
 
+    /// The live controllers with their demand, as input for the planner.
     fn controller_views(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerView> {
         let view = |(host, live): (&String, &records::LiveRecord)| {
-            // An answer of an earlier process says nothing of this one.
+            // A reply from an earlier process on the host does not describe the current one.
             let reply = replies.get(host).filter(|reply| reply.identity == live.identity);
             let wants = reply.map(|reply| reply.buckets.as_slice()).unwrap_or_default();
             ControllerView {
@@ -109,19 +115,20 @@
         self.live_controllers.iter().map(view).collect()
     }
 
+    /// Total CPUs of the machines that accept tasks.
     fn cpus_up(&self) -> f64 {
         let open_machines = self.machines.values().filter(|machine| machine.seems_open());
         open_machines.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
     }
 
-    /// Forgets what an earlier term of this process had planned.
+    /// Resets the planner at the start of a term: discards plans of this process's earlier terms.
     pub(in crate::core) fn reset_credit_planner(&mut self) {
         self.with_credit(|credit| credit.planner.reset());
     }
 
-    /// The unit by which any controller lifts the demand for credit while a live one
-    /// knows nothing of it: that one would take everything the others refuse, or, as
-    /// leader, would never grant any.
+    /// The update by which any controller suspends the requirement for credit while a live
+    /// controller does not support admission control. Such a controller would accept everything
+    /// that the others refuse or, as leader, would never grant credit.
     pub fn suspension_update(&self) -> Option<AtomicUpdate> {
         let unaware_host =
             self.live_controllers.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
--- a/crates/dapplecroft-controller/src/core/credit/status.rs
+++ b/crates/dapplecroft-controller/src/core/credit/status.rs
@@ -1,4 +1,4 @@
-//! How admission stands, for operators.
+//! Status of admission control, for operators.
 
 use crate::core::Core;
 use dapplecroft_wire::peer::{AdmissionReply, ControllerCredit, DemandReply, TeamAdmission};
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 impl Core {
-    /// How admission stands, with what the controllers that answered have told.
+    /// Status of admission control, including the demand of the controllers that replied.
     pub fn admission_status(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Credit and submission counters of each controller.
     fn controller_credit(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerCredit> {
         let Some(credit) = &self.credit else { return Vec::new() };
         let to_controller_credit =
@@ -48,6 +49,7 @@
         credit.ledger.epochs().map(to_controller_credit).collect()
     }
 
+    /// Weight, outstanding work and waiting work of each team.
     fn team_admission(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<TeamAdmission> {
         let Some(credit) = &self.credit else { return Vec::new() };
         let mut teams: BTreeMap<&str, TeamAdmission> = BTreeMap::new();
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -1,4 +1,4 @@
-//! What a submission spends, and what is noted of how it ended.
+//! Spending of credit for submissions, and settling it once their outcome is known.
 
 use crate::core::Core;
 use crate::records;
@@ -8,31 +8,32 @@
 use dapplecroft_wire::users::JobSpec;
 use std::time::{Duration, Instant};
 
-/// A controller without an epoch has one within about this time.
+/// Retry hint while this controller has no credit epoch; it usually gets one within this time.
 const EPOCH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What admission control says of a submission.
+/// Decision of admission control on a submission.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdmissionDecision {
-    /// It may be committed.
+    /// The submission may be committed according to this plan.
     Admitted(SubmissionPlan),
-    /// There is no credit for it: come back after so long.
+    /// There is no credit for the submission. Holds the delay after which to retry.
     Refused(Duration),
 }
 
-/// What a submission is bound to, and what it spends.
+/// The conditions under which a submission may be committed, and the credit that it spends.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SubmissionPlan {
-    /// Beside that there is no such job yet.
+    /// Conditions in addition to the one that no record of this job exists yet.
     pub conditions: Vec<Condition>,
-    /// Goes into the job's record.
+    /// Credit tag that is stored in the job's record.
     pub tag: Option<CreditTag>,
-    /// What has to be settled; a reservation need not be.
+    /// Spent credit that has to be settled once the outcome is known. `None` if no credit is
+    /// needed or a reservation is used.
     pub spending: Option<Spending>,
 }
 
 impl Core {
-    /// Sets credit aside for a submission.
+    /// Decides on a user's submission, and sets credit aside for it if it is admitted.
     pub fn decide_admission(
         &mut self,
         spec: &JobSpec,
@@ -49,13 +50,14 @@
         }
     }
 
-    /// Sets credit aside for a job of a user or of another cell.
+    /// Sets credit aside for a job of a user or of another cell, if credit is required.
     pub(in crate::core) fn admit(&mut self, spec: &JobSpec) -> Result<SubmissionPlan, Refusal> {
         if self.credit.is_none() {
             return Ok(SubmissionPlan::default());
         }
         if !self.admission_in_force {
-            // Once credit is demanded, nothing is accepted without.
+            // Conditional on the unchanged policy: once the policy requires credit, no submission
+            // is committed without it.
             let policy = self.unchanged(records::ADMISSION_POLICY.into());
             return Ok(SubmissionPlan { conditions: vec![policy], ..SubmissionPlan::default() });
         }
@@ -66,13 +68,14 @@
         self.spend_credit(spec, charge)
     }
 
-    /// The least that a job is charged in this controller's epoch.
+    /// The minimum charge of a job in this controller's current epoch.
     fn min_charge(&self) -> u64 {
         let credit = self.credit.as_ref();
         let epoch = credit.and_then(|credit| credit.ledger.epoch(&self.settings.host_name));
         epoch.map_or(1, |(record, _)| record.least.max(1))
     }
 
+    /// Spends this controller's own credit, conditional on its unchanged epoch record.
     fn spend_credit(&mut self, spec: &JobSpec, charge: u64) -> Result<SubmissionPlan, Refusal> {
         let Some(credit) = &mut self.credit else { return Ok(SubmissionPlan::default()) };
         let bucket = credit.bucket(spec);
@@ -82,7 +85,7 @@
         Ok(SubmissionPlan { conditions, tag: Some(spending.tag.clone()), spending: Some(spending) })
     }
 
-    /// A job that room was saved up for spends that, at any controller.
+    /// The plan for a job that has a reservation: it spends the reservation, at any controller.
     fn plan_for_reservation(&self, id: &str) -> Option<SubmissionPlan> {
         let credit = self.credit.as_ref()?;
         let reservation = credit.ledger.reservation(id)?;
@@ -96,6 +99,7 @@
         Some(SubmissionPlan { conditions, tag: Some(tag), spending: None })
     }
 
+    /// Records the refused demand, for the leader's next grants, and returns the retry hint.
     fn record_refusal(&mut self, spec: &JobSpec, random: f64, wall: f64, now: Instant) -> Duration {
         let charge = self.computed_charge(spec, self.min_charge());
         let bucket = self.bucket_of(spec);
@@ -111,24 +115,25 @@
         self.credit.as_ref().map_or_else(Bucket::shared, |credit| credit.bucket(spec))
     }
 
-    /// Notes how a submission ended that had spent something.
+    /// Settles the credit that a submission has spent, according to the submission's outcome.
     pub fn settle_spending(&mut self, id: &str, spending: &Spending, settlement: Settlement) {
         let tag = self.known_credit_tag(id);
         let Some(credit) = &mut self.credit else { return };
         credit.accepted += u64::from(settlement == Settlement::Committed);
         credit.spender.settle(id, spending, settlement);
-        // Its record may have been seen before the answer.
+        // The watch may have delivered the job's record before the commit's reply arrived.
         if let Some(tag) = tag {
             credit.spender.observe_job(id, tag.as_ref());
         }
     }
 
-    /// The tag of a job whose record is known.
+    /// The credit tag in a job's record: `None` if the record is not known or the job has ended,
+    /// `Some(None)` if the record has no tag.
     fn known_credit_tag(&self, id: &str) -> Option<Option<CreditTag>> {
         match self.jobs.get(id)? {
             crate::jobs::Job::Open(job) => Some(job.record.credit.clone()),
             crate::jobs::Job::Away(job) => Some(job.record.credit.clone()),
-            // Its tag was taken over with its record.
+            // The tag was applied together with the job's record.
             crate::jobs::Job::Final { .. } => None,
         }
     }
--- a/crates/dapplecroft-controller/src/loops.rs
+++ b/crates/dapplecroft-controller/src/loops.rs
@@ -1,5 +1,5 @@
-//! The loops of a controller: each works out the difference between what is
-//! wanted and what is, and carries it out.
+//! The background loops of a controller. Each loop is a reconciler: it compares the desired
+//! state with the actual state and acts on the difference.
 
 mod admission;
 mod election;
@@ -13,8 +13,8 @@
 use tokio::task::JoinSet;
 
 impl Node {
-    /// Sets all loops going and returns only if this process must end
-    /// ([`Node::ended`] says why); no loop ends by itself.
+    /// Starts all loops. Returns only if this process must exit ([`Node::ended`] gives the
+    /// reason); no loop returns by itself.
     pub async fn run(self: &Arc<Self>) {
         let mut loops = JoinSet::new();
         loops.spawn(self.clone().watch_loop());
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -1,5 +1,5 @@
-//! The loop of admission control: the leader asks the controllers what they had to
-//! refuse, and grants credit.
+//! The admission control loop: the leader asks each controller which submissions it refused
+//! for lack of credit, and grants credit accordingly.
 
 use crate::node::{Node, lock, now};
 use dapplecroft_net::Outcome;
@@ -12,16 +12,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How often credit is granted.
+/// Time between two rounds of granting credit when nothing wakes the loop earlier.
 const GRANT_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest pause between rounds, when something wakes the loop earlier.
+/// Minimum pause between two rounds, however often the loop is woken.
 const MIN_GRANT_PAUSE: Duration = Duration::from_millis(250);
-/// How long a controller has to tell its demand.
+/// Timeout for a controller's reply to a demand request.
 const DEMAND_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause before a transaction with an unknown outcome is tried again.
+/// Pause after a transaction that was refused or whose outcome is unknown.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl Node {
+    /// As leader, grants credit once per round. On any controller, suspends the requirement for
+    /// credit while a live controller does not support admission control.
     pub(crate) async fn admission_loop(self: Arc<Self>) {
         loop {
             let _ = timeout(GRANT_INTERVAL, self.wake_admission.notified()).await;
@@ -33,14 +35,17 @@
                 }
             }
             if let Some(update) = self.with(|core| core.suspension_update()) {
-                tracing::warn!("a live controller knows nothing of admission: no credit is demanded");
+                tracing::warn!(
+                    "a live controller does not support admission control: submissions no longer need credit"
+                );
                 self.commit_credit_update(update).await;
             }
             sleep(MIN_GRANT_PAUSE).await;
         }
     }
 
-    /// What each controller refused lately; those that do not answer are left out.
+    /// Collects each controller's recently refused demand, this one's included. Controllers
+    /// that do not reply in time are left out.
     pub(crate) async fn collect_demand(&self) -> BTreeMap<String, DemandReply> {
         let mut requests = JoinSet::new();
         for peer in self.settings.peers.clone() {
@@ -56,10 +61,10 @@
         replies
     }
 
-    /// Commits a unit. One with an unknown outcome is tried again until it is made or
-    /// its conditions fail: only one of the copies can find them true. Until then nothing
-    /// else is granted, since a late copy may change records that another plan leaves
-    /// alone.
+    /// Commits an update of credit records. A transaction with an unknown outcome is repeated
+    /// until it commits or its conditions fail, since at most one of the attempts can find the
+    /// conditions true. No other grant is made until then: a delayed attempt could still change
+    /// records that a newer plan assumes to be unchanged.
     async fn commit_credit_update(&self, update: AtomicUpdate) {
         let transaction = Transaction { conditions: update.conditions, changes: update.changes };
         let mut outcome_unknown = false;
@@ -76,21 +81,23 @@
                     return;
                 }
                 Outcome::Refused(error) if !outcome_unknown => {
-                    tracing::debug!(error, "credit not granted");
+                    tracing::debug!(error, "the state service refused a credit update");
                     sleep(RETRY_PAUSE).await;
                     return;
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
                     outcome_unknown = true;
-                    tracing::debug!(error, "credit perhaps granted");
+                    tracing::debug!(error, "the outcome of a credit update is unknown; retrying");
                     sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Waits until this node's copy of the records shows all that was committed before
-    /// the call. Whoever waits meanwhile shares one request; no more than a few may.
+    /// Waits until this controller's replica of the records contains everything that was
+    /// committed before the call; returns whether it does. Concurrent callers share one request
+    /// to the state service. Returns false at once if [`MAX_CATCH_UP_WAITERS`] callers wait
+    /// already.
     pub(crate) async fn catch_up_replica(&self) -> bool {
         let called_at = now();
         let Some(_permit) = CatchUpPermit::acquire(self) else { return false };
@@ -128,15 +135,17 @@
     }
 }
 
-/// Shortest time between two requests of [`Node::catch_up_replica`].
+/// Minimum time between two requests that [`Node::catch_up_replica`] sends.
 const MIN_CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the watch may take to bring what is known to be committed.
+/// Timeout for the watch to deliver a revision that is known to be committed.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often the applied revision is checked while waiting for the watch.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The most that wait for the copy at a time: others need their turn too.
+/// Limit on callers that wait for the replica to catch up, so that these requests do not keep
+/// other work from being served.
 const MAX_CATCH_UP_WAITERS: usize = 64;
 
-/// One of those that may wait for the copy.
+/// Permit to wait in [`Node::catch_up_replica`]; dropping it frees the slot.
 struct CatchUpPermit<'a>(&'a Node);
 
 impl<'a> CatchUpPermit<'a> {
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -1,4 +1,4 @@
-//! Liveness, the election of the leader, and the leases of shards.
+//! The controller's own lease, leader election, shard leases, and contact with the state service.
 
 use crate::core::Core;
 use crate::node::{Node, lock, now};
@@ -19,9 +19,9 @@
 }
 
 impl Node {
-    /// Renews this node's lease and has its role confirmed, again and again.
-    /// Nothing else is done in this loop: on a busy node every wait takes long,
-    /// and the lease must not end of that.
+    /// Renews this controller's lease and confirms its roles periodically. This loop does
+    /// nothing else: on a busy node every await can take long, and such a delay must not let
+    /// the lease expire.
     pub(crate) async fn lease_renewal_loop(self: Arc<Self>) {
         let heartbeat_interval = self.options.node_lease / 4;
         while !self.with(|core| core.loaded) {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Stands for election when there is no leader, takes up what was won or
-    /// leased, and as leader leases shards.
+    /// Runs for leader when there is none, starts acting on newly won leadership and newly
+    /// leased shards, and as leader leases shards to controllers.
     pub(crate) async fn role_loop(self: Arc<Self>) {
         let mut random = StdRng::seed_from_u64(self.seed);
         let heartbeat_interval = self.options.node_lease / 4;
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Renews the lease, or gets one with this node's liveness key on it.
+    /// Renews this controller's lease, or acquires one if it has none. Returns whether the lease
+    /// is valid and this process's live record is attached to it.
     async fn renew_lease(&self) -> bool {
         let sent_at = now();
         let Some(lease) = self.with(|core| core.role.lease) else {
@@ -63,8 +64,8 @@
             Outcome::Done(true) => {
                 *lock(&self.touched) = Some(sent_at);
                 self.set_rates();
-                // A late write of an earlier process of this node may have taken
-                // the place of this one's entry.
+                // A delayed write by an earlier process on this host may have overwritten this
+                // process's live record.
                 let own = self.with(|core| {
                     core.live_controllers
                         .get(&self.settings.host_name)
@@ -73,7 +74,7 @@
                 own || self.write_live_record(lease).await
             }
             Outcome::Done(false) => {
-                tracing::info!("lease ended");
+                tracing::info!("this controller's lease has expired");
                 self.with(|core| {
                     core.role.lease = None;
                     core.step_down("lease ended", now());
@@ -81,24 +82,27 @@
                 false
             }
             Outcome::Refused(error) | Outcome::Unknown(error) => {
-                tracing::debug!(error, "lease not renewed");
+                tracing::debug!(error, "the lease could not be renewed");
                 false
             }
         }
     }
 
+    /// Gets a new lease and writes this process's live record with it. Revokes the lease again
+    /// if the record cannot be written.
     async fn acquire_lease(&self) -> bool {
         if self.with(|core| core.role.abstains.is_some_and(|until| now() < until)) {
             return false;
         }
         let host = &self.settings.host_name;
-        // A key of the same name belongs to a process that this one replaces:
-        // there is one at a time, so it has ended and its lease can go at once.
+        // A live record under this host name with another identity belongs to the process that
+        // this one replaces. Only one process runs per host, so the earlier one has exited and
+        // its lease can be revoked at once.
         let earlier_lease = self.with(|core| {
             core.live_controllers.get(host).filter(|l| l.identity != core.identity).map(|l| l.lease)
         });
         if let Some(lease) = earlier_lease {
-            tracing::info!("ending the lease of this node's earlier process");
+            tracing::info!("revoking the lease of the earlier process on this host");
             let _ = self.state.revoke(lease).await;
         }
         let Outcome::Done(lease) = self.state.grant(self.options.node_lease).await else { return false };
@@ -109,7 +113,8 @@
         false
     }
 
-    /// Writes this process's entry on its lease.
+    /// Writes this process's live record, attached to its lease so that the record disappears
+    /// when the lease expires.
     async fn write_live_record(&self, lease: u64) -> bool {
         let identity = self.with(|core| core.identity.clone());
         let admission = self.options.admission.is_some();
@@ -128,8 +133,8 @@
         true
     }
 
-    /// Leaves this process's mark that it knows the new layout and, as leader,
-    /// makes the switch to it once all members have left theirs.
+    /// Records that this process supports the new record layout and, as leader, switches the
+    /// cluster to that layout once all members have recorded their support.
     async fn advance_layout(&self) {
         for step in [Core::supported_layout_transaction, Core::layout_switch_transaction] {
             let ready = |core: &mut Core| core.role.lease.and_then(|_| step(core));
@@ -144,13 +149,14 @@
                         self.refresh(&key, || true).await;
                     }
                 }
-                // If it is carried out all the same, the records say so.
+                // If the transaction was committed after all, the watch delivers its changes.
                 Outcome::Refused(_) | Outcome::Unknown(_) => {}
             }
         }
     }
 
-    /// Stands for election if there is no leader.
+    /// Tries to become leader if there is none. Also starts a term when the leader record names
+    /// this process although it does not act as leader yet.
     async fn run_for_leader(&self, random: &mut StdRng) {
         let lease_if_leaderless = |core: &mut Core| {
             (core.leader.is_none() && core.role.lease.is_some()).then_some(core.role.lease).flatten()
@@ -169,7 +175,7 @@
         if self.with(lease_if_leaderless).is_none() {
             return;
         }
-        // Not all at once: whoever is first saves the others the attempt.
+        // A random delay spreads the candidates: the first one to win saves the others a request.
         sleep(Duration::from_millis(random.random_range(0..80))).await;
         let Some(lease) = self.with(lease_if_leaderless) else { return };
         let identity = self.with(|core| core.identity.clone());
@@ -194,16 +200,16 @@
             Outcome::Done(Verdicts::Conflict(_)) => {
                 self.refresh(records::LEADER, || true).await;
             }
-            // If it is carried out all the same, now or late, the key shows up
-            // as this process's own.
+            // If the transaction was or will be committed after all, the watch delivers a leader
+            // record with this process's identity, which is handled above.
             Outcome::Refused(_) | Outcome::Unknown(_) => {
                 sleep(Duration::from_millis(200)).await;
             }
         }
     }
 
-    /// Takes up what was won or leased to this process, once its copy of the
-    /// records has caught up, and has it confirmed at once.
+    /// Starts acting as leader or shard holder for roles that this process has obtained, once
+    /// its replica of the records has caught up with them, and confirms the roles at once.
     async fn assume_roles(&self) {
         let changed = self.with(|core| {
             let before = (core.role.leased_shards.len(), core.leads(now()));
@@ -218,7 +224,7 @@
         }
     }
 
-    /// As leader, leases shards that nobody holds, and evens out the others.
+    /// As leader, leases shards without a holder and rebalances the others among controllers.
     async fn lease_shards(&self) {
         let (leases, transaction) = self.with(|core| {
             let leases = core.plan_leases(now());
@@ -230,7 +236,7 @@
             Outcome::Done(Verdicts::Committed(revision)) => {
                 let given: Vec<(u32, &str)> =
                     leases.iter().map(|l| (l.shard, l.record.host.as_str())).collect();
-                tracing::info!(?given, "blocks leased");
+                tracing::info!(?given, "shards leased");
                 self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                 self.wake_role.notify_one();
             }
@@ -239,12 +245,13 @@
                     self.refresh(&key, || true).await;
                 }
             }
-            // If it is carried out all the same, the records say so.
+            // If the transaction was committed after all, the watch delivers its changes.
             Outcome::Refused(_) | Outcome::Unknown(_) => sleep(Duration::from_millis(200)).await,
         }
     }
 
-    /// As leader or holder, asks whether all that is still this process's.
+    /// Confirms with the state service that this process still is the leader and still holds its
+    /// shards. Gives up each role whose key has changed.
     async fn confirm_roles(&self) {
         let (conditions, generation) = self.with(|core| (core.role_conditions(), core.generation()));
         let sent_at: Instant = now();
@@ -255,7 +262,7 @@
             match self.state.transact(&transaction, true).await {
                 Outcome::Done(Verdicts::Committed(revision)) => confirmed = confirmed.max(Some(revision)),
                 Outcome::Done(Verdicts::Conflict(failed)) => {
-                    tracing::info!(?failed, "not this process's any more");
+                    tracing::info!(?failed, "this process has lost leadership or a shard lease");
                     self.with(|core| failed.iter().for_each(|key| core.role_lost(key, now())));
                     for key in failed {
                         self.refresh(&key, || true).await;
@@ -264,7 +271,7 @@
                     return;
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
-                    tracing::debug!(error, "role not confirmed");
+                    tracing::debug!(error, "leadership and shard leases could not be confirmed");
                     return;
                 }
             }
@@ -274,13 +281,18 @@
         }
     }
 
-    /// Placements go with the shards; all nodes write what users ask of them.
+    /// Sets the rates of requests and changes that this controller may send to the state
+    /// service: its share of the service's limits, minus what it has lent to the leader, plus
+    /// what it has borrowed from other controllers. The share of changes depends on the shards
+    /// that it holds, because placements are written by the shard's holder; submissions are
+    /// written by whichever controller receives them.
     pub(crate) fn set_rates(&self) {
         let params = &self.settings.params;
         let (share, mixed, limits) =
             self.with(|core| (core.write_share(), core.uses_legacy_layout(), core.limits()));
         self.committer.set_max_changes(limits.changes);
-        // The next limits come without notice: the first refusal tells of them.
+        // The state service switches to its next, lower limits without notice. The first
+        // request that it refuses for exceeding them is the signal.
         self.state.expect_less(!mixed && params.state.next.is_some());
         let (rps, writes) = params.state.rates(self.state.has_less());
         let rps = rps / f64::from(params.nodes.max(1));
@@ -288,14 +300,15 @@
         self.state.set_rates(rps, (writes * share * 0.94 - lent).max(2.0) + borrowed);
     }
 
-    /// Changes a second that are this node's own.
+    /// This controller's own share of record changes per second, without lent and borrowed ones.
     pub(crate) fn own_write_rate(&self) -> f64 {
         let (_, writes) = self.settings.params.state.rates(self.state.has_less());
         writes * self.with(|core| core.write_share()) * 0.94
     }
 
-    /// Watches whether this node has lost the state service, and whether it is
-    /// alone in that: then a peer answers its users.
+    /// Detects whether this controller has lost contact with the state service. If a peer is
+    /// still in contact, that peer answers this controller's users; otherwise the outage counts
+    /// as shared by all controllers.
     pub(crate) async fn state_health_loop(self: Arc<Self>) {
         let heartbeat_interval = self.options.node_lease / 4;
         loop {
@@ -310,14 +323,16 @@
             if previous_helper.is_some() != helper.is_some() {
                 tracing::info!(
                     alone = helper.is_some(),
-                    "whether this node alone has lost the state service"
+                    "changed whether this controller alone has lost contact with the state service"
                 );
             }
         }
     }
 
-    /// A peer that has been in contact with the state service since this node
-    /// was: in an outage that all share, nodes notice at about the same time.
+    /// Index of the ready peer with the most recent contact with the state service, if that
+    /// contact is less than two heartbeat intervals old and more than one heartbeat interval more
+    /// recent than this controller's own. The margin is needed because in a shared outage
+    /// controllers lose contact at about, but not exactly, the same time.
     async fn peer_with_state_contact(
         &self,
         age: Option<Duration>,
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -1,5 +1,6 @@
-//! The loops of a cell's leader towards other cells: one for each cell, so that a slow one
-//! holds up no other, and one that offers jobs and gives back those of others.
+//! The federation loops of a cell's leader: one loop per peer cell, so that a slow cell does not
+//! delay the exchange with the others, and one loop that offers jobs to peer cells and returns
+//! jobs to their home cells.
 
 use crate::cells::convert::{from_answer, from_reply};
 use crate::cells::{ExchangeError, MAX_TRANSFERS, MalformedMessage, to_transfers};
@@ -14,37 +15,40 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How often another cell is asked while jobs are away there.
+/// Time between two exchanges with a peer cell that hosts jobs of this cell.
 const AWAY_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it is asked for its summary alone.
+/// Time between two exchanges with a peer cell that hosts no job of this cell: only its
+/// summary is needed.
 const SUMMARY_POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// How long an answer of another cell may take.
+/// Timeout for a peer cell's reply.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often jobs that wait are looked at.
+/// Time between two rounds of offering waiting jobs and returning hosted ones.
 const OFFER_INTERVAL: Duration = Duration::from_secs(1);
-/// The most jobs that are offered, and given back, at a time: each costs a change.
+/// Limit on jobs offered, and on jobs returned, per round: each costs a record change.
 const MAX_OFFERS_PER_ROUND: usize = 4;
-/// The most keys of finished hand-overs that are dropped at a time.
+/// Limit on records of finished hand-overs that are deleted per round.
 const MAX_PRUNED_PER_ROUND: usize = 4;
-/// Finished hand-overs are dropped while at least this part of a burst of changes is left.
+/// Records of finished hand-overs are deleted only while more than this fraction of the write
+/// budget's burst is unused.
 const PRUNE_MIN_WRITE_ROOM: f64 = 0.7;
-/// How long a user's cancellation waits for the other cell before the user is asked to
-/// come back, and how often it is looked at.
+/// How long a user's cancellation waits for the host cell before the user is asked to retry.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(3500);
+/// How often a waiting cancellation is checked.
 const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a cell's loop stands.
+/// State of the loop for one peer cell.
 #[derive(Default)]
 struct PeerCellProgress {
-    /// The cell, as it last told of itself.
+    /// Name and incarnation of the cell from its last summary; `None` while unknown.
     cell: Option<CellId>,
-    /// The last job that was asked about.
+    /// The last job that the previous exchange asked about; the next one continues after it.
     last_polled_job: Option<Arc<str>>,
-    /// Whether the last exchange failed, so that only changes are logged.
+    /// Whether the last exchange failed. Only changes are logged.
     exchange_failing: bool,
 }
 
 impl Node {
+    /// Starts the federation loops if peer cells are configured.
     pub(crate) fn spawn_federation_loops(self: &Arc<Self>, loops: &mut JoinSet<()>) {
         let Some(federation) = &self.options.federation else { return };
         if federation.peers.is_empty() {
@@ -56,6 +60,7 @@
         loops.spawn(self.clone().offer_loop(federation.clone()));
     }
 
+    /// As leader, exchanges messages with one peer cell periodically.
     async fn peer_cell_loop(self: Arc<Self>, peer: PeerCell) {
         let mut state = PeerCellProgress::default();
         loop {
@@ -68,12 +73,13 @@
         }
     }
 
+    /// Sends the peer cell this cell's requests about jobs that it hosts, and applies its reply.
     async fn poll_cell(&self, peer: &PeerCell, state: &mut PeerCellProgress) {
         let Some(federation) = &self.options.federation else { return };
         let asked_at = now();
         let prepared = self.with(|core| {
-            // Not more than what was agreed with the incarnation that answers now: what
-            // is away at an earlier one stays away.
+            // Sends only requests about jobs that the cell's current incarnation hosts. Jobs at
+            // an earlier incarnation stay marked as away.
             let mut requests =
                 core.away_requests(&peer.name, state.last_polled_job.as_deref(), MAX_TRANSFERS);
             let for_current_cell =
@@ -95,6 +101,8 @@
         self.handle_exchange_result(peer, state, result);
     }
 
+    /// Logs when exchanges with a cell start to fail or succeed again, and forgets the cell's
+    /// incarnation if another one has replaced it.
     fn handle_exchange_result(
         &self,
         peer: &PeerCell,
@@ -103,23 +111,24 @@
     ) {
         match result {
             Ok(()) if state.exchange_failing => {
-                tracing::info!(cell = peer.name, "a cell answers again");
+                tracing::info!(cell = peer.name, "exchanges with a peer cell succeed again");
                 state.exchange_failing = false;
             }
             Ok(()) => {}
             Err(error) => {
                 if error == ExchangeError::OtherCell {
-                    // It has another incarnation now: its summary says which.
+                    // Another incarnation answers now; its next summary names it.
                     state.cell = None;
                 }
                 if !state.exchange_failing {
-                    tracing::info!(cell = peer.name, %error, "a cell does not answer");
+                    tracing::info!(cell = peer.name, %error, "the exchange with a peer cell failed");
                     state.exchange_failing = true;
                 }
             }
         }
     }
 
+    /// Stores the peer cell's summary and applies its answers about single jobs.
     async fn apply_reply(
         &self,
         peer: &PeerCell,
@@ -141,6 +150,8 @@
         Ok(())
     }
 
+    /// Applies a peer cell's answer about one job. If the answer ends the hand-over, commits the
+    /// resulting change of the job's record.
     async fn apply_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
         if state == TransferState::Refused {
             lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
@@ -148,10 +159,15 @@
         let update = self.with(|core| core.away_answer(job, cell, epoch, state));
         if let Some(update) = update {
             let committed = self.commit_for_cells(update).await;
-            tracing::info!(job, %cell, epoch = epoch.0, ?state, committed, "a job comes home");
+            tracing::info!(
+                job, %cell, epoch = epoch.0, ?state, committed,
+                "a hand-over of a job to a peer cell has ended"
+            );
         }
     }
 
+    /// As leader, offers waiting jobs to peer cells, returns hosted jobs to their home cells, and
+    /// deletes records of finished hand-overs.
     async fn offer_loop(self: Arc<Self>, federation: Federation) {
         loop {
             sleep(OFFER_INTERVAL).await;
@@ -163,7 +179,7 @@
             for update in self.with(|core| core.return_updates(MAX_OFFERS_PER_ROUND, now())) {
                 let key = update.changes.last().map(|change| change.key().to_string());
                 let committed = self.commit_for_cells(update).await;
-                tracing::info!(key, committed, "a job of another cell is given back");
+                tracing::info!(key, committed, "a hosted job is returned to its home cell");
             }
             if self.state.write_room() > PRUNE_MIN_WRITE_ROOM {
                 for update in self.with(|core| core.prune_updates(MAX_PRUNED_PER_ROUND)) {
@@ -173,6 +189,7 @@
         }
     }
 
+    /// Offers each candidate job to the peer cell that fits it best, if any does.
     async fn offer_jobs(&self, federation: &Federation) {
         let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS_PER_ROUND, now()));
         lock(&self.summaries).forget_refusals(federation.refusal_pause, now());
@@ -191,12 +208,12 @@
         }
     }
 
-    /// Commits that a job is offered. Only the loop of the other cell sends the offer,
-    /// from the record.
+    /// Commits the offer of a job to the job's record. The loop for that peer cell then sends
+    /// the offer from the committed record.
     async fn offer_job(&self, job: &Arc<str>, cell: CellId) {
         let Some(offer) = self.with(|core| core.offer_update(job, cell.clone())) else { return };
         let result = self.committer.commit_soon(offer.update.clone()).await;
-        tracing::info!(%job, %cell, ?result, "a job is offered to another cell");
+        tracing::info!(%job, %cell, ?result, "a job is offered to a peer cell");
         match result {
             UpdateResult::Committed(revision) => {
                 self.with(|core| {
@@ -211,16 +228,17 @@
                 }
             }
             UpdateResult::Refused(_) => self.with(|core| core.offer_settled(job)),
-            // It may yet be carried out: its epoch counts as used until the record that
-            // it is bound to has changed.
+            // The update may still be committed. Its epoch counts as used until the job's
+            // record, on whose version the update is conditional, has changed.
             UpdateResult::Unknown(_) => {
                 self.refresh(&records::job_key(job), || true).await;
             }
         }
     }
 
-    /// Cancels a job that is away: its user is told so only once the other cell has
-    /// committed that nothing of it starts any more, and this cell has committed that.
+    /// Cancels a job that another cell hosts. The user gets the confirmation only after the host
+    /// cell has committed that no task of the job starts any more, and this cell has committed
+    /// that result. Otherwise the user is asked to retry.
     pub(crate) async fn cancel_away_job(&self, id: &str) -> Reply {
         let deadline = tokio::time::Instant::now() + CANCEL_TIMEOUT;
         loop {
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -1,4 +1,5 @@
-//! Placement rounds, commits of jobs, and direct commands to workers.
+//! Placement rounds, commits of record updates, direct commands to workers, and the periodic
+//! status line.
 
 use crate::core::{CommandEnd, CommitOutcome, PendingCommit};
 use crate::node::{Node, lock, now};
@@ -10,36 +11,38 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// Shortest pause between rounds.
+/// Minimum pause between placement rounds.
 const MIN_ROUND_PAUSE: Duration = Duration::from_millis(30);
-/// Longest pause between rounds.
+/// Maximum pause between placement rounds.
 const MAX_ROUND_PAUSE: Duration = Duration::from_millis(500);
-/// Longest time that a round waits for what earlier ones decided to be recorded.
+/// Limit on how long a placement round is delayed while decisions of earlier rounds wait to be
+/// committed.
 const MAX_BACKLOG_WAIT: Duration = Duration::from_millis(1500);
-/// A round is due at least this often: pauses end, machines fall silent.
+/// Maximum time between runs of a loop without a wake-up, since some events wake no loop: a
+/// pause ends, or a machine stops sending heartbeats.
 const MAX_IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often ends of tasks that wait for company are looked at.
+/// How often deferred updates, which wait to share a transaction with others, are reconsidered.
 const DEFERRED_COMMIT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a line says how things stand.
+/// Interval of the status line in the log.
 const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(30);
-/// Commands that are sent before other work has its turn.
+/// Number of commands sent between two yields to other tasks of the runtime.
 const COMMANDS_PER_YIELD: usize = 12;
-/// How long a worker has to answer direct commands.
+/// Timeout for a worker's reply to direct commands.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Node {
-    /// Rounds of placement. What comes up during a round or the pause after it
-    /// is decided together in the next; the pause grows with the time that a
-    /// round takes, so batches widen with the load.
+    /// Runs placement rounds. Work that arrives during a round or the pause after it is placed
+    /// together in the next round. The pause grows with the duration of the round, so batches
+    /// grow with the load.
     pub(crate) async fn placement_loop(self: Arc<Self>) {
         let mut last_round = now();
         loop {
             let _ = timeout(MAX_IDLE_INTERVAL, self.wake_place.notified()).await;
             let started_at = now();
             let wall = self.wall_seconds();
-            // While decisions wait to be recorded, the next round waits too, and
-            // decides more at a time; but not for ever, since what waits may be
-            // this node's alone, and other holders have nothing to do.
+            // While writes are scarce and many decisions wait to be committed, the next round is
+            // delayed so that it decides more at once. The delay is limited, because the backlog
+            // may be this controller's alone while other shard holders are idle.
             let writes_scarce = self.state.write_room() < 0.3;
             let round_recent = started_at.saturating_duration_since(last_round) < MAX_BACKLOG_WAIT;
             if writes_scarce
@@ -61,7 +64,7 @@
                     if let UpdateResult::Committed(revision) = node.committer.commit(update.clone()).await {
                         node.with(|core| core.apply_changes(&update.changes, revision, now()));
                     }
-                    // Else a later round sees what became of it.
+                    // If the commit failed, a later round sees the record's actual state.
                     node.with(|core| core.drain_written());
                 });
             }
@@ -70,17 +73,17 @@
         }
     }
 
-    /// Starts a commit for each job that has something to commit.
+    /// Starts a commit for each pending update, as far as the commit queue has room.
     pub(crate) async fn flush_loop(self: Arc<Self>) {
         loop {
             let writes_plentiful = self.state.write_room() > 0.5;
-            // Units are put together when they can go, so that each has all that
-            // its job has to commit by then.
-            // Records of machines wait there as well; they must not keep these out.
+            // An update is assembled only when the queue has room for it, so that it contains
+            // everything that is pending for its target by then. Updates of group records
+            // (machines) share the queue and are not counted against this limit.
             let group_writes = self.with(|core| core.group_writes_in_flight());
             let batch_size = self.committer.enough();
             loop {
-                // What can wait leaves room for what can't, in the queue as well.
+                // Once the queue is full, only urgent updates are added, up to a limit of their own.
                 let queue_full = self.committer.waiting() >= batch_size + group_writes;
                 if queue_full && self.committer.waiting_soon() >= batch_size {
                     break;
@@ -90,7 +93,8 @@
                     break;
                 };
                 let node = self.clone();
-                // It joins the queue at its first poll.
+                // `commit_update` joins the queue at its first poll; waits for that, so that the
+                // next iteration sees the new queue length.
                 let (queued, joined) = tokio::sync::oneshot::channel();
                 self.spawn(async move {
                     let _ = queued.send(());
@@ -108,9 +112,9 @@
         }
     }
 
-    /// Commits a unit until its outcome is certain. One whose outcome is
-    /// unknown may be made much later; trying the same again settles it, since
-    /// only one of the two can find its conditions true.
+    /// Commits an update and retries until its outcome is certain. An update with an unknown
+    /// outcome may still be committed much later. Repeating the same update settles it, since
+    /// at most one of the attempts can find the conditions true.
     async fn commit_update(&self, update: PendingCommit) {
         let mut retry_pause = Duration::from_millis(100);
         loop {
@@ -125,21 +129,30 @@
                     return;
                 }
                 UpdateResult::Conflict(failed) => {
-                    tracing::debug!(subject = ?update.target, ?failed, "a change finds other records");
+                    tracing::debug!(
+                        subject = ?update.target, ?failed,
+                        "an update's conditions failed: its records have changed"
+                    );
                     for key in failed {
                         self.refresh(&key, || true).await;
                     }
                     break;
                 }
                 UpdateResult::Refused(error) if error.starts_with("status 400") => {
-                    // It was not made and, being too large, never will be as it is:
-                    // what is in it is put together anew.
-                    tracing::warn!(error, subject = ?update.target, "the state service refuses a change for good");
+                    // The update is too large and will never be accepted as it is. Its contents
+                    // are assembled into new updates.
+                    tracing::warn!(
+                        error, subject = ?update.target,
+                        "the state service rejected an update as invalid; assembling it again"
+                    );
                     sleep(Duration::from_secs(1)).await;
                     break;
                 }
                 UpdateResult::Refused(error) | UpdateResult::Unknown(error) => {
-                    tracing::debug!(error, subject = ?update.target, "a change is not committed yet");
+                    tracing::debug!(
+                        error, subject = ?update.target,
+                        "an update could not be committed; retrying"
+                    );
                 }
             }
             sleep(retry_pause).await;
@@ -148,7 +161,7 @@
         self.with(|core| core.commit_ended(&update, CommitOutcome::NotCommitted, now()));
     }
 
-    /// Says every half minute how things stand on this node.
+    /// Logs this controller's status periodically.
     pub(crate) async fn status_log_loop(self: Arc<Self>) {
         loop {
             sleep(STATUS_LOG_INTERVAL).await;
@@ -171,18 +184,18 @@
                 write_room = format!("{:.2}", self.state.write_room()),
                 request_room = format!("{:.2}", self.state.request_room()),
                 users = self.requests.load(std::sync::atomic::Ordering::Relaxed),
-                "how things stand"
+                "controller status"
             );
         }
     }
 
-    /// Sends direct commands to the machines that have some to receive.
+    /// Sends direct commands to the machines that have commands pending.
     pub(crate) async fn command_loop(self: Arc<Self>) {
         loop {
             let ids = std::mem::take(&mut *lock(&self.to_command));
             for (n, id) in ids.into_iter().enumerate() {
                 if n % COMMANDS_PER_YIELD == COMMANDS_PER_YIELD - 1 {
-                    // Hundreds at once must not go before renewals of leases.
+                    // Sending hundreds of commands in one go must not delay lease renewals.
                     yield_now().await;
                 }
                 if let Some((address, commands)) = self.with(|core| core.next_command(&id, now())) {
@@ -194,6 +207,8 @@
         }
     }
 
+    /// Sends direct commands to one machine and records the result. Schedules a retry if there
+    /// is no valid reply.
     async fn send_commands(self: &Arc<Self>, id: &str, address: String, commands: DirectCommands) {
         let Ok(body) = serde_json::to_vec(&commands) else { return };
         let request = Request {
@@ -215,7 +230,7 @@
             tracing::warn!(
                 machine = id,
                 status = response.status,
-                "a worker's answer to commands cannot be read"
+                "a worker's reply to direct commands cannot be parsed"
             );
         }
         let end = match (&result, &report) {
@@ -226,7 +241,7 @@
         };
         self.with(|core| core.command_ended(id, &commands, end, now()));
         if !matches!(end, CommandEnd::Answered(_)) {
-            // Its next try is due after a pause, unless a report comes first.
+            // Retries after a pause, unless a heartbeat of the worker arrives first.
             sleep(Duration::from_secs(1)).await;
             self.with(|core| core.wakeups.command.insert(id.into()));
         }
--- a/crates/dapplecroft-controller/src/loops/record_watch.rs
+++ b/crates/dapplecroft-controller/src/loops/record_watch.rs
@@ -1,4 +1,5 @@
-//! Keeping the copy of the records, and confirming what users are told.
+//! Keeps this controller's replica of the records up to date, and checks record versions with
+//! the state service before users are answered.
 
 use crate::node::{Answered, Node, Question, lock, now};
 use crate::records::PREFIX;
@@ -10,12 +11,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a watch stays open. Short, so that one that is lost in the network
-/// is soon replaced: a holder's contact depends on it.
+/// How long a watch request stays open. Short, so that a watch lost in the network is soon
+/// replaced: a shard holder's contact with the state service depends on the watch.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause before a failed request to the state service is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl Node {
+    /// Loads all records, then follows their changes. Loads them again when the revision that
+    /// was followed last is too old to continue from.
     pub(crate) async fn watch_loop(self: Arc<Self>) {
         loop {
             while !self.load_all_records().await {
@@ -38,32 +42,34 @@
         }
     }
 
-    /// Pause between watches that bring changes, so that many small changes
-    /// come in few answers.
+    /// Pause after a watch reply that contained changes, so that frequent small changes arrive
+    /// in few replies. Limits watches to 30 % of this controller's share of requests.
     fn watch_pause(&self) -> Duration {
         let params = &self.settings.params;
         let share = params.state.rps / f64::from(params.nodes.max(1)) * 0.3;
         Duration::from_secs_f64(1.0 / share.max(1.0))
     }
 
+    /// Replaces the replica by a full listing of the records; returns whether that succeeded.
     async fn load_all_records(&self) -> bool {
         match self.state.list(PREFIX).await {
             Outcome::Done((items, revision)) => {
                 let count = items.len();
                 self.with(|core| core.load(items, revision, now()));
-                tracing::info!(records = count, revision, "records read");
+                tracing::info!(records = count, revision, "loaded all records from the state service");
                 self.wake_role.notify_one();
                 self.wake_heartbeat.notify_one();
                 true
             }
             Outcome::Refused(error) | Outcome::Unknown(error) => {
-                tracing::debug!(error, "records cannot be read yet");
+                tracing::debug!(error, "the records could not be loaded; retrying");
                 false
             }
         }
     }
 
-    /// Reads a key again, until that succeeds or the caller's reason is gone.
+    /// Reads a record from the state service into the replica. Retries until that succeeds or
+    /// `still_needed` returns false; returns whether the record was read.
     pub(crate) async fn refresh(&self, key: &str, still_needed: impl Fn() -> bool) -> bool {
         while still_needed() {
             match self.state.get(key).await {
@@ -77,8 +83,8 @@
         false
     }
 
-    /// Answers questions about versions, all that wait in one transaction that
-    /// only compares.
+    /// Answers questions whether a record still has a given version. Waiting questions share one
+    /// transaction, which has conditions but no changes.
     pub(crate) async fn version_check_loop(self: Arc<Self>) {
         loop {
             let max_conditions = 4 * self.with(|core| core.limits().changes);
@@ -93,18 +99,20 @@
                 continue;
             }
             self.check_versions(batch).await;
-            // Requests are scarce: the next questions share one.
+            // Few requests are left in the budget: waits so that more questions share the next one.
             if self.state.request_room() < 0.5 {
                 sleep(RETRY_PAUSE / 2).await;
             }
         }
     }
 
+    /// Checks the versions of a batch of questions with the state service and answers them.
+    /// Reads again each record whose version differs.
     async fn check_versions(&self, batch: Vec<Question>) {
         let mut versions: HashMap<&str, u64> = HashMap::new();
         for question in &batch {
-            // Two askers may have seen different versions; the older one is
-            // then renewed without asking.
+            // Two questions may name different versions of a record. Only the newer one is
+            // checked, since the older one is outdated in any case.
             let entry = versions.entry(&question.key).or_insert(question.version);
             *entry = (*entry).max(question.version);
         }
@@ -117,7 +125,7 @@
             Outcome::Refused(_) | Outcome::Unknown(_) => None,
         };
         let Some(failed) = failed else {
-            // A refusal is soon over or lasts: either way, not at full speed.
+            // The state service is unavailable, briefly or for long: limits the rate of retries.
             sleep(RETRY_PAUSE / 4).await;
             for question in batch {
                 let _ = question.reply.send(Answered::Unavailable);
