--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -66,12 +66,12 @@
                 self.set_rates();
                 // A delayed write by an earlier process on this host may have overwritten this
                 // process's live record.
-                let own = self.with(|core| {
+                let has_own_record = self.with(|core| {
                     core.live_controllers
                         .get(&self.settings.host_name)
                         .is_some_and(|l| l.identity == core.identity)
                 });
-                own || self.write_live_record(lease).await
+                has_own_record || self.write_live_record(lease).await
             }
             Outcome::Done(false) => {
                 tracing::info!("this controller's lease has expired");
@@ -163,8 +163,8 @@
         };
         let own_version = self.with(|core| {
             let (leader, version) = core.leader.as_ref()?;
-            let unused = core.role.leadership.is_none() && core.role.lease.is_some();
-            (unused && leader.identity == core.identity).then_some(*version)
+            let not_leading = core.role.leadership.is_none() && core.role.lease.is_some();
+            (not_leading && leader.identity == core.identity).then_some(*version)
         });
         if let Some(version) = own_version {
             tracing::info!(term = version, "elected leader");
@@ -288,12 +288,12 @@
     /// written by whichever controller receives them.
     pub(crate) fn set_rates(&self) {
         let params = &self.settings.params;
-        let (share, mixed, limits) =
+        let (share, legacy_layout, limits) =
             self.with(|core| (core.write_share(), core.uses_legacy_layout(), core.limits()));
         self.committer.set_max_changes(limits.changes);
         // The state service switches to its next, lower limits without notice. The first
         // request that it refuses for exceeding them is the signal.
-        self.state.expect_less(!mixed && params.state.next.is_some());
+        self.state.expect_less(!legacy_layout && params.state.next.is_some());
         let (rps, writes) = params.state.rates(self.state.has_less());
         let rps = rps / f64::from(params.nodes.max(1));
         let (lent, borrowed) = self.loans();
@@ -313,12 +313,15 @@
         let heartbeat_interval = self.options.node_lease / 4;
         loop {
             sleep(heartbeat_interval / 2).await;
-            let age = self.state_age();
+            let state_age = self.state_age();
             let loaded = self.with(|core| core.loaded);
-            let lost = !loaded || age.is_none_or(|a| a > heartbeat_interval.mul_f64(1.6));
-            let helper =
-                if lost { self.peer_with_state_contact(age, heartbeat_interval).await } else { None };
-            self.shared_outage.store(lost && helper.is_none(), Ordering::Relaxed);
+            let contact_lost = !loaded || state_age.is_none_or(|a| a > heartbeat_interval.mul_f64(1.6));
+            let helper = if contact_lost {
+                self.peer_with_state_contact(state_age, heartbeat_interval).await
+            } else {
+                None
+            };
+            self.shared_outage.store(contact_lost && helper.is_none(), Ordering::Relaxed);
             let previous_helper = std::mem::replace(&mut *lock(&self.helper), helper);
             if previous_helper.is_some() != helper.is_some() {
                 tracing::info!(
@@ -335,7 +338,7 @@
     /// controllers lose contact at about, but not exactly, the same time.
     async fn peer_with_state_contact(
         &self,
-        age: Option<Duration>,
+        state_age: Option<Duration>,
         heartbeat_interval: Duration,
     ) -> Option<usize> {
         let requests = self.settings.peers.iter().map(|peer| {
@@ -343,7 +346,7 @@
             tokio::spawn(async move { peers.sight(&peer).await })
         });
         let max_age =
-            age.unwrap_or(Duration::MAX).saturating_sub(heartbeat_interval).min(heartbeat_interval * 2);
+            state_age.unwrap_or(Duration::MAX).saturating_sub(heartbeat_interval).min(heartbeat_interval * 2);
         let mut freshest = None;
         for (n, request) in requests.collect::<Vec<_>>().into_iter().enumerate() {
             if let Ok(Some(reply)) = request.await
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -81,11 +81,11 @@
             // everything that is pending for its target by then. Updates of group records
             // (machines) share the queue and are not counted against this limit.
             let group_writes = self.with(|core| core.group_writes_in_flight());
-            let batch_size = self.committer.enough();
+            let queue_target = self.committer.enough();
             loop {
                 // Once the queue is full, only urgent updates are added, up to a limit of their own.
-                let queue_full = self.committer.waiting() >= batch_size + group_writes;
-                if queue_full && self.committer.waiting_soon() >= batch_size {
+                let queue_full = self.committer.waiting() >= queue_target + group_writes;
+                if queue_full && self.committer.waiting_soon() >= queue_target {
                     break;
                 }
                 let Some(update) = self.with(|core| core.next_commit(writes_plentiful, queue_full, now()))
