--- a/crates/dapplecroft-admission/src/ledger.rs
+++ b/crates/dapplecroft-admission/src/ledger.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// How long accepted work counts as recent: it decays by this time constant.
-pub const RECENT: Duration = Duration::from_secs(60);
+pub const RECENT_WORK_DECAY: Duration = Duration::from_secs(60);
 
 /// What a job's record says of it.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,35 +25,36 @@
     /// The grant that it spent.
     pub tag: Option<CreditTag>,
     /// Whether it is over.
-    pub over: bool,
+    pub finished: bool,
     /// Seconds since 1970 at its submission.
     pub accepted_at: f64,
 }
 
 /// Credit that can't be spent any more, but may have been.
 #[derive(Debug, Clone, Copy)]
-struct Ended {
+struct EndedCredit {
     revision: u64,
-    left: u64,
+    unspent: u64,
 }
 
 /// What was accepted lately, decaying.
 #[derive(Debug, Clone, Copy, Default)]
-struct Recent {
+struct DecayingWork {
     work: f64,
-    at: f64,
+    updated_at: f64,
 }
 
-impl Recent {
-    fn at(&self, now: f64) -> f64 {
-        self.work * (-(now - self.at).max(0.0) / RECENT.as_secs_f64()).exp()
+impl DecayingWork {
+    fn value_at(&self, now: f64) -> f64 {
+        self.work * (-(now - self.updated_at).max(0.0) / RECENT_WORK_DECAY.as_secs_f64()).exp()
     }
 
     fn add(&mut self, work: f64, at: f64) {
-        let (early, late) = if at < self.at { (at, self.at) } else { (self.at, at) };
-        let decayed = (-(late - early) / RECENT.as_secs_f64()).exp();
-        self.work = if at < self.at { self.work + work * decayed } else { self.work * decayed + work };
-        self.at = late;
+        let (early, late) = if at < self.updated_at { (at, self.updated_at) } else { (self.updated_at, at) };
+        let decayed = (-(late - early) / RECENT_WORK_DECAY.as_secs_f64()).exp();
+        self.work =
+            if at < self.updated_at { self.work + work * decayed } else { self.work * decayed + work };
+        self.updated_at = late;
     }
 }
 
@@ -65,19 +66,19 @@
     pages: BTreeMap<u32, (GrantPage, u64)>,
     reservations: (ReservationsRecord, u64),
     /// Jobs with a reservation that have been accepted: nothing is left of it.
-    used: BTreeSet<String>,
+    spent_reservations: BTreeSet<String>,
     /// What each epoch of a controller has spent, by bucket.
     spent: BTreeMap<(String, u64), BTreeMap<Bucket, u64>>,
     /// Jobs that are not over.
-    open: BTreeMap<String, (Bucket, u64)>,
+    open_jobs: BTreeMap<String, (Bucket, u64)>,
     outstanding: BTreeMap<Bucket, u64>,
-    total: u64,
-    recent: BTreeMap<Bucket, Recent>,
-    ended: Vec<Ended>,
-    followed: u64,
+    outstanding_total: u64,
+    recent_work: BTreeMap<Bucket, DecayingWork>,
+    ended_credit: Vec<EndedCredit>,
+    applied_revision: u64,
     /// The version of the last page that could not be read: it may grant anything to the
     /// epochs that are older.
-    unreadable: u64,
+    unreadable_page_version: u64,
 }
 
 impl Ledger {
@@ -88,12 +89,12 @@
 
     /// Takes over which process may spend a controller's credit.
     pub fn apply_epoch(&mut self, host: &str, record: Option<EpochRecord>, version: u64) {
-        let left = self.credit_of(host);
-        let ended = self.epochs.get(host).is_some_and(|(old, _)| {
+        let unspent = self.unspent_total_of(host);
+        let epoch_ended = self.epochs.get(host).is_some_and(|(old, _)| {
             record.as_ref().is_none_or(|new| new.epoch != old.epoch || new.identity != old.identity)
         });
-        if ended && left > 0 && version > self.followed {
-            self.ended.push(Ended { revision: version, left });
+        if epoch_ended && unspent > 0 && version > self.applied_revision {
+            self.ended_credit.push(EndedCredit { revision: version, unspent });
         }
         match record {
             Some(record) => {
@@ -116,57 +117,61 @@
     }
 
     /// Notes that a page can't be read, or is gone.
-    pub fn note_unreadable_page(&mut self, version: u64) {
-        self.unreadable = self.unreadable.max(version);
+    pub fn record_unreadable_page(&mut self, version: u64) {
+        self.unreadable_page_version = self.unreadable_page_version.max(version);
     }
 
     /// Whether a controller may have credit that can't be told.
-    pub fn may_have_untold_credit(&self, host: &str) -> bool {
-        self.epochs.get(host).is_some_and(|(_, version)| *version < self.unreadable)
+    pub fn may_have_unknown_credit(&self, host: &str) -> bool {
+        self.epochs.get(host).is_some_and(|(_, version)| *version < self.unreadable_page_version)
     }
 
     /// Takes over what is kept for single jobs.
     pub fn apply_reservations(&mut self, record: Option<ReservationsRecord>, version: u64) {
         let record = record.unwrap_or_default();
-        let gone = |id: &String| !record.jobs.contains_key(id);
-        let left = self.unused().filter(|(id, _)| gone(id)).map(|(_, reservation)| reservation.charge).sum();
-        if version > self.followed && left > 0 {
-            self.ended.push(Ended { revision: version, left });
+        let removed = |id: &String| !record.jobs.contains_key(id);
+        let unspent = self
+            .unspent_reservations()
+            .filter(|(id, _)| removed(id))
+            .map(|(_, reservation)| reservation.charge)
+            .sum();
+        if version > self.applied_revision && unspent > 0 {
+            self.ended_credit.push(EndedCredit { revision: version, unspent });
         }
-        self.used.retain(|id| record.jobs.contains_key(id));
-        let open = record.jobs.keys().filter(|id| self.open.contains_key(*id));
-        self.used.extend(open.cloned());
+        self.spent_reservations.retain(|id| record.jobs.contains_key(id));
+        let open_jobs = record.jobs.keys().filter(|id| self.open_jobs.contains_key(*id));
+        self.spent_reservations.extend(open_jobs.cloned());
         self.reservations = (record, version);
     }
 
     /// Takes over a job's record.
     pub fn apply_job(&mut self, id: &str, job: &JobCharge) {
         if self.reservations.0.jobs.contains_key(id) {
-            self.used.insert(id.to_string());
+            self.spent_reservations.insert(id.to_string());
         }
-        let known = self.open.remove(id);
+        let known = self.open_jobs.remove(id);
         if let Some((bucket, charge)) = &known {
             self.remove_outstanding(bucket, *charge);
         }
         if known.is_none() {
-            self.note_accepted(job);
+            self.record_acceptance(job);
         }
-        if !job.over {
-            self.open.insert(id.to_string(), (job.bucket.clone(), job.charge));
+        if !job.finished {
+            self.open_jobs.insert(id.to_string(), (job.bucket.clone(), job.charge));
             *self.outstanding.entry(job.bucket.clone()).or_default() += job.charge;
-            self.total = self.total.saturating_add(job.charge);
+            self.outstanding_total = self.outstanding_total.saturating_add(job.charge);
         }
     }
 
     /// Notes that the state service has no record of a job any more.
-    pub fn drop_job(&mut self, id: &str) {
-        if let Some((bucket, charge)) = self.open.remove(id) {
+    pub fn remove_job(&mut self, id: &str) {
+        if let Some((bucket, charge)) = self.open_jobs.remove(id) {
             self.remove_outstanding(&bucket, charge);
         }
     }
 
     fn remove_outstanding(&mut self, bucket: &Bucket, charge: u64) {
-        self.total = self.total.saturating_sub(charge);
+        self.outstanding_total = self.outstanding_total.saturating_sub(charge);
         if let Some(work) = self.outstanding.get_mut(bucket) {
             *work = work.saturating_sub(charge);
             if *work == 0 {
@@ -175,9 +180,9 @@
         }
     }
 
-    fn note_accepted(&mut self, job: &JobCharge) {
+    fn record_acceptance(&mut self, job: &JobCharge) {
         let at = job.accepted_at;
-        self.recent.entry(job.bucket.clone()).or_default().add(job.charge as f64, at);
+        self.recent_work.entry(job.bucket.clone()).or_default().add(job.charge as f64, at);
         let Some(tag) = job.tag.as_ref().filter(|tag| !tag.host.is_empty()) else { return };
         let current = self.epochs.get(&tag.host).map_or(0, |(record, _)| record.epoch);
         if tag.epoch >= current {
@@ -187,9 +192,9 @@
     }
 
     /// Notes up to which revision everything is known.
-    pub fn followed(&mut self, revision: u64) {
-        self.followed = revision;
-        self.ended.retain(|ended| ended.revision > revision);
+    pub fn set_applied_revision(&mut self, revision: u64) {
+        self.applied_revision = revision;
+        self.ended_credit.retain(|ended| ended.revision > revision);
     }
 
     /// The policy in force and its version.
@@ -218,17 +223,17 @@
     }
 
     /// The reservation for a job that has not been accepted.
-    pub fn reservation(&self, id: &str) -> Option<&Reservation> {
-        self.reservations.0.jobs.get(id).filter(|_| !self.used.contains(id))
+    pub fn unspent_reservation(&self, id: &str) -> Option<&Reservation> {
+        self.reservations.0.jobs.get(id).filter(|_| !self.spent_reservations.contains(id))
     }
 
-    fn unused(&self) -> impl Iterator<Item = (&String, &Reservation)> {
-        self.reservations.0.jobs.iter().filter(|(id, _)| !self.used.contains(*id))
+    fn unspent_reservations(&self) -> impl Iterator<Item = (&String, &Reservation)> {
+        self.reservations.0.jobs.iter().filter(|(id, _)| !self.spent_reservations.contains(*id))
     }
 
     /// Whether a job is known and not over, or has used its reservation.
     pub fn is_accepted(&self, id: &str) -> bool {
-        self.open.contains_key(id) || self.used.contains(id)
+        self.open_jobs.contains_key(id) || self.spent_reservations.contains(id)
     }
 
     /// The page that has a controller's present grant, and the grant.
@@ -253,52 +258,53 @@
     /// Credit that a controller may still spend, by bucket.
     pub fn unspent(&self, host: &str) -> BTreeMap<Bucket, u64> {
         let spent = self.spent_by(host);
-        let left =
+        let unspent =
             |bucket: &Bucket, ceiling: u64| ceiling.saturating_sub(spent.get(bucket).copied().unwrap_or(0));
-        let all = self.ceilings(host).into_iter().map(|(bucket, ceiling)| (left(&bucket, ceiling), bucket));
-        all.filter(|(left, _)| *left > 0).map(|(left, bucket)| (bucket, left)).collect()
+        let all =
+            self.ceilings(host).into_iter().map(|(bucket, ceiling)| (unspent(&bucket, ceiling), bucket));
+        all.filter(|(unspent, _)| *unspent > 0).map(|(unspent, bucket)| (bucket, unspent)).collect()
     }
 
-    fn credit_of(&self, host: &str) -> u64 {
+    fn unspent_total_of(&self, host: &str) -> u64 {
         self.unspent(host).values().sum()
     }
 
     /// Work accepted lately in one bucket.
-    pub fn recent_of(&self, bucket: &Bucket, now: f64) -> f64 {
-        self.recent.get(bucket).map_or(0.0, |recent| recent.at(now))
+    pub fn recent_work_of(&self, bucket: &Bucket, now: f64) -> f64 {
+        self.recent_work.get(bucket).map_or(0.0, |recent| recent.value_at(now))
     }
 
     /// All credit that may yet be spent, or may have been spent unseen.
-    pub fn credit(&self) -> u64 {
-        let hosts: u64 = self.epochs.keys().map(|host| self.credit_of(host)).sum();
-        let ended: u64 = self.ended.iter().map(|ended| ended.left).sum();
-        hosts + ended + self.reserved()
+    pub fn outstanding_credit(&self) -> u64 {
+        let unspent: u64 = self.epochs.keys().map(|host| self.unspent_total_of(host)).sum();
+        let ended_credit: u64 = self.ended_credit.iter().map(|ended| ended.unspent).sum();
+        unspent + ended_credit + self.reserved_total()
     }
 
-    fn reserved(&self) -> u64 {
-        self.unused().map(|(_, reservation)| reservation.charge).sum()
+    fn reserved_total(&self) -> u64 {
+        self.unspent_reservations().map(|(_, reservation)| reservation.charge).sum()
     }
 
     /// How many more jobs all credit is good for.
-    pub fn credit_jobs(&self) -> u64 {
-        let of = |host: &String| {
-            let least = self.epochs.get(host).map_or(1, |(record, _)| record.least.max(1));
-            self.credit_of(host) / least
+    pub fn jobs_covered_by_credit(&self) -> u64 {
+        let jobs_of = |host: &String| {
+            let min_charge = self.epochs.get(host).map_or(1, |(record, _)| record.min_charge.max(1));
+            self.unspent_total_of(host) / min_charge
         };
-        let least = self.epochs.values().map(|(record, _)| record.least.max(1)).min().unwrap_or(1);
-        let ended: u64 = self.ended.iter().map(|ended| ended.left / least).sum();
-        let reserved = u64::try_from(self.unused().count()).unwrap_or(u64::MAX);
-        self.epochs.keys().map(of).sum::<u64>() + ended + reserved
+        let min_charge = self.epochs.values().map(|(record, _)| record.min_charge.max(1)).min().unwrap_or(1);
+        let ended_jobs: u64 = self.ended_credit.iter().map(|ended| ended.unspent / min_charge).sum();
+        let reserved_jobs = u64::try_from(self.unspent_reservations().count()).unwrap_or(u64::MAX);
+        self.epochs.keys().map(jobs_of).sum::<u64>() + ended_jobs + reserved_jobs
     }
 
     /// Work that is accepted and not over.
-    pub fn outstanding(&self) -> u64 {
-        self.total
+    pub fn outstanding_work(&self) -> u64 {
+        self.outstanding_total
     }
 
     /// Jobs that are accepted and not over.
     pub fn outstanding_jobs(&self) -> u64 {
-        u64::try_from(self.open.len()).unwrap_or(u64::MAX)
+        u64::try_from(self.open_jobs.len()).unwrap_or(u64::MAX)
     }
 
     /// Work that is accepted and not over, by bucket.
@@ -307,7 +313,7 @@
     }
 
     /// Work accepted lately, by bucket; `now` in seconds since 1970.
-    pub fn recent(&self, now: f64) -> BTreeMap<Bucket, f64> {
-        self.recent.iter().map(|(bucket, recent)| (bucket.clone(), recent.at(now))).collect()
+    pub fn recent_work(&self, now: f64) -> BTreeMap<Bucket, f64> {
+        self.recent_work.iter().map(|(bucket, recent)| (bucket.clone(), recent.value_at(now))).collect()
     }
 }
--- a/crates/dapplecroft-admission/src/lib.rs
+++ b/crates/dapplecroft-admission/src/lib.rs
@@ -26,10 +26,10 @@
 pub mod settings;
 pub mod spender;
 
-pub use charge::{Footprint, MachineShape, charge};
-pub use demand::{BucketDemand, DemandBook};
+pub use charge::{JobResources, ResourceAmounts, compute_charge};
+pub use demand::{BucketDemand, DemandTracker};
 pub use ledger::{JobCharge, Ledger};
 pub use planner::{ControllerView, Plan, Planner, PlannerInput};
 pub use records::{Bucket, CreditTag, EpochRecord, GrantPage, HostGrant, PolicyRecord, ReservationsRecord};
-pub use settings::{Admission, RawAdmission, SettingsError};
+pub use settings::{AdmissionConfig, RawAdmissionConfig, SettingsError};
 pub use spender::{Refusal, Settlement, Spender, Spending};
--- a/crates/dapplecroft-admission/src/planner/idle.rs
+++ b/crates/dapplecroft-admission/src/planner/idle_credit.rs
@@ -8,29 +8,29 @@
 
 /// Credit that has not been touched for so long is taken back if it is wanted elsewhere:
 /// longer than refused users are told to wait.
-const IDLE: Duration = Duration::from_secs(16);
+const IDLE_CREDIT_TIMEOUT: Duration = Duration::from_secs(16);
 /// A controller's epoch is not ended more often than this for idle credit.
-const REST: Duration = Duration::from_secs(10);
+const MIN_REVOCATION_INTERVAL: Duration = Duration::from_secs(10);
 /// Less than this part of the limit is left where it is: taking it back costs changes.
-const TRIFLE: u64 = 64;
+const MIN_REVOKED_CREDIT_DIVISOR: u64 = 64;
 
 /// Since when a bucket's credit at a controller has been as it is.
 #[derive(Debug, Clone, Copy)]
-struct Untouched {
-    left: u64,
-    since: Instant,
+struct BucketActivity {
+    unspent: u64,
+    unchanged_since: Instant,
 }
 
 /// Watches which credit is spent.
 #[derive(Debug, Default)]
-pub(super) struct IdleWatch {
-    buckets: HashMap<(String, Bucket), Untouched>,
-    taken_back: HashMap<String, Instant>,
+pub(super) struct IdleCreditTracker {
+    buckets: HashMap<(String, Bucket), BucketActivity>,
+    last_revoked: HashMap<String, Instant>,
 }
 
-impl IdleWatch {
+impl IdleCreditTracker {
     /// Whether a controller has so much idle credit that its epoch should end.
-    pub(super) fn is_idle(
+    pub(super) fn should_revoke(
         &mut self,
         ledger: &Ledger,
         controller: &ControllerView,
@@ -41,23 +41,26 @@
         let unspent = ledger.unspent(host);
         self.buckets.retain(|(other, bucket), _| other != host || unspent.contains_key(bucket));
         let mut idle = 0;
-        for (bucket, left) in unspent {
-            let fresh = Untouched { left, since: now };
-            let known = self.buckets.entry((host.clone(), bucket)).or_insert(fresh);
-            if known.left != left {
-                *known = fresh;
+        for (bucket, unspent) in unspent {
+            let unchanged_from_now = BucketActivity { unspent, unchanged_since: now };
+            let known = self.buckets.entry((host.clone(), bucket)).or_insert(unchanged_from_now);
+            if known.unspent != unspent {
+                *known = unchanged_from_now;
             }
-            if now.saturating_duration_since(known.since) >= IDLE {
-                idle += left;
+            if now.saturating_duration_since(known.unchanged_since) >= IDLE_CREDIT_TIMEOUT {
+                idle += unspent;
             }
         }
         // What is set aside for unknown submissions is untouched too.
-        let rested = self.taken_back.get(host).is_none_or(|at| now.saturating_duration_since(*at) >= REST);
-        let worth = idle.max(controller.stuck) > limit / TRIFLE;
-        if worth && rested {
-            self.taken_back.insert(host.clone(), now);
+        let interval_elapsed = self
+            .last_revoked
+            .get(host)
+            .is_none_or(|at| now.saturating_duration_since(*at) >= MIN_REVOCATION_INTERVAL);
+        let enough = idle.max(controller.unsettled_credit) > limit / MIN_REVOKED_CREDIT_DIVISOR;
+        if enough && interval_elapsed {
+            self.last_revoked.insert(host.clone(), now);
             self.buckets.retain(|(other, _), _| other != host);
         }
-        worth && rested
+        enough && interval_elapsed
     }
 }
--- a/crates/dapplecroft-admission/src/planner/pages.rs
+++ b/crates/dapplecroft-admission/src/planner/pages.rs
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 
 /// How many bytes a record takes at most, however what is not ASCII is written.
-fn stored_size(page: &GrantPage) -> usize {
+fn max_stored_bytes(page: &GrantPage) -> usize {
     let text = serde_json::to_string(page).unwrap_or_default();
     text.chars().map(|c| if c.is_ascii() { 1 } else { 6 * c.len_utf16() }).sum()
 }
 
 /// The pages that change when credit is added; at most so many.
-pub(super) fn with_grants(
+pub(super) fn changed_pages(
     ledger: &Ledger,
     epochs: &BTreeMap<String, EpochRecord>,
     grants: &Grants,
-    max_value: usize,
-    most: usize,
+    max_value_bytes: usize,
+    max_pages: usize,
 ) -> BTreeMap<u32, GrantPage> {
     let mut all: BTreeMap<u32, GrantPage> =
         ledger.pages().iter().map(|(page, (record, _))| (*page, record.clone())).collect();
@@ -25,11 +25,11 @@
     for (host, added) in grants {
         let grant = match (epochs.get(host), ledger.epoch(host)) {
             (Some(next), _) => HostGrant { epoch: next.epoch, ceilings: added.clone() },
-            (None, Some((epoch, _))) => raised(ledger, host, epoch.epoch, added),
+            (None, Some((epoch, _))) => with_added_credit(ledger, host, epoch.epoch, added),
             (None, None) => continue,
         };
-        let page = page_for(&mut all, ledger, host, grant, max_value);
-        if let Some(page) = page.filter(|page| changed.contains_key(page) || changed.len() < most) {
+        let page = place_grant(&mut all, ledger, host, grant, max_value_bytes);
+        if let Some(page) = page.filter(|page| changed.contains_key(page) || changed.len() < max_pages) {
             changed.insert(page, all[&page].clone());
         }
     }
@@ -38,13 +38,14 @@
 
 /// A controller's grant with more credit. A bucket whose credit is used up need not be
 /// named: what it has spent is known from the jobs' records.
-fn raised(ledger: &Ledger, host: &str, epoch: u64, added: &BTreeMap<Bucket, u64>) -> HostGrant {
+fn with_added_credit(ledger: &Ledger, host: &str, epoch: u64, added: &BTreeMap<Bucket, u64>) -> HostGrant {
     let spent = ledger.spent_by(host);
-    let of = |amounts: &BTreeMap<Bucket, u64>, bucket: &Bucket| amounts.get(bucket).copied().unwrap_or(0);
+    let amount_of =
+        |amounts: &BTreeMap<Bucket, u64>, bucket: &Bucket| amounts.get(bucket).copied().unwrap_or(0);
     let mut ceilings = ledger.ceilings(host);
-    ceilings.retain(|bucket, ceiling| *ceiling > of(&spent, bucket));
+    ceilings.retain(|bucket, ceiling| *ceiling > amount_of(&spent, bucket));
     for (bucket, more) in added {
-        let known = of(&ceilings, bucket).max(of(&spent, bucket));
+        let known = amount_of(&ceilings, bucket).max(amount_of(&spent, bucket));
         ceilings.insert(bucket.clone(), known + more);
     }
     HostGrant { epoch, ceilings }
@@ -52,12 +53,12 @@
 
 /// Puts a grant on the page that its controller is on, or else on the first that has
 /// room; returns which. `None`: it fits on none, even alone.
-fn page_for(
+fn place_grant(
     all: &mut BTreeMap<u32, GrantPage>,
     ledger: &Ledger,
     host: &str,
     grant: HostGrant,
-    max_value: usize,
+    max_value_bytes: usize,
 ) -> Option<u32> {
     let current = |host: &String, grant: &HostGrant| {
         ledger.epoch(host).is_some_and(|(record, _)| record.epoch == grant.epoch)
@@ -72,7 +73,7 @@
         let mut page = all.get(&number).cloned().unwrap_or_default();
         page.hosts.retain(|other, grant| other == host || current(other, grant));
         page.hosts.insert(host.to_string(), grant.clone());
-        if stored_size(&page) <= max_value {
+        if max_stored_bytes(&page) <= max_value_bytes {
             all.insert(number, page);
             return Some(number);
         }
--- a/crates/dapplecroft-admission/src/records.rs
+++ b/crates/dapplecroft-admission/src/records.rs
@@ -12,27 +12,27 @@
 pub struct Bucket(String);
 
 /// The name of the bucket that any job may draw on.
-const SHARED: &str = "*";
+const SHARED_BUCKET_NAME: &str = "*";
 /// What follows the name of a bucket of critical and urgent jobs.
-const URGENT_MARK: char = '!';
+const URGENT_SUFFIX: char = '!';
 /// The class that jobs of unlisted classes are counted under.
-pub const OTHER_CLASS: &str = "";
+pub const UNLISTED_CLASS: &str = "";
 
 impl Bucket {
     /// The bucket of a team's class.
     pub fn new(team: &str, class: &str, urgent: bool) -> Bucket {
-        let mark = if urgent { String::from(URGENT_MARK) } else { String::new() };
-        Bucket(format!("{team}/{class}{mark}"))
+        let suffix = if urgent { String::from(URGENT_SUFFIX) } else { String::new() };
+        Bucket(format!("{team}/{class}{suffix}"))
     }
 
     /// The bucket that any job may draw on.
     pub fn shared() -> Bucket {
-        Bucket(SHARED.to_string())
+        Bucket(SHARED_BUCKET_NAME.to_string())
     }
 
     /// Whether any job may draw on it.
     pub fn is_shared(&self) -> bool {
-        self.0 == SHARED
+        self.0 == SHARED_BUCKET_NAME
     }
 
     /// The team; the shared bucket has none.
@@ -43,12 +43,12 @@
     /// The class.
     pub fn class(&self) -> &str {
         let class = self.0.split_once('/').map_or("", |(_, class)| class);
-        class.strip_suffix(URGENT_MARK).unwrap_or(class)
+        class.strip_suffix(URGENT_SUFFIX).unwrap_or(class)
     }
 
     /// Whether its jobs are critical or urgent.
     pub fn is_urgent(&self) -> bool {
-        self.0.ends_with(URGENT_MARK)
+        self.0.ends_with(URGENT_SUFFIX)
     }
 
     /// Its name, as it is stored.
@@ -81,10 +81,10 @@
     pub limit: u64,
     /// The most jobs that may be outstanding.
     #[serde(rename = "j")]
-    pub jobs: u64,
+    pub max_jobs: u64,
     /// The most that a job is charged, in processor-seconds.
     #[serde(rename = "m")]
-    pub largest: u64,
+    pub max_charge: u64,
     /// The teams' weights.
     #[serde(rename = "w", default)]
     pub weights: BTreeMap<String, f64>,
@@ -103,7 +103,7 @@
     /// The least that a job is charged in this epoch, in processor-seconds: it bounds how
     /// many jobs the credit of the epoch is good for.
     #[serde(rename = "m")]
-    pub least: u64,
+    pub min_charge: u64,
 }
 
 /// How much a controller may spend in an epoch, from its beginning: these ceilings only
--- a/crates/dapplecroft-admission/src/settings.rs
+++ b/crates/dapplecroft-admission/src/settings.rs
@@ -4,15 +4,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The time in which outstanding work could be worked off, in seconds.
-const WORK_OFF_S: f64 = 300.0;
+const DEFAULT_WORK_OFF_S: f64 = 300.0;
 /// The most outstanding jobs.
-const MAX_JOBS: u64 = 20_000;
+const DEFAULT_MAX_JOBS: u64 = 20_000;
 /// A job is charged at most this part of the limit.
-const LARGEST_PART: f64 = 0.25;
+const DEFAULT_MAX_CHARGE_FRACTION: f64 = 0.25;
 /// The part of the limit that is kept for a team which wants it, before weights count; all
 /// such parts together come to no more than the other.
-const FLOOR: f64 = 0.01;
-const FLOORS_TOGETHER: f64 = 0.25;
+const DEFAULT_FLOOR: f64 = 0.01;
+const DEFAULT_FLOORS_TOTAL: f64 = 0.25;
 
 /// The share of a class within its team.
 #[derive(Debug, Clone, Default, PartialEq, Validate)]
@@ -44,7 +44,7 @@
 
 /// The settings, as operators write them.
 #[derive(Debug, Clone, Default, PartialEq, Validate)]
-pub struct RawAdmission {
+pub struct RawAdmissionConfig {
     /// The limit as the time to work off what is outstanding, in seconds.
     #[garde(inner(range(min = 1.0, max = 86_400.0)))]
     pub work_off_s: Option<f64>,
@@ -66,8 +66,8 @@
 }
 
 fn positive(value: &f64, _: &()) -> garde::Result {
-    let good = value.is_finite() && *value > 0.0;
-    if good { Ok(()) } else { Err(garde::Error::new(format!("must be positive and finite, is {value}"))) }
+    let valid = value.is_finite() && *value > 0.0;
+    if valid { Ok(()) } else { Err(garde::Error::new(format!("must be positive and finite, is {value}"))) }
 }
 
 /// Why settings are not accepted; each names the value.
@@ -75,10 +75,10 @@
 pub enum SettingsError {
     /// A value lies outside what its field allows.
     #[error("admission.{0}")]
-    Value(String),
+    InvalidValue(String),
     /// A team or a class is named twice.
     #[error("admission.teams: {0:?} is named twice")]
-    Twice(String),
+    DuplicateName(String),
     /// A team that the platform does not know.
     #[error("admission.teams: there is no team {0:?}")]
     UnknownTeam(String),
@@ -87,24 +87,24 @@
     UnknownClass(String),
     /// The floors are more than the whole.
     #[error("admission.teams: floors come to {0}, more than 1")]
-    Floors(f64),
+    FloorsAboveOne(f64),
     /// Both forms of the limit are set.
     #[error("admission: set work_off_s or limit_cpu_s, not both")]
-    TwoLimits,
+    ConflictingLimits,
     /// There is nothing to reckon the limit with.
     #[error("admission.least_cpus: must be set where no team has guaranteed processors")]
     NoCapacity,
     /// The limit does not take the largest job.
-    #[error("admission.largest_job_cpu_s: {largest} is more than the limit of {limit}")]
-    LargestJob {
+    #[error("admission.largest_job_cpu_s: {max_charge} is more than the limit of {limit}")]
+    MaxChargeAboveLimit {
         /// What was set.
-        largest: u64,
+        max_charge: u64,
         /// The limit.
         limit: u64,
     },
     /// The limit does not keep a team's guaranteed processors busy for a second.
     #[error("admission: the limit of {limit} is below the guarantee of {team}, {guarantee} CPUs")]
-    Guarantee {
+    LimitBelowGuarantee {
         /// The limit.
         limit: u64,
         /// The team.
@@ -147,19 +147,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LimitRule {
     /// As so many seconds' work of the processors there are.
-    Time(f64),
+    WorkOffTime(f64),
     /// As so many processor-seconds.
     Absolute(u64),
 }
 
 /// The settings, checked.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Admission {
+pub struct AdmissionConfig {
     limit: LimitRule,
     least_cpus: f64,
     /// The most outstanding jobs.
     pub max_jobs: u64,
-    largest: Option<u64>,
+    max_charge_override: Option<u64>,
     /// By team.
     pub teams: BTreeMap<String, TeamShare>,
 }
@@ -168,51 +168,59 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(SettingsError::Twice(name.clone()));
+            return Err(SettingsError::DuplicateName(name.clone()));
         }
     }
     Ok(())
 }
 
-impl RawAdmission {
+impl RawAdmissionConfig {
     /// Checks what can be checked without the platform's settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.validate().map_err(|report| {
             let first = report.iter().next();
-            SettingsError::Value(first.map_or_else(String::new, |(path, error)| format!("{path}: {error}")))
+            SettingsError::InvalidValue(
+                first.map_or_else(String::new, |(path, error)| format!("{path}: {error}")),
+            )
         })?;
         if self.work_off_s.is_some() && self.limit_cpu_s.is_some() {
-            return Err(SettingsError::TwoLimits);
+            return Err(SettingsError::ConflictingLimits);
         }
         check_names(self.teams.iter().map(|team| &team.name))?;
         for team in &self.teams {
             check_names(team.classes.iter().map(|class| &class.name))?;
         }
         let floors: f64 = self.teams.iter().filter_map(|team| team.floor).sum();
-        if floors > 1.0 { Err(SettingsError::Floors(floors)) } else { Ok(()) }
+        if floors > 1.0 { Err(SettingsError::FloorsAboveOne(floors)) } else { Ok(()) }
     }
 
     /// The settings in force on a platform.
-    pub fn resolve(&self, platform: &Platform) -> Result<Admission, SettingsError> {
+    pub fn resolve(&self, platform: &Platform) -> Result<AdmissionConfig, SettingsError> {
         self.check()?;
-        self.check_known(platform)?;
+        self.check_teams_and_classes(platform)?;
         let guaranteed: f64 = platform.teams.iter().map(|team| team.guaranteed_cpus).sum();
         let least_cpus = self.least_cpus.unwrap_or(guaranteed);
         let limit = match self.limit_cpu_s {
             Some(limit) => LimitRule::Absolute(limit),
             None if least_cpus <= 0.0 => return Err(SettingsError::NoCapacity),
-            None => LimitRule::Time(self.work_off_s.unwrap_or(WORK_OFF_S)),
+            None => LimitRule::WorkOffTime(self.work_off_s.unwrap_or(DEFAULT_WORK_OFF_S)),
         };
-        let count = platform.teams.len();
-        let share = |team: &PlatformTeam| (team.name.clone(), self.share_of(team, count));
+        let team_count = platform.teams.len();
+        let share = |team: &PlatformTeam| (team.name.clone(), self.share_of(team, team_count));
         let teams = platform.teams.iter().map(share).collect();
-        let max_jobs = self.max_jobs.unwrap_or(MAX_JOBS);
-        let admission = Admission { limit, least_cpus, max_jobs, largest: self.largest_job_cpu_s, teams };
+        let max_jobs = self.max_jobs.unwrap_or(DEFAULT_MAX_JOBS);
+        let admission = AdmissionConfig {
+            limit,
+            least_cpus,
+            max_jobs,
+            max_charge_override: self.largest_job_cpu_s,
+            teams,
+        };
         admission.check_limit(platform)?;
         Ok(admission)
     }
 
-    fn check_known(&self, platform: &Platform) -> Result<(), SettingsError> {
+    fn check_teams_and_classes(&self, platform: &Platform) -> Result<(), SettingsError> {
         for team in &self.teams {
             if !platform.teams.iter().any(|known| known.name == team.name) {
                 return Err(SettingsError::UnknownTeam(team.name.clone()));
@@ -225,54 +233,56 @@
         Ok(())
     }
 
-    fn share_of(&self, team: &PlatformTeam, teams: usize) -> TeamShare {
+    fn share_of(&self, team: &PlatformTeam, team_count: usize) -> TeamShare {
         let raw = self.teams.iter().find(|raw| raw.name == team.name);
         let guaranteed = if team.guaranteed_cpus > 0.0 { team.guaranteed_cpus } else { 1.0 };
         let classes = raw.map(|raw| raw.classes.as_slice()).unwrap_or_default();
-        let set: f64 = self.teams.iter().filter_map(|raw| raw.floor).sum();
-        let spare = (1.0 - set).clamp(0.0, FLOORS_TOGETHER);
+        let configured_floors: f64 = self.teams.iter().filter_map(|raw| raw.floor).sum();
+        let spare = (1.0 - configured_floors).clamp(0.0, DEFAULT_FLOORS_TOTAL);
         TeamShare {
             weight: raw.and_then(|raw| raw.weight).unwrap_or(guaranteed),
-            floor: raw.and_then(|raw| raw.floor).unwrap_or(FLOOR.min(spare / teams as f64)),
+            floor: raw.and_then(|raw| raw.floor).unwrap_or(DEFAULT_FLOOR.min(spare / team_count as f64)),
             classes: classes.iter().map(|class| (class.name.clone(), class.weight)).collect(),
         }
     }
 }
 
-impl Admission {
+impl AdmissionConfig {
     /// The limit with so many processors up, in processor-seconds.
     pub fn limit(&self, cpus_up: f64) -> u64 {
         match self.limit {
             LimitRule::Absolute(limit) => limit,
-            LimitRule::Time(seconds) => (cpus_up.max(self.least_cpus) * seconds) as u64,
+            LimitRule::WorkOffTime(seconds) => (cpus_up.max(self.least_cpus) * seconds) as u64,
         }
     }
 
     /// The processors that a limit stands for.
-    pub fn cpus_of(&self, limit: u64) -> f64 {
+    pub fn cpus_for_limit(&self, limit: u64) -> f64 {
         match self.limit {
-            LimitRule::Time(seconds) => limit as f64 / seconds,
+            LimitRule::WorkOffTime(seconds) => limit as f64 / seconds,
             LimitRule::Absolute(_) => self.least_cpus,
         }
     }
 
     /// The most that a job is charged under a limit.
-    pub fn largest(&self, limit: u64) -> u64 {
-        self.largest.unwrap_or((limit as f64 * LARGEST_PART) as u64).clamp(1, limit.max(1))
+    pub fn max_charge(&self, limit: u64) -> u64 {
+        self.max_charge_override
+            .unwrap_or((limit as f64 * DEFAULT_MAX_CHARGE_FRACTION) as u64)
+            .clamp(1, limit.max(1))
     }
 
     /// The least that a job is charged under a limit: so many jobs use it up.
-    pub fn least(&self, limit: u64) -> u64 {
+    pub fn min_charge(&self, limit: u64) -> u64 {
         (limit / self.max_jobs.max(1)).max(1)
     }
 
     fn check_limit(&self, platform: &Platform) -> Result<(), SettingsError> {
         let limit = self.limit(0.0);
-        if let Some(largest) = self.largest.filter(|largest| *largest > limit) {
-            return Err(SettingsError::LargestJob { largest, limit });
+        if let Some(max_charge) = self.max_charge_override.filter(|max_charge| *max_charge > limit) {
+            return Err(SettingsError::MaxChargeAboveLimit { max_charge, limit });
         }
         match platform.teams.iter().find(|team| team.guaranteed_cpus > limit as f64) {
-            Some(team) => Err(SettingsError::Guarantee {
+            Some(team) => Err(SettingsError::LimitBelowGuarantee {
                 limit,
                 team: team.name.clone(),
                 guarantee: team.guaranteed_cpus,
--- a/crates/dapplecroft-admission/src/spender.rs
+++ b/crates/dapplecroft-admission/src/spender.rs
@@ -28,7 +28,7 @@
     /// Its record is committed.
     Committed,
     /// It was not carried out, and never will be.
-    NotMade,
+    NotCommitted,
     /// Nobody knows; it may yet be carried out.
     Unknown,
 }
@@ -96,9 +96,9 @@
         }
     }
 
-    fn left(&self, bucket: &Bucket) -> u64 {
-        let of = |amounts: &BTreeMap<Bucket, u64>| amounts.get(bucket).copied().unwrap_or(0);
-        of(&self.ceilings).saturating_sub(of(&self.spent))
+    fn unspent(&self, bucket: &Bucket) -> u64 {
+        let amount_of = |amounts: &BTreeMap<Bucket, u64>| amounts.get(bucket).copied().unwrap_or(0);
+        amount_of(&self.ceilings).saturating_sub(amount_of(&self.spent))
     }
 
     /// Whether this process has an epoch.
@@ -108,7 +108,7 @@
 
     /// What is left for a bucket's jobs.
     pub fn available(&self, bucket: &Bucket) -> u64 {
-        self.left(bucket).max(self.left(&Bucket::shared()))
+        self.unspent(bucket).max(self.unspent(&Bucket::shared()))
     }
 
     /// Sets credit aside for a job: of its own bucket, or of what any job may draw on. A
@@ -121,7 +121,7 @@
             return Ok(pending.spending.clone());
         }
         let shared = Bucket::shared();
-        let from = [bucket, &shared].into_iter().find(|bucket| self.left(bucket) >= charge);
+        let from = [bucket, &shared].into_iter().find(|bucket| self.unspent(bucket) >= charge);
         let Some(from) = from else { return Err(Refusal::NoCredit) };
         *self.spent.entry(from.clone()).or_default() += charge;
         let tag = CreditTag { host: self.host.clone(), epoch, bucket: from.clone(), charge };
@@ -134,16 +134,18 @@
     /// Notes how a submission ended. What is unknown counts as spent until the job's
     /// record tells, or the epoch ends.
     pub fn settle(&mut self, job: &str, spending: &Spending, settlement: Settlement) {
-        let Some(pending) = self.pending.get_mut(job).filter(|p| p.spending == *spending) else { return };
+        let Some(pending) = self.pending.get_mut(job).filter(|pending| pending.spending == *spending) else {
+            return;
+        };
         pending.in_flight = pending.in_flight.saturating_sub(1);
         pending.unknown |= settlement == Settlement::Unknown;
-        let made = settlement == Settlement::Committed;
-        let never_made = pending.in_flight == 0 && !pending.unknown;
-        if made || never_made {
+        let committed = settlement == Settlement::Committed;
+        let never_committed = pending.in_flight == 0 && !pending.unknown;
+        if committed || never_committed {
             self.pending.remove(job);
         }
-        if !made && never_made {
-            self.give_back(&spending.tag);
+        if !committed && never_committed {
+            self.refund(&spending.tag);
         }
     }
 
@@ -154,11 +156,11 @@
         let own = pending.spending.tag.clone();
         self.pending.remove(job);
         if tag != Some(&own) {
-            self.give_back(&own);
+            self.refund(&own);
         }
     }
 
-    fn give_back(&mut self, tag: &CreditTag) {
+    fn refund(&mut self, tag: &CreditTag) {
         if self.epoch.is_some_and(|(epoch, _)| epoch == tag.epoch)
             && let Some(spent) = self.spent.get_mut(&tag.bucket)
         {
@@ -167,7 +169,7 @@
     }
 
     /// Credit that is set aside for submissions of which nothing is known.
-    pub fn stuck(&self) -> u64 {
+    pub fn unsettled_credit(&self) -> u64 {
         let unknown = self.pending.values().filter(|pending| pending.in_flight == 0);
         unknown.map(|pending| pending.spending.tag.charge).sum()
     }
--- a/crates/dapplecroft-admission/tests/credit/main.rs
+++ b/crates/dapplecroft-admission/tests/credit/main.rs
@@ -2,6 +2,6 @@
 //! exhaustively where it is small, and at random where it is larger. Whether the limit is
 //! kept is told from the state service's keys alone.
 
-mod explored;
+mod exhaustive;
 mod random;
 mod world;
--- a/crates/dapplecroft-admission/tests/credit/random.rs
+++ b/crates/dapplecroft-admission/tests/credit/random.rs
@@ -3,7 +3,9 @@
 use crate::world::{Key, Record, World, host};
 use dapplecroft_admission::demand::job_hash;
 use dapplecroft_admission::settings::{Platform, PlatformTeam};
-use dapplecroft_admission::{Admission, BucketDemand, ControllerView, Planner, PlannerInput, RawAdmission};
+use dapplecroft_admission::{
+    AdmissionConfig, BucketDemand, ControllerView, Planner, PlannerInput, RawAdmissionConfig,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::{Duration, Instant};
@@ -15,10 +17,10 @@
 #[derive(Debug, Clone)]
 enum Event {
     Submit { controller: usize, job: u8, charge: u64 },
-    Deliver { index: usize, heard: bool, again: bool },
+    Deliver { index: usize, answered: bool, resent: bool },
     GiveUp { index: usize },
-    Follow { controller: usize },
-    LeaderFollows { leader: usize },
+    SyncController { controller: usize },
+    SyncLeader { leader: usize },
     Restart { controller: usize },
     Elect { leader: usize },
     Plan { leader: usize, wanted: u64, after_s: u64 },
@@ -31,10 +33,10 @@
         8 => (controller.clone(), 0u8..60, 1u64..8)
             .prop_map(|(controller, job, charge)| Event::Submit { controller, job, charge }),
         10 => (0usize..50, any::<bool>(), prop::bool::weighted(0.2))
-            .prop_map(|(index, heard, again)| Event::Deliver { index, heard, again }),
+            .prop_map(|(index, answered, resent)| Event::Deliver { index, answered, resent }),
         2 => (0usize..50).prop_map(|index| Event::GiveUp { index }),
-        6 => controller.clone().prop_map(|controller| Event::Follow { controller }),
-        6 => leader.clone().prop_map(|leader| Event::LeaderFollows { leader }),
+        6 => controller.clone().prop_map(|controller| Event::SyncController { controller }),
+        6 => leader.clone().prop_map(|leader| Event::SyncLeader { leader }),
         1 => controller.prop_map(|controller| Event::Restart { controller }),
         1 => leader.clone().prop_map(|leader| Event::Elect { leader }),
         6 => (leader, prop_oneof![Just(0u64), 1u64..40], 0u64..40)
@@ -43,23 +45,23 @@
     ]
 }
 
-fn admission() -> Admission {
+fn admission() -> AdmissionConfig {
     let team = PlatformTeam { name: "team".into(), guaranteed_cpus: 1.0 };
     let platform = Platform { teams: vec![team], classes: ["class".to_string()].into() };
-    let raw = RawAdmission { limit_cpu_s: Some(LIMIT), ..RawAdmission::default() };
+    let raw = RawAdmissionConfig { limit_cpu_s: Some(LIMIT), ..RawAdmissionConfig::default() };
     raw.resolve(&platform).expect("settings that can be")
 }
 
-struct Run {
+struct TestRun {
     world: World,
     planners: Vec<Planner>,
-    admission: Admission,
+    admission: AdmissionConfig,
     now: Instant,
 }
 
-impl Run {
-    fn new() -> Run {
-        Run {
+impl TestRun {
+    fn new() -> TestRun {
+        TestRun {
             world: World::new(LIMIT, CONTROLLERS, LEADERS),
             planners: (0..LEADERS).map(|_| Planner::default()).collect(),
             admission: admission(),
@@ -67,53 +69,53 @@
         }
     }
 
-    fn views(&self, wanted: u64) -> Vec<ControllerView> {
-        let view = |n: usize| {
+    fn controller_views(&self, wanted: u64) -> Vec<ControllerView> {
+        let view = |controller_index: usize| {
             let mut demand = BucketDemand::default();
             (0..wanted).for_each(|job| demand.sketch.add(job_hash(&format!("run-{job}")), 3));
             let buckets =
                 if wanted > 0 { [(crate::world::bucket(), demand)].into() } else { Default::default() };
-            let identity = self.world.controllers[n].identity.clone();
-            ControllerView { host: host(n), identity, demand: buckets, stuck: 0 }
+            let identity = self.world.controllers[controller_index].identity.clone();
+            ControllerView { host: host(controller_index), identity, demand: buckets, unsettled_credit: 0 }
         };
         (0..CONTROLLERS).map(view).collect()
     }
 
-    fn plan(&mut self, l: usize, wanted: u64) {
+    fn plan(&mut self, leader_index: usize, wanted: u64) {
         let input = PlannerInput {
             admission: &self.admission,
-            controllers: self.views(wanted),
+            controllers: self.controller_views(wanted),
             term: 0,
-            all_know: true,
+            all_support_admission: true,
             cpus_up: 0.0,
             now: self.now,
-            wall: 0.0,
+            unix_time_s: 0.0,
             // So little that each controller has a page of its own.
-            max_value: 110,
+            max_value_bytes: 110,
             max_changes: 4,
         };
-        let plan = self.planners[l].plan(&self.world.leaders[l].ledger, &input);
+        let plan = self.planners[leader_index].plan(&self.world.leaders[leader_index].ledger, &input);
         let epochs = plan.epochs.into_iter().map(|(host, record)| (Key::Epoch(host), Record::Epoch(record)));
         let pages = plan.pages.into_iter().map(|(page, record)| (Key::Page(page), Record::Page(record)));
         let changes: Vec<(Key, Record)> = epochs.chain(pages).collect();
         if !changes.is_empty() {
-            self.world.leader_commits(l, changes);
+            self.world.submit_leader_transaction(leader_index, changes);
         }
     }
 
-    fn take(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         let count = self.world.in_flight.len();
         match *event {
             Event::Submit { controller, job, charge } => {
                 self.world.submit(controller, &format!("run-{job}"), charge);
             }
-            Event::Deliver { index, heard, again } if count > 0 => {
-                self.world.deliver(index % count, heard, again);
+            Event::Deliver { index, answered, resent } if count > 0 => {
+                self.world.deliver(index % count, answered, resent);
             }
             Event::GiveUp { index } if count > 0 => self.world.give_up(index % count),
             Event::Deliver { .. } | Event::GiveUp { .. } => {}
-            Event::Follow { controller } => self.world.follow(controller),
-            Event::LeaderFollows { leader } => self.world.leader_follows(leader),
+            Event::SyncController { controller } => self.world.sync_controller(controller),
+            Event::SyncLeader { leader } => self.world.sync_leader(leader),
             Event::Restart { controller } => self.world.restart(controller),
             Event::Elect { leader } => {
                 self.world.elect(leader);
@@ -127,7 +129,7 @@
             }
             Event::Finish { job } => self.world.finish(&format!("run-{job}")),
         }
-        self.world.check();
+        self.world.check_limit();
     }
 
     /// Everything settles: nothing is on its way, all copies catch up, all jobs end.
@@ -138,16 +140,16 @@
         (0..60).for_each(|job| self.world.finish(&format!("run-{job}")));
         self.world.elect(0);
         for _ in 0..6 {
-            self.world.leader_follows(0);
-            (0..CONTROLLERS).for_each(|n| self.world.follow(n));
+            self.world.sync_leader(0);
+            (0..CONTROLLERS).for_each(|controller_index| self.world.sync_controller(controller_index));
             self.now += Duration::from_secs(60);
             self.plan(0, 40);
             while !self.world.in_flight.is_empty() {
                 self.world.deliver(0, true, false);
             }
-            self.world.check();
+            self.world.check_limit();
         }
-        (0..CONTROLLERS).for_each(|n| self.world.follow(n));
+        (0..CONTROLLERS).for_each(|controller_index| self.world.sync_controller(controller_index));
     }
 }
 
@@ -160,15 +162,15 @@
     })]
 
     #[test]
-    fn the_limit_holds_and_no_credit_is_lost(events in prop::collection::vec(event(), 50..400)) {
-        let mut run = Run::new();
+    fn limit_holds_through_random_failures_and_credit_is_recovered(events in prop::collection::vec(event(), 50..400)) {
+        let mut run = TestRun::new();
         run.world.elect(0);
         for event in &events {
-            run.take(event);
+            run.apply(event);
         }
         run.settle();
         // Whatever happened, nearly all of the limit can be spent in the end.
-        let free: u64 = run.world.controllers.iter().map(|c| c.spender.available(&crate::world::bucket())).sum();
+        let free: u64 = run.world.controllers.iter().map(|controller| controller.spender.available(&crate::world::bucket())).sum();
         prop_assert!(free >= LIMIT / 2, "{free} of {LIMIT}");
     }
 }
--- a/crates/dapplecroft-admission/tests/credit/world.rs
+++ b/crates/dapplecroft-admission/tests/credit/world.rs
@@ -23,7 +23,7 @@
     Leader,
     Epoch(EpochRecord),
     Page(GrantPage),
-    Job { tag: CreditTag, over: bool },
+    Job { tag: CreditTag, finished: bool },
 }
 
 /// Who hears how a transaction ended.
@@ -53,14 +53,14 @@
 pub struct Controller {
     pub identity: String,
     pub spender: Spender,
-    pub followed: u64,
+    pub applied_revision: u64,
 }
 
 #[derive(Debug, Clone, Default)]
 pub struct Leader {
     pub term: Option<u64>,
     pub ledger: Ledger,
-    pub followed: u64,
+    pub applied_revision: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -71,11 +71,11 @@
     pub in_flight: Vec<Transaction>,
     pub controllers: Vec<Controller>,
     pub leaders: Vec<Leader>,
-    processes: u64,
+    processes_started: u64,
 }
 
-pub fn host(n: usize) -> String {
-    format!("crofter-{n}")
+pub fn host(controller_index: usize) -> String {
+    format!("crofter-{controller_index}")
 }
 
 pub fn bucket() -> Bucket {
@@ -91,14 +91,19 @@
             in_flight: Vec::new(),
             controllers: Vec::new(),
             leaders: Vec::new(),
-            processes: 0,
+            processes_started: 0,
         };
-        for n in 0..controllers {
-            let controller = world.process(n);
+        for controller_index in 0..controllers {
+            let controller = world.start_process(controller_index);
             world.controllers.push(controller);
         }
-        let policy =
-            PolicyRecord { in_force: true, limit, jobs: 1000, largest: limit, weights: BTreeMap::new() };
+        let policy = PolicyRecord {
+            in_force: true,
+            limit,
+            max_jobs: 1000,
+            max_charge: limit,
+            weights: BTreeMap::new(),
+        };
         for _ in 0..leaders {
             let mut leader = Leader::default();
             leader.ledger.apply_policy(Some(policy.clone()), 1);
@@ -107,10 +112,14 @@
         world
     }
 
-    fn process(&mut self, n: usize) -> Controller {
-        self.processes += 1;
-        let identity = format!("process-{}", self.processes);
-        Controller { spender: Spender::new(&host(n), &identity), identity, followed: 0 }
+    fn start_process(&mut self, controller_index: usize) -> Controller {
+        self.processes_started += 1;
+        let identity = format!("process-{}", self.processes_started);
+        Controller {
+            spender: Spender::new(&host(controller_index), &identity),
+            identity,
+            applied_revision: 0,
+        }
     }
 
     pub fn version(&self, key: &Key) -> u64 {
@@ -122,21 +131,23 @@
     }
 
     /// A controller's process ends, and another begins with what is committed.
-    pub fn restart(&mut self, n: usize) {
-        self.controllers[n] = self.process(n);
-        self.follow(n);
+    pub fn restart(&mut self, controller_index: usize) {
+        self.controllers[controller_index] = self.start_process(controller_index);
+        self.sync_controller(controller_index);
     }
 
     /// A controller's copy catches up.
-    pub fn follow(&mut self, n: usize) {
-        let controller = &mut self.controllers[n];
-        for (revision, key, record) in self.log.iter().filter(|(r, _, _)| *r > controller.followed) {
+    pub fn sync_controller(&mut self, controller_index: usize) {
+        let controller = &mut self.controllers[controller_index];
+        for (revision, key, record) in
+            self.log.iter().filter(|(revision, _, _)| *revision > controller.applied_revision)
+        {
             match record {
-                Record::Epoch(epoch) if *key == Key::Epoch(host(n)) => {
+                Record::Epoch(epoch) if *key == Key::Epoch(host(controller_index)) => {
                     controller.spender.apply_epoch(Some(epoch), *revision);
                 }
                 Record::Page(page) => {
-                    if let Some(grant) = page.hosts.get(&host(n)) {
+                    if let Some(grant) = page.hosts.get(&host(controller_index)) {
                         controller.spender.apply_grant(grant);
                     }
                 }
@@ -148,22 +159,24 @@
                 _ => {}
             }
         }
-        controller.followed = self.log.last().map_or(0, |(revision, _, _)| *revision);
+        controller.applied_revision = self.log.last().map_or(0, |(revision, _, _)| *revision);
         // A page may have been written before the epoch was seen.
         for (record, _) in self.keys.values() {
             if let Record::Page(page) = record
-                && let Some(grant) = page.hosts.get(&host(n))
+                && let Some(grant) = page.hosts.get(&host(controller_index))
             {
-                self.controllers[n].spender.apply_grant(grant);
+                self.controllers[controller_index].spender.apply_grant(grant);
             }
         }
     }
 
     /// A leader's copy catches up.
-    pub fn leader_follows(&mut self, l: usize) {
+    pub fn sync_leader(&mut self, leader_index: usize) {
         let revision = self.revision();
-        let leader = &mut self.leaders[l];
-        for (revision, key, record) in self.log.iter().filter(|(r, _, _)| *r > leader.followed) {
+        let leader = &mut self.leaders[leader_index];
+        for (revision, key, record) in
+            self.log.iter().filter(|(revision, _, _)| *revision > leader.applied_revision)
+        {
             match (key, record) {
                 (Key::Epoch(host), Record::Epoch(epoch)) => {
                     leader.ledger.apply_epoch(host, Some(epoch.clone()), *revision);
@@ -171,12 +184,12 @@
                 (Key::Page(page), Record::Page(record)) => {
                     leader.ledger.apply_page(*page, Some(record.clone()), *revision);
                 }
-                (Key::Job(job), Record::Job { tag, over }) => {
+                (Key::Job(job), Record::Job { tag, finished }) => {
                     let charge = JobCharge {
                         bucket: tag.bucket.clone(),
                         charge: tag.charge,
                         tag: Some(tag.clone()),
-                        over: *over,
+                        finished: *finished,
                         accepted_at: 0.0,
                     };
                     leader.ledger.apply_job(job, &charge);
@@ -184,72 +197,93 @@
                 _ => {}
             }
         }
-        leader.followed = revision;
-        leader.ledger.followed(revision);
+        leader.applied_revision = revision;
+        leader.ledger.set_applied_revision(revision);
     }
 
     /// A leader is elected, whatever the others believe.
-    pub fn elect(&mut self, l: usize) {
+    pub fn elect(&mut self, leader_index: usize) {
         for transaction in &mut self.in_flight {
             // What it had on its way in an earlier term is void.
-            transaction.awaited &= !matches!(transaction.origin, Origin::Leader(other) if other == l);
+            transaction.awaited &=
+                !matches!(transaction.origin, Origin::Leader(other) if other == leader_index);
         }
         let revision = self.commit(vec![(Key::Leader, Record::Leader)]);
-        self.leaders[l].term = Some(revision);
+        self.leaders[leader_index].term = Some(revision);
     }
 
     /// What binds a leader's transaction to its term, if it may grant.
-    pub fn leader_condition(&self, l: usize) -> Option<(Key, u64)> {
-        let leader = &self.leaders[l];
-        let term = leader.term.filter(|term| *term <= leader.followed)?;
-        (!self.waits(l)).then_some((Key::Leader, term))
+    pub fn leader_condition(&self, leader_index: usize) -> Option<(Key, u64)> {
+        let leader = &self.leaders[leader_index];
+        let term = leader.term.filter(|term| *term <= leader.applied_revision)?;
+        (!self.has_unsettled_transaction(leader_index)).then_some((Key::Leader, term))
     }
 
     /// Whether a transaction of a leader is not settled: until then it grants nothing else.
-    fn waits(&self, l: usize) -> bool {
-        let own = |origin: &Origin| matches!(origin, Origin::Leader(other) if *other == l);
+    fn has_unsettled_transaction(&self, leader_index: usize) -> bool {
+        let own = |origin: &Origin| matches!(origin, Origin::Leader(other) if *other == leader_index);
         self.in_flight.iter().any(|transaction| transaction.awaited && own(&transaction.origin))
     }
 
     /// What a leader's copy says the versions of keys are.
-    fn leader_version(&self, l: usize, key: &Key) -> u64 {
-        let seen = self.log.iter().filter(|(r, k, _)| *r <= self.leaders[l].followed && k == key);
+    fn leader_version(&self, leader_index: usize, key: &Key) -> u64 {
+        let seen = self.log.iter().filter(|(revision, changed, _)| {
+            *revision <= self.leaders[leader_index].applied_revision && changed == key
+        });
         seen.map(|(revision, _, _)| *revision).max().unwrap_or(0)
     }
 
-    pub fn leader_commits(&mut self, l: usize, changes: Vec<(Key, Record)>) {
-        let Some(leader) = self.leader_condition(l) else { return };
+    pub fn submit_leader_transaction(&mut self, leader_index: usize, changes: Vec<(Key, Record)>) {
+        let Some(leader) = self.leader_condition(leader_index) else { return };
         let mut conditions = vec![leader];
-        conditions.extend(changes.iter().map(|(key, _)| (key.clone(), self.leader_version(l, key))));
-        self.in_flight.push(Transaction { conditions, changes, origin: Origin::Leader(l), awaited: true });
+        conditions
+            .extend(changes.iter().map(|(key, _)| (key.clone(), self.leader_version(leader_index, key))));
+        self.in_flight.push(Transaction {
+            conditions,
+            changes,
+            origin: Origin::Leader(leader_index),
+            awaited: true,
+        });
     }
 
     /// Gives a controller so much more.
-    pub fn grant(&mut self, l: usize, n: usize, work: u64) {
-        let ledger = &self.leaders[l].ledger;
-        let Some((epoch, _)) = ledger.epoch(&host(n)) else { return };
+    pub fn grant(&mut self, leader_index: usize, controller_index: usize, work: u64) {
+        let ledger = &self.leaders[leader_index].ledger;
+        let Some((epoch, _)) = ledger.epoch(&host(controller_index)) else { return };
         let mut page = ledger.pages().get(&PAGE).map(|(page, _)| page.clone()).unwrap_or_default();
-        let mut ceilings = ledger.ceilings(&host(n));
+        let mut ceilings = ledger.ceilings(&host(controller_index));
         *ceilings.entry(bucket()).or_default() += work;
-        page.hosts.insert(host(n), HostGrant { epoch: epoch.epoch, ceilings });
-        self.leader_commits(l, vec![(Key::Page(PAGE), Record::Page(page))]);
+        page.hosts.insert(host(controller_index), HostGrant { epoch: epoch.epoch, ceilings });
+        self.submit_leader_transaction(leader_index, vec![(Key::Page(PAGE), Record::Page(page))]);
     }
 
     /// Ends a controller's epoch, for whatever process it has now.
-    pub fn end_epoch(&mut self, l: usize, n: usize) {
-        let epoch = self.leaders[l].ledger.epoch(&host(n)).map_or(0, |(record, _)| record.epoch) + 1;
-        let record = EpochRecord { identity: self.controllers[n].identity.clone(), epoch, least: 1 };
-        self.leader_commits(l, vec![(Key::Epoch(host(n)), Record::Epoch(record))]);
+    pub fn end_epoch(&mut self, leader_index: usize, controller_index: usize) {
+        let epoch = self.leaders[leader_index]
+            .ledger
+            .epoch(&host(controller_index))
+            .map_or(0, |(record, _)| record.epoch)
+            + 1;
+        let record = EpochRecord {
+            identity: self.controllers[controller_index].identity.clone(),
+            epoch,
+            min_charge: 1,
+        };
+        self.submit_leader_transaction(
+            leader_index,
+            vec![(Key::Epoch(host(controller_index)), Record::Epoch(record))],
+        );
     }
 
     /// A user submits a job at a controller.
-    pub fn submit(&mut self, n: usize, job: &str, charge: u64) {
-        let controller = &mut self.controllers[n];
+    pub fn submit(&mut self, controller_index: usize, job: &str, charge: u64) {
+        let controller = &mut self.controllers[controller_index];
         let Ok(spending) = controller.spender.spend(job, &bucket(), charge) else { return };
         let identity = controller.identity.clone();
-        let conditions = vec![(Key::Job(job.into()), 0), (Key::Epoch(host(n)), spending.epoch_version)];
-        let record = Record::Job { tag: spending.tag.clone(), over: false };
-        let origin = Origin::Submission { host: n, identity, job: job.into(), spending };
+        let conditions =
+            vec![(Key::Job(job.into()), 0), (Key::Epoch(host(controller_index)), spending.epoch_version)];
+        let record = Record::Job { tag: spending.tag.clone(), finished: false };
+        let origin = Origin::Submission { host: controller_index, identity, job: job.into(), spending };
         let changes = vec![(Key::Job(job.into()), record)];
         self.in_flight.push(Transaction { conditions, changes, origin, awaited: true });
     }
@@ -257,8 +291,8 @@
     /// All tasks of a job complete.
     pub fn finish(&mut self, job: &str) {
         let key = Key::Job(job.into());
-        if let Some((Record::Job { tag, over: false }, _)) = self.keys.get(&key).cloned() {
-            self.commit(vec![(key, Record::Job { tag, over: true })]);
+        if let Some((Record::Job { tag, finished: false }, _)) = self.keys.get(&key).cloned() {
+            self.commit(vec![(key, Record::Job { tag, finished: true })]);
         }
     }
 
@@ -273,38 +307,41 @@
 
     /// A transaction reaches the state service; its origin hears of it unless it has
     /// given up, or the answer is lost.
-    pub fn deliver(&mut self, n: usize, heard: bool, again: bool) {
-        let transaction = self.in_flight[n].clone();
-        if again {
-            self.in_flight[n].awaited = false;
+    pub fn deliver(&mut self, transaction_index: usize, answered: bool, resent: bool) {
+        let transaction = self.in_flight[transaction_index].clone();
+        if resent {
+            self.in_flight[transaction_index].awaited = false;
         } else {
-            self.in_flight.remove(n);
+            self.in_flight.remove(transaction_index);
         }
         if let Origin::Leader(_) = transaction.origin
             && transaction.awaited
-            && !heard
+            && !answered
         {
             // Its outcome is unknown: it is tried again.
             self.in_flight.push(transaction.clone());
         }
-        let holds = transaction.conditions.iter().all(|(key, version)| self.version(key) == *version);
-        if holds {
+        let conditions_hold =
+            transaction.conditions.iter().all(|(key, version)| self.version(key) == *version);
+        if conditions_hold {
             self.commit(transaction.changes.clone());
         }
         if transaction.awaited {
-            let settlement = match (heard, holds) {
+            let settlement = match (answered, conditions_hold) {
                 (false, _) => Settlement::Unknown,
                 (true, true) => Settlement::Committed,
-                (true, false) => Settlement::NotMade,
+                (true, false) => Settlement::NotCommitted,
             };
             self.settle(&transaction.origin, settlement);
         }
     }
 
     /// A transaction's origin gives up waiting; it may yet be carried out.
-    pub fn give_up(&mut self, n: usize) {
-        let origin = self.in_flight[n].origin.clone();
-        if matches!(origin, Origin::Submission { .. }) && std::mem::take(&mut self.in_flight[n].awaited) {
+    pub fn give_up(&mut self, transaction_index: usize) {
+        let origin = self.in_flight[transaction_index].origin.clone();
+        if matches!(origin, Origin::Submission { .. })
+            && std::mem::take(&mut self.in_flight[transaction_index].awaited)
+        {
             self.settle(&origin, Settlement::Unknown);
         }
     }
@@ -318,12 +355,13 @@
     }
 
     /// Outstanding work and credit, by the keys alone.
-    pub fn committed(&self) -> u64 {
+    pub fn committed_total(&self) -> u64 {
         let jobs = self.keys.values().filter_map(|(record, _)| match record {
-            Record::Job { tag, over } => Some((tag, *over)),
+            Record::Job { tag, finished } => Some((tag, *finished)),
             _ => None,
         });
-        let outstanding: u64 = jobs.clone().filter(|(_, over)| !over).map(|(tag, _)| tag.charge).sum();
+        let outstanding: u64 =
+            jobs.clone().filter(|(_, finished)| !finished).map(|(tag, _)| tag.charge).sum();
         let mut credit = 0;
         for (key, (record, _)) in &self.keys {
             let (Key::Epoch(host), Record::Epoch(epoch)) = (key, record) else { continue };
@@ -344,16 +382,17 @@
             _ => None,
         });
         let mut ceilings = BTreeMap::new();
-        for (bucket, ceiling) in pages.filter(|grant| grant.epoch == epoch).flat_map(|g| &g.ceilings) {
+        for (bucket, ceiling) in pages.filter(|grant| grant.epoch == epoch).flat_map(|grant| &grant.ceilings)
+        {
             let known: &mut u64 = ceilings.entry(bucket.clone()).or_default();
             *known = (*known).max(*ceiling);
         }
         ceilings
     }
 
-    pub fn check(&self) {
-        let committed = self.committed();
-        assert!(committed <= self.limit, "{committed} of {}: {self:#?}", self.limit);
+    pub fn check_limit(&self) {
+        let committed_total = self.committed_total();
+        assert!(committed_total <= self.limit, "{committed_total} of {}: {self:#?}", self.limit);
     }
 
     /// What decides what can come next, for the exploration.
--- a/crates/dapplecroft-admission/tests/demand.rs
+++ b/crates/dapplecroft-admission/tests/demand.rs
@@ -1,6 +1,6 @@
 //! Demand is counted as distinct jobs, in bounded memory.
 
-use dapplecroft_admission::demand::{DemandBook, KEPT, Sketch, WINDOW, job_hash};
+use dapplecroft_admission::demand::{DEMAND_WINDOW, DemandTracker, SKETCH_CAPACITY, Sketch, job_hash};
 use dapplecroft_admission::{Bucket, BucketDemand};
 use std::time::{Duration, Instant};
 
@@ -8,18 +8,18 @@
     Bucket::new("vision", "train", false)
 }
 
-fn demand_of(book: &mut DemandBook, now: Instant) -> BucketDemand {
-    book.demand(now).remove(&bucket()).unwrap_or_default()
+fn demand_of(tracker: &mut DemandTracker, now: Instant) -> BucketDemand {
+    tracker.current_demand(now).remove(&bucket()).unwrap_or_default()
 }
 
 #[test]
-fn asking_again_adds_nothing_here_or_elsewhere() {
+fn repeated_refusals_count_once_across_controllers() {
     let now = Instant::now();
-    let (mut here, mut there) = (DemandBook::default(), DemandBook::default());
+    let (mut here, mut there) = (DemandTracker::default(), DemandTracker::default());
     for _ in 0..50 {
         for job in 0..10 {
-            here.refused(&format!("run-{job}"), &bucket(), 7, now);
-            there.refused(&format!("run-{job}"), &bucket(), 7, now);
+            here.record_refusal(&format!("run-{job}"), &bucket(), 7, now);
+            there.record_refusal(&format!("run-{job}"), &bucket(), 7, now);
         }
     }
     let mut all = demand_of(&mut here, now);
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn many_jobs_are_estimated_from_a_few() {
+fn large_demand_is_estimated_from_a_bounded_sketch() {
     let now = Instant::now();
-    let mut book = DemandBook::default();
-    (0..20_000).for_each(|job| book.refused(&format!("run-{job}"), &bucket(), 5, now));
-    let demand = demand_of(&mut book, now);
-    assert!(demand.sketch.parts().0.len() <= KEPT);
+    let mut tracker = DemandTracker::default();
+    (0..20_000).for_each(|job| tracker.record_refusal(&format!("run-{job}"), &bucket(), 5, now));
+    let demand = demand_of(&mut tracker, now);
+    assert!(demand.sketch.to_parts().0.len() <= SKETCH_CAPACITY);
     let count = demand.sketch.count();
     assert!((12_000..30_000).contains(&count), "{count}");
 }
 
 #[test]
-fn a_sketch_of_two_halves_is_that_of_the_whole() {
+fn merged_overlapping_sketches_equal_the_sketch_of_all_jobs() {
     let sketch = |jobs: std::ops::Range<u32>| {
         let mut sketch = Sketch::default();
         jobs.for_each(|job| sketch.add(job_hash(&format!("run-{job}")), 3));
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn what_is_accepted_or_no_longer_asked_for_is_not_wanted() {
+fn accepted_and_expired_jobs_leave_the_demand() {
     let now = Instant::now();
-    let mut book = DemandBook::default();
-    book.refused("run-1", &bucket(), 5, now);
-    book.refused("run-2", &bucket(), 9, now);
-    assert_eq!(demand_of(&mut book, now).largest.map(|job| job.id), Some("run-2".into()));
-    book.accepted("run-2", &bucket());
-    assert_eq!(demand_of(&mut book, now).sketch.work(), 5);
-    assert!(book.demand(now + 2 * WINDOW + Duration::from_secs(1)).is_empty());
+    let mut tracker = DemandTracker::default();
+    tracker.record_refusal("run-1", &bucket(), 5, now);
+    tracker.record_refusal("run-2", &bucket(), 9, now);
+    assert_eq!(demand_of(&mut tracker, now).largest.map(|job| job.id), Some("run-2".into()));
+    tracker.record_acceptance("run-2", &bucket());
+    assert_eq!(demand_of(&mut tracker, now).sketch.work(), 5);
+    assert!(tracker.current_demand(now + 2 * DEMAND_WINDOW + Duration::from_secs(1)).is_empty());
 }
--- a/crates/dapplecroft-admission/tests/settings.rs
+++ b/crates/dapplecroft-admission/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that can't be are refused by a line that names the value.
 
 use dapplecroft_admission::settings::{Platform, PlatformTeam, RawClass, RawTeam};
-use dapplecroft_admission::{RawAdmission, SettingsError};
+use dapplecroft_admission::{RawAdmissionConfig, SettingsError};
 
 fn platform() -> Platform {
     let team = |name: &str, cpus| PlatformTeam { name: name.into(), guaranteed_cpus: cpus };
@@ -12,25 +12,25 @@
     RawTeam { name: name.into(), weight: Some(weight), ..RawTeam::default() }
 }
 
-fn error_of(raw: RawAdmission) -> String {
+fn error_of(raw: RawAdmissionConfig) -> String {
     raw.resolve(&platform()).map_or_else(|error| error.to_string(), |_| String::from("accepted"))
 }
 
 #[test]
-fn defaults_follow_from_the_platform() {
-    let admission = RawAdmission::default().resolve(&platform()).unwrap();
+fn defaults_derive_from_the_platform() {
+    let admission = RawAdmissionConfig::default().resolve(&platform()).unwrap();
     assert_eq!(admission.limit(0.0), 400 * 300);
     assert_eq!(admission.limit(1000.0), 1000 * 300);
     assert_eq!(admission.teams["b"].weight, 300.0);
-    assert!(admission.largest(admission.limit(0.0)) <= admission.limit(0.0));
+    assert!(admission.max_charge(admission.limit(0.0)) <= admission.limit(0.0));
 }
 
 #[test]
-fn bad_values_are_named() {
-    let with = |teams: Vec<RawTeam>| RawAdmission { teams, ..RawAdmission::default() };
+fn invalid_settings_name_the_offending_value() {
+    let with = |teams: Vec<RawTeam>| RawAdmissionConfig { teams, ..RawAdmissionConfig::default() };
     for weight in [0.0, -1.0, f64::INFINITY, f64::NAN] {
-        let said = error_of(with(vec![team("a", weight)]));
-        assert!(said.contains("weight") && said.contains("positive"), "{said}");
+        let message = error_of(with(vec![team("a", weight)]));
+        assert!(message.contains("weight") && message.contains("positive"), "{message}");
     }
     assert!(error_of(with(vec![team("a", 1.0), team("a", 2.0)])).contains("\"a\" is named twice"));
     assert!(error_of(with(vec![team("c", 1.0)])).contains("no team \"c\""));
@@ -44,15 +44,18 @@
 }
 
 #[test]
-fn a_limit_takes_a_guarantee_and_the_largest_job() {
-    let limit = |limit| RawAdmission { limit_cpu_s: Some(limit), ..RawAdmission::default() };
+fn limit_must_cover_guarantees_and_the_largest_charge() {
+    let limit = |limit| RawAdmissionConfig { limit_cpu_s: Some(limit), ..RawAdmissionConfig::default() };
     assert!(error_of(limit(200)).contains("guarantee of b"));
-    let largest = RawAdmission { largest_job_cpu_s: Some(5000), ..limit(1000) };
-    assert_eq!(largest.resolve(&platform()), Err(SettingsError::LargestJob { largest: 5000, limit: 1000 }));
-    let both = RawAdmission { work_off_s: Some(60.0), ..limit(1000) };
-    assert_eq!(both.resolve(&platform()), Err(SettingsError::TwoLimits));
+    let above_limit = RawAdmissionConfig { largest_job_cpu_s: Some(5000), ..limit(1000) };
+    assert_eq!(
+        above_limit.resolve(&platform()),
+        Err(SettingsError::MaxChargeAboveLimit { max_charge: 5000, limit: 1000 })
+    );
+    let both = RawAdmissionConfig { work_off_s: Some(60.0), ..limit(1000) };
+    assert_eq!(both.resolve(&platform()), Err(SettingsError::ConflictingLimits));
     assert!(error_of(limit(0)).contains("limit_cpu_s"));
     let empty =
         Platform { teams: vec![PlatformTeam { name: "a".into(), guaranteed_cpus: 0.0 }], ..platform() };
-    assert_eq!(RawAdmission::default().resolve(&empty), Err(SettingsError::NoCapacity));
+    assert_eq!(RawAdmissionConfig::default().resolve(&empty), Err(SettingsError::NoCapacity));
 }
--- a/crates/dapplecroft-controller/src/admission.rs
+++ b/crates/dapplecroft-controller/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::node::{Node, now};
 use crate::options::Options;
 use dapplecroft_admission::settings::{Platform, PlatformTeam};
-use dapplecroft_admission::{Admission, SettingsError, Settlement, Spending};
+use dapplecroft_admission::{AdmissionConfig, SettingsError, Settlement, Spending};
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::peer::AdmissionReply;
 use dapplecroft_wire::settings::{Params, Settings};
@@ -16,7 +16,10 @@
 
 /// What of admission is in force on a platform; none: every submission that can run is
 /// accepted.
-pub fn resolve_admission(settings: &Settings, options: &Options) -> Result<Option<Admission>, SettingsError> {
+pub fn resolve_admission(
+    settings: &Settings,
+    options: &Options,
+) -> Result<Option<AdmissionConfig>, SettingsError> {
     let params = &settings.params;
     let team = |team: &dapplecroft_wire::settings::Team| PlatformTeam {
         name: team.name.clone(),
@@ -52,7 +55,7 @@
     pub(crate) fn settle(mut self, result: &UpdateResult) {
         self.settlement = match result {
             UpdateResult::Committed(_) => Settlement::Committed,
-            UpdateResult::Conflict(_) | UpdateResult::Refused(_) => Settlement::NotMade,
+            UpdateResult::Conflict(_) | UpdateResult::Refused(_) => Settlement::NotCommitted,
             UpdateResult::Unknown(_) => Settlement::Unknown,
         };
     }
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -14,8 +14,8 @@
 use crate::options::Options;
 use crate::records::{self, JobRecord, JobStage, Key};
 use dapplecroft_admission::{
-    Admission, Bucket, CreditTag, DemandBook, EpochRecord, Footprint, GrantPage, JobCharge, Ledger,
-    MachineShape, Planner, PolicyRecord, ReservationsRecord, Spender, charge,
+    AdmissionConfig, Bucket, CreditTag, DemandTracker, EpochRecord, GrantPage, JobCharge, JobResources,
+    Ledger, Planner, PolicyRecord, ReservationsRecord, ResourceAmounts, Spender, compute_charge,
 };
 use dapplecroft_wire::settings::Settings;
 use dapplecroft_wire::state::Condition;
@@ -29,12 +29,12 @@
 pub(crate) struct CreditState {
     ledger: Ledger,
     spender: Spender,
-    demand: DemandBook,
+    demand: DemandTracker,
     planner: Planner,
     /// The classes that the users' aims name; others are counted as one.
     classes: BTreeSet<String>,
     /// What operators set, as it is in force on this platform.
-    admission: Admission,
+    admission: AdmissionConfig,
     accepted: u64,
     refused: u64,
 }
@@ -56,7 +56,7 @@
             admission,
             ledger: Ledger::default(),
             spender: Spender::new(host, identity),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             planner: Planner::default(),
             classes,
             accepted: 0,
@@ -67,7 +67,7 @@
     /// The bucket that a job's credit comes from.
     fn bucket(&self, spec: &JobSpec) -> Bucket {
         let known = self.classes.contains(&spec.class);
-        let class = if known { spec.class.as_str() } else { dapplecroft_admission::records::OTHER_CLASS };
+        let class = if known { spec.class.as_str() } else { dapplecroft_admission::records::UNLISTED_CLASS };
         Bucket::new(&spec.team, class, spec.priority < Priority::Normal)
     }
 
@@ -116,7 +116,7 @@
         let record = self.read::<GrantPage>(key, value);
         self.with_credit(|credit| match record {
             Some(record) => credit.ledger.apply_page(page, Some(record), version),
-            None => credit.ledger.note_unreadable_page(version),
+            None => credit.ledger.record_unreadable_page(version),
         });
         self.take_own_grant();
     }
@@ -145,18 +145,18 @@
         let charge = self.job_charge(record);
         self.with_credit(|credit| {
             credit.ledger.apply_job(id, &charge);
-            credit.demand.accepted(id, &charge.bucket);
+            credit.demand.record_acceptance(id, &charge.bucket);
             credit.spender.observe_job(id, charge.tag.as_ref());
         });
     }
 
     /// Notes that there is no record of a job any more: it was given back to its home cell.
     pub(super) fn note_dropped_job(&mut self, id: &str) {
-        self.with_credit(|credit| credit.ledger.drop_job(id));
+        self.with_credit(|credit| credit.ledger.remove_job(id));
     }
 
     pub(super) fn note_applied_revision(&mut self, revision: u64) {
-        self.with_credit(|credit| credit.ledger.followed(revision));
+        self.with_credit(|credit| credit.ledger.set_applied_revision(revision));
     }
 
     /// What a job is charged: what its tag says, or what its specification comes to, if
@@ -171,7 +171,7 @@
             bucket: bucket.unwrap_or_else(Bucket::shared),
             charge: tag.as_ref().map_or_else(reckoned, |tag: &CreditTag| tag.charge),
             tag,
-            over: record.spec.is_none() && record.stage != JobStage::Away,
+            finished: record.spec.is_none() && record.stage != JobStage::Away,
             accepted_at: record.at,
         }
     }
@@ -179,17 +179,22 @@
     /// What a specification is charged under the policy in force.
     fn reckoned_charge(&self, spec: &JobSpec, least: u64) -> u64 {
         let policy = self.credit.as_ref().and_then(|credit| credit.policy());
-        let (largest, limit) = policy.map_or((u64::MAX, 0), |policy| (policy.largest, policy.limit));
+        let (largest, limit) = policy.map_or((u64::MAX, 0), |policy| (policy.max_charge, policy.limit));
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let allowed = types.filter(|t| spec.types.as_ref().is_none_or(|names| names.contains(&t.name)));
-        let shapes: Vec<MachineShape> =
-            allowed.map(|t| MachineShape { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }).collect();
-        let each = MachineShape { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
+        let shapes: Vec<ResourceAmounts> =
+            allowed.map(|t| ResourceAmounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }).collect();
+        let per_task = ResourceAmounts { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
         // A service keeps its processors busy for as long as the limit looks ahead.
-        let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_of(limit));
+        let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_for_limit(limit));
         let ahead = limit as f64 / cpus.max(1.0);
         let estimate_s = if spec.is_service() { ahead } else { spec.estimate_s };
-        charge(&Footprint { tasks: spec.tasks, each, estimate_s }, shapes.iter(), least, largest)
+        compute_charge(
+            &JobResources { task_count: spec.tasks, per_task, estimate_s },
+            shapes.iter(),
+            least,
+            largest,
+        )
     }
 
     /// Whether this process can take users' submissions as far as credit goes; a new
@@ -202,9 +207,9 @@
     /// Work that waits in a bucket for credit, and what it was lately accepted a second.
     fn bucket_outlook(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
         let Some(credit) = &mut self.credit else { return (0, 0.0) };
-        let waiting = credit.demand.waiting(bucket, now);
-        let recent = credit.ledger.recent_of(bucket, wall);
-        (waiting, recent / dapplecroft_admission::ledger::RECENT.as_secs_f64())
+        let waiting = credit.demand.waiting_work(bucket, now);
+        let recent = credit.ledger.recent_work_of(bucket, wall);
+        (waiting, recent / dapplecroft_admission::ledger::RECENT_WORK_DECAY.as_secs_f64())
     }
 
     /// What proves that the copy is new: any condition that holds will do.
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -18,7 +18,7 @@
 }
 
 fn to_wants(bucket: &str, demand: &BucketDemand) -> BucketWants {
-    let (hashes, charges, cut) = demand.sketch.parts();
+    let (hashes, charges, cut) = demand.sketch.to_parts();
     BucketWants {
         bucket: bucket.to_string(),
         hashes,
@@ -42,11 +42,11 @@
     pub fn own_demand(&mut self, now: Instant) -> DemandReply {
         let identity = self.identity.clone();
         let Some(credit) = &mut self.credit else { return DemandReply::default() };
-        let buckets = credit.demand.demand(now);
+        let buckets = credit.demand.current_demand(now);
         DemandReply {
             identity,
             buckets: buckets.iter().map(|(bucket, demand)| to_wants(bucket.name(), demand)).collect(),
-            stuck: credit.spender.stuck(),
+            stuck: credit.spender.unsettled_credit(),
             accepted: credit.accepted,
             refused: credit.refused,
         }
@@ -70,11 +70,11 @@
             admission: &admission,
             controllers: self.controller_views(replies),
             term: leader.version,
-            all_know: self.live_controllers.values().all(|live| live.admission),
+            all_support_admission: self.live_controllers.values().all(|live| live.admission),
             cpus_up: self.cpus_up(),
             now,
-            wall,
-            max_value: self.limits().value,
+            unix_time_s: wall,
+            max_value_bytes: self.limits().value,
             max_changes: self.limits().changes,
         };
         let credit = self.credit.as_mut()?;
@@ -102,7 +102,7 @@
                 host: host.clone(),
                 identity: live.identity.clone(),
                 demand: wants.iter().map(|w| (w.bucket.as_str().into(), from_wants(w))).collect(),
-                stuck: reply.map_or(0, |reply| reply.stuck),
+                unsettled_credit: reply.map_or(0, |reply| reply.stuck),
             }
         };
         self.live_controllers.iter().map(view).collect()
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -62,7 +62,7 @@
     fn least_charge(&self) -> u64 {
         let credit = self.credit.as_ref();
         let epoch = credit.and_then(|credit| credit.ledger.epoch(&self.settings.host_name));
-        epoch.map_or(1, |(record, _)| record.least.max(1))
+        epoch.map_or(1, |(record, _)| record.min_charge.max(1))
     }
 
     fn spend(&mut self, spec: &JobSpec, charge: u64) -> Result<SubmissionPlan, Refusal> {
@@ -77,7 +77,7 @@
     /// A job that room was saved up for spends that, at any controller.
     fn reserved_plan(&self, id: &str) -> Option<SubmissionPlan> {
         let credit = self.credit.as_ref()?;
-        let reservation = credit.ledger.reservation(id)?;
+        let reservation = credit.ledger.unspent_reservation(id)?;
         let tag = CreditTag {
             host: String::new(),
             epoch: 0,
@@ -92,7 +92,7 @@
         let charge = self.reckoned_charge(spec, self.least_charge());
         let bucket = self.bucket_of(spec);
         if let Some(credit) = &mut self.credit {
-            credit.demand.refused(&spec.id, &bucket, charge, now);
+            credit.demand.record_refusal(&spec.id, &bucket, charge, now);
             credit.refused += 1;
         }
         let (waiting, rate) = self.bucket_outlook(&bucket, wall, now);
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -1,6 +1,6 @@
 //! Operators' own settings with their defaults.
 
-use dapplecroft_admission::RawAdmission;
+use dapplecroft_admission::RawAdmissionConfig;
 use dapplecroft_federation::Federation;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     /// The federation of cells that this one belongs to, if any.
     pub federation: Option<Federation>,
     /// Admission control; unset: every submission that can run is accepted.
-    pub admission: Option<RawAdmission>,
+    pub admission: Option<RawAdmissionConfig>,
 }
 
 impl Default for Options {
--- a/crates/dapplecroft-controller/tests/stories/overload.rs
+++ b/crates/dapplecroft-controller/tests/stories/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, job};
 use crate::credit_checker::{self, Verdict};
-use dapplecroft_admission::RawAdmission;
+use dapplecroft_admission::RawAdmissionConfig;
 use dapplecroft_controller::Options;
 use http::Method;
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
 
 /// Operators' settings with a limit of so many processor-seconds.
 pub fn options(limit: u64) -> Options {
-    let admission = RawAdmission { limit_cpu_s: Some(limit), ..RawAdmission::default() };
+    let admission = RawAdmissionConfig { limit_cpu_s: Some(limit), ..RawAdmissionConfig::default() };
     Options { admission: Some(admission), ..Options::default() }
 }
 
--- a/crates/dapplecroft/src/options/admission.rs
+++ b/crates/dapplecroft/src/options/admission.rs
@@ -2,7 +2,7 @@
 
 use super::message::{float, messages, nested, number, text};
 use dapplecroft_admission::settings::{RawClass, RawTeam};
-use dapplecroft_admission::{RawAdmission, SettingsError};
+use dapplecroft_admission::{RawAdmissionConfig, SettingsError};
 use prost_reflect::DynamicMessage;
 
 fn class(message: &DynamicMessage) -> RawClass {
@@ -20,9 +20,9 @@
 
 /// Reads what is set of admission control, if anything, and checks what can be checked
 /// without the platform's settings.
-pub(super) fn read(options: &DynamicMessage) -> Result<Option<RawAdmission>, SettingsError> {
+pub(super) fn read(options: &DynamicMessage) -> Result<Option<RawAdmissionConfig>, SettingsError> {
     let Some(message) = nested(options, "admission") else { return Ok(None) };
-    let raw = RawAdmission {
+    let raw = RawAdmissionConfig {
         work_off_s: float(&message, "work_off_s"),
         limit_cpu_s: number(&message, "limit_cpu_s"),
         least_cpus: float(&message, "least_cpus"),
