--- a/crates/dapplecroft-controller/src/cells.rs
+++ b/crates/dapplecroft-controller/src/cells.rs
@@ -4,18 +4,18 @@
 pub(crate) mod convert;
 mod status;
 
-pub use convert::{MalformedMessage, to_reply, to_transfers};
+pub use convert::{MalformedMessage, to_exchange_reply, to_exchange_request};
 
 use async_trait::async_trait;
 use dapplecroft_federation::PeerCell;
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest};
 
 /// The version of the cells' protocol that this program speaks.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The most transfers of one request.
-pub const MAX_TRANSFERS: usize = 64;
+pub const MAX_TRANSFERS_PER_REQUEST: usize = 64;
 /// The largest message between cells: as many specifications as one request holds.
-pub const MAX_MESSAGE: usize = 8 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why another cell gave no answer. None of these proves anything about a transfer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -28,13 +28,13 @@
     NotLeader,
     /// The asked cell does not take part, or speaks another version.
     #[error("speaks no version of ours")]
-    OtherVersion,
+    UnsupportedVersion,
     /// The sender is not a listed cell, or connects from elsewhere.
     #[error("not a listed cell")]
-    Unlisted,
+    UnknownSender,
     /// It is another cell, or another incarnation of it, than the one that was meant.
     #[error("another cell or incarnation")]
-    OtherCell,
+    WrongReceiver,
     /// The sender's incarnation has been replaced.
     #[error("the sender's incarnation is outdated")]
     OutdatedSender,
@@ -48,7 +48,7 @@
 
 /// Asks other cells.
 #[async_trait]
-pub trait Cells: Send + Sync {
+pub trait CellClient: Send + Sync {
     /// Asks a cell's leader.
     async fn exchange(
         &self,
@@ -59,10 +59,10 @@
 
 /// No other cells.
 #[derive(Debug, Default)]
-pub struct NoCells;
+pub struct NoCellClient;
 
 #[async_trait]
-impl Cells for NoCells {
+impl CellClient for NoCellClient {
     async fn exchange(&self, _: &PeerCell, _: ExchangeRequest) -> Result<ExchangeReply, ExchangeError> {
         Err(ExchangeError::Unreachable)
     }
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -1,9 +1,9 @@
 //! Answers to other cells: the visited cell's part of a hand-over.
 
-use super::convert::{ReceivedTransfer, from_cell, from_transfer, to_answer, to_reply};
-use super::{ExchangeError, MAX_TRANSFERS, PROTOCOL};
+use super::convert::{DecodedTransfer, from_cell, from_transfer, to_answer, to_exchange_reply};
+use super::{ExchangeError, MAX_TRANSFERS_PER_REQUEST, PROTOCOL_VERSION};
 use crate::admission::OpenSpending;
-use crate::core::{VisitPlan, VisitRequest};
+use crate::core::{IncomingTransfer, TransferPlan};
 use crate::node::{Node, now};
 use dapplecroft_admission::Spending;
 use dapplecroft_federation::{CellId, Epoch, Federation, TransferRequest, TransferState};
@@ -17,12 +17,12 @@
 use tokio::task::JoinSet;
 
 /// Requests of other cells that are worked on at a time.
-const MAX_EXCHANGES: usize = 4;
+const MAX_CONCURRENT_EXCHANGES: usize = 4;
 /// How often a request is looked at again after what it needed was committed, or was
 /// not because something else had changed.
-const MAX_STEPS: usize = 4;
+const MAX_TRANSFER_STEPS: usize = 4;
 /// How long an answer waits for commits; what is not committed by then is left out.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+const TRANSFER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
     /// Answers another cell that connects from an address.
@@ -31,52 +31,58 @@
         from: IpAddr,
         request: ExchangeRequest,
     ) -> Result<ExchangeReply, ExchangeError> {
-        let cell = self.check_exchange(from, &request)?;
-        if !self.with(|core| core.leads_federation(now())) {
+        let cell = self.validate_exchange(from, &request)?;
+        if !self.with(|core| core.may_act_for_cell(now())) {
             return Err(ExchangeError::NotLeader);
         }
         // The sender can end, and its request with it, at any moment.
         let slot = ExchangeSlot::take(&self.exchanging);
-        if slot.position >= MAX_EXCHANGES {
+        if slot.earlier >= MAX_CONCURRENT_EXCHANGES {
             return Err(ExchangeError::Busy);
         }
-        self.work_on_exchange(&cell, &request).await
+        self.handle_exchange(&cell, &request).await
     }
 
     /// Whether a request may be answered at all; returns the sender.
-    fn check_exchange(&self, from: IpAddr, request: &ExchangeRequest) -> Result<CellId, ExchangeError> {
-        let Some(federation) = &self.options.federation else { return Err(ExchangeError::OtherVersion) };
-        if request.version != PROTOCOL {
-            return Err(ExchangeError::OtherVersion);
+    fn validate_exchange(&self, from: IpAddr, request: &ExchangeRequest) -> Result<CellId, ExchangeError> {
+        let Some(federation) = &self.options.federation else {
+            return Err(ExchangeError::UnsupportedVersion);
+        };
+        if request.version != PROTOCOL_VERSION {
+            return Err(ExchangeError::UnsupportedVersion);
         }
         let cell = from_cell(request.from.as_ref())?;
         let listed = federation.peer(&cell.name).is_some_and(|peer| peer.may_connect(from));
         if !listed || cell.incarnation == 0 {
-            return Err(ExchangeError::Unlisted);
+            return Err(ExchangeError::UnknownSender);
         }
         check_receiver(federation, request)?;
-        if request.transfers.len() > MAX_TRANSFERS {
+        if request.transfers.len() > MAX_TRANSFERS_PER_REQUEST {
             return Err(ExchangeError::Malformed("too many transfers".into()));
         }
         Ok(cell)
     }
 
-    async fn work_on_exchange(
+    async fn handle_exchange(
         self: &Arc<Self>,
         cell: &CellId,
         request: &ExchangeRequest,
     ) -> Result<ExchangeReply, ExchangeError> {
-        let transfers: Vec<ReceivedTransfer> =
+        let transfers: Vec<DecodedTransfer> =
             request.transfers.iter().map(from_transfer).collect::<Result<_, _>>()?;
         let watermark = Epoch(request.watermark);
         if let Some(update) = self.with(|core| {
-            if core.watermark_frees(cell, watermark) { core.watermark_update(cell, watermark) } else { None }
+            if core.watermark_allows_pruning(cell, watermark) {
+                core.raise_watermark_update(cell, watermark)
+            } else {
+                None
+            }
         }) {
-            self.commit_for_cells(update).await;
+            self.try_commit_handover_update(update).await;
         }
         let answers = self.answer_transfers(cell, transfers).await?;
-        let summary = self.with(|core| core.cell_summary(now())).ok_or(ExchangeError::OtherVersion)?;
-        Ok(to_reply(&summary, answers))
+        let summary = self.with(|core| core.cell_summary(now())).ok_or(ExchangeError::UnsupportedVersion)?;
+        Ok(to_exchange_reply(&summary, answers))
     }
 
     /// All at once, so that they share transactions. What takes too long has no answer
@@ -84,18 +90,18 @@
     async fn answer_transfers(
         self: &Arc<Self>,
         cell: &CellId,
-        transfers: Vec<ReceivedTransfer>,
+        transfers: Vec<DecodedTransfer>,
     ) -> Result<Vec<TransferAnswer>, ExchangeError> {
-        let mut work = JoinSet::new();
+        let mut transfer_tasks = JoinSet::new();
         let mut offered_cpus = 0;
         for transfer in transfers {
-            let (node, cell, taken) = (self.clone(), cell.clone(), offered_cpus);
+            let (node, cell, promised_cpus) = (self.clone(), cell.clone(), offered_cpus);
             offered_cpus += transfer.spec.as_ref().map_or(0, |spec| {
                 Resources::new(spec.cpus, spec.gpus, spec.memory_gb).cpus * i64::from(spec.tasks)
             });
-            work.spawn(async move {
-                let answer = node.answer_transfer(&cell, &transfer, taken);
-                match tokio::time::timeout(ANSWER_TIMEOUT, answer).await {
+            transfer_tasks.spawn(async move {
+                let answer = node.answer_transfer(&cell, &transfer, promised_cpus);
+                match tokio::time::timeout(TRANSFER_ANSWER_TIMEOUT, answer).await {
                     Ok(Ok(Some(state))) => Ok(Some(to_answer(&transfer.job, transfer.epoch, state))),
                     Ok(Err(error)) => Err(error),
                     Ok(Ok(None)) | Err(_) => Ok(None),
@@ -103,7 +109,7 @@
             });
         }
         let mut answers = Vec::new();
-        while let Some(answer) = work.join_next().await {
+        while let Some(answer) = transfer_tasks.join_next().await {
             answers.extend(answer.unwrap_or(Ok(None))?);
         }
         Ok(answers)
@@ -114,28 +120,28 @@
     async fn answer_transfer(
         &self,
         cell: &CellId,
-        transfer: &ReceivedTransfer,
-        taken_cpus: i64,
+        transfer: &DecodedTransfer,
+        promised_cpus: i64,
     ) -> Result<Option<TransferState>, ExchangeError> {
-        for _ in 0..MAX_STEPS {
+        for _ in 0..MAX_TRANSFER_STEPS {
             let plan = self.with(|core| {
-                let request = VisitRequest {
+                let request = IncomingTransfer {
                     from: cell,
                     job: &transfer.job,
                     epoch: transfer.epoch,
                     request: transfer.request,
                     spec: transfer.spec.as_ref(),
-                    submitted: transfer.submitted,
+                    submitted_s: transfer.submitted_s,
                 };
-                core.visit_plan(&request, taken_cpus, now())
+                core.plan_incoming_transfer(&request, promised_cpus, now())
             });
             match plan {
-                VisitPlan::Answer(state) => return Ok(Some(state)),
-                VisitPlan::OutdatedSender => return Err(ExchangeError::OutdatedSender),
-                VisitPlan::NotNow => return Ok(None),
-                VisitPlan::Commit(update, spending) => {
-                    let wait = transfer.request == TransferRequest::Cancel;
-                    if !self.commit_step(&transfer.job, update, spending).await && !wait {
+                TransferPlan::Answer(state) => return Ok(Some(state)),
+                TransferPlan::OutdatedSender => return Err(ExchangeError::OutdatedSender),
+                TransferPlan::NoAnswer => return Ok(None),
+                TransferPlan::Commit(update, spending) => {
+                    let is_cancel = transfer.request == TransferRequest::Cancel;
+                    if !self.commit_with_spending(&transfer.job, update, spending).await && !is_cancel {
                         return Ok(None);
                     }
                 }
@@ -145,9 +151,14 @@
     }
 
     /// Commits a step of a hand-over, and settles what it spends.
-    async fn commit_step(&self, job: &str, update: AtomicUpdate, spending: Option<Spending>) -> bool {
+    async fn commit_with_spending(
+        &self,
+        job: &str,
+        update: AtomicUpdate,
+        spending: Option<Spending>,
+    ) -> bool {
         let spending = spending.map(|spending| OpenSpending::new(self, job, spending));
-        let result = self.commit_update_for_cells(update).await;
+        let result = self.commit_handover_update(update).await;
         if let Some(spending) = spending {
             spending.settle(&result);
         }
@@ -156,11 +167,11 @@
 
     /// Commits a unit of a hand-over; on a conflict the keys are read again. `false`: it
     /// is not made, or nobody knows.
-    pub(crate) async fn commit_for_cells(&self, update: AtomicUpdate) -> bool {
-        matches!(self.commit_update_for_cells(update).await, UpdateResult::Committed(_))
+    pub(crate) async fn try_commit_handover_update(&self, update: AtomicUpdate) -> bool {
+        matches!(self.commit_handover_update(update).await, UpdateResult::Committed(_))
     }
 
-    async fn commit_update_for_cells(&self, update: AtomicUpdate) -> UpdateResult {
+    async fn commit_handover_update(&self, update: AtomicUpdate) -> UpdateResult {
         let result = self.committer.commit_soon(update.clone()).await;
         match &result {
             UpdateResult::Committed(revision) => {
@@ -182,12 +193,12 @@
 /// A request that is being worked on, until it is dropped.
 struct ExchangeSlot<'a> {
     running: &'a AtomicUsize,
-    position: usize,
+    earlier: usize,
 }
 
 impl<'a> ExchangeSlot<'a> {
     fn take(running: &'a AtomicUsize) -> ExchangeSlot<'a> {
-        ExchangeSlot { running, position: running.fetch_add(1, Ordering::Relaxed) }
+        ExchangeSlot { running, earlier: running.fetch_add(1, Ordering::Relaxed) }
     }
 }
 
@@ -204,6 +215,6 @@
         None if request.transfers.is_empty() => Ok(()),
         None => Err(ExchangeError::Malformed("no receiver".into())),
         Some(to) if from_cell(Some(to)).is_ok_and(|to| to == federation.cell) => Ok(()),
-        Some(_) => Err(ExchangeError::OtherCell),
+        Some(_) => Err(ExchangeError::WrongReceiver),
     }
 }
--- a/crates/dapplecroft-controller/src/cells/convert.rs
+++ b/crates/dapplecroft-controller/src/cells/convert.rs
@@ -1,7 +1,7 @@
 //! Messages between cells as typed values.
 
-use super::{ExchangeError, PROTOCOL};
-use crate::core::AwayRequest;
+use super::{ExchangeError, PROTOCOL_VERSION};
+use crate::core::OutgoingTransfer;
 use dapplecroft_federation::summary::{Room, Summary};
 use dapplecroft_federation::{CellId, Epoch, TransferRequest, TransferState};
 use dapplecroft_sched::Resources;
@@ -16,19 +16,19 @@
 pub enum MalformedMessage {
     /// No cell is named.
     #[error("no cell")]
-    NoCell,
+    MissingCell,
     /// A transfer is of no known kind.
     #[error("unknown kind of transfer")]
-    Kind,
+    UnknownTransferKind,
     /// An id is none.
     #[error("no job id")]
-    Id,
+    InvalidJobId,
     /// An offered job can't be read.
     #[error("unreadable job: {0}")]
-    Spec(String),
+    UnreadableSpec(String),
     /// An answer is of no known kind.
     #[error("unknown state of a transfer")]
-    State,
+    UnknownTransferState,
 }
 
 impl From<MalformedMessage> for ExchangeError {
@@ -39,7 +39,7 @@
 
 /// A request about one transfer, as it was received.
 #[derive(Debug, Clone)]
-pub struct ReceivedTransfer {
+pub struct DecodedTransfer {
     /// The job.
     pub job: String,
     /// The transfer.
@@ -49,7 +49,7 @@
     /// The specification, with an offer.
     pub spec: Option<JobSpec>,
     /// Seconds since 1970 at its submission.
-    pub submitted: f64,
+    pub submitted_s: f64,
 }
 
 pub(super) fn to_cell(cell: &CellId) -> Cell {
@@ -58,18 +58,18 @@
 
 /// The cell that a message names.
 pub fn from_cell(cell: Option<&Cell>) -> Result<CellId, MalformedMessage> {
-    let cell = cell.ok_or(MalformedMessage::NoCell)?;
+    let cell = cell.ok_or(MalformedMessage::MissingCell)?;
     Ok(CellId::new(&cell.name, cell.incarnation))
 }
 
 /// A request to another cell; without a known incarnation only its summary is asked for.
-pub fn to_transfers(
+pub fn to_exchange_request(
     from: &CellId,
     to: Option<&CellId>,
     watermark: Epoch,
-    requests: Vec<AwayRequest>,
+    requests: Vec<OutgoingTransfer>,
 ) -> ExchangeRequest {
-    let transfer = |request: AwayRequest| Transfer {
+    let transfer = |request: OutgoingTransfer| Transfer {
         job: request.job.to_string(),
         epoch: request.epoch.0,
         kind: match request.request {
@@ -78,10 +78,10 @@
             TransferRequest::Cancel => TransferKind::Cancel,
         } as i32,
         spec: request.spec.and_then(|spec| serde_json::to_vec(&spec).ok()).unwrap_or_default(),
-        submitted_s: request.submitted,
+        submitted_s: request.submitted_s,
     };
     ExchangeRequest {
-        version: PROTOCOL,
+        version: PROTOCOL_VERSION,
         from: Some(to_cell(from)),
         to: to.map(to_cell),
         watermark: watermark.0,
@@ -90,28 +90,34 @@
 }
 
 /// One transfer of a request.
-pub(super) fn from_transfer(transfer: &Transfer) -> Result<ReceivedTransfer, MalformedMessage> {
+pub(super) fn from_transfer(transfer: &Transfer) -> Result<DecodedTransfer, MalformedMessage> {
     if !valid_id(&transfer.job) {
-        return Err(MalformedMessage::Id);
+        return Err(MalformedMessage::InvalidJobId);
     }
     let request = match TransferKind::try_from(transfer.kind) {
         Ok(TransferKind::Offer) => TransferRequest::Offer,
         Ok(TransferKind::Poll) => TransferRequest::Poll,
         Ok(TransferKind::Cancel) => TransferRequest::Cancel,
-        Ok(TransferKind::Unspecified) | Err(_) => return Err(MalformedMessage::Kind),
+        Ok(TransferKind::Unspecified) | Err(_) => return Err(MalformedMessage::UnknownTransferKind),
     };
     let spec = match request {
         TransferRequest::Offer => {
-            let spec = JobSpec::parse(&transfer.spec).map_err(MalformedMessage::Spec)?;
+            let spec = JobSpec::parse(&transfer.spec).map_err(MalformedMessage::UnreadableSpec)?;
             if spec.id != transfer.job {
-                return Err(MalformedMessage::Id);
+                return Err(MalformedMessage::InvalidJobId);
             }
             Some(spec)
         }
         TransferRequest::Poll | TransferRequest::Cancel => None,
     };
-    let submitted = if transfer.submitted_s.is_finite() { transfer.submitted_s } else { 0.0 };
-    Ok(ReceivedTransfer { job: transfer.job.clone(), epoch: Epoch(transfer.epoch), request, spec, submitted })
+    let submitted_s = if transfer.submitted_s.is_finite() { transfer.submitted_s } else { 0.0 };
+    Ok(DecodedTransfer {
+        job: transfer.job.clone(),
+        epoch: Epoch(transfer.epoch),
+        request,
+        spec,
+        submitted_s,
+    })
 }
 
 pub(super) fn to_answer(job: &str, epoch: Epoch, state: TransferState) -> TransferAnswer {
@@ -134,7 +140,7 @@
         Ok(TransferStateKind::Done) => TransferState::Done { done },
         Ok(TransferStateKind::Withdrawn) => TransferState::Withdrawn { done },
         Ok(TransferStateKind::Unknown) => TransferState::Unknown,
-        Ok(TransferStateKind::Unspecified) | Err(_) => return Err(MalformedMessage::State),
+        Ok(TransferStateKind::Unspecified) | Err(_) => return Err(MalformedMessage::UnknownTransferState),
     };
     Ok((Epoch(answer.epoch), state))
 }
@@ -166,7 +172,7 @@
 }
 
 /// A reply with a cell's summary.
-pub fn to_reply(summary: &Summary, answers: Vec<TransferAnswer>) -> ExchangeReply {
+pub fn to_exchange_reply(summary: &Summary, answers: Vec<TransferAnswer>) -> ExchangeReply {
     ExchangeReply {
         cell: Some(to_cell(&summary.cell)),
         answers,
@@ -178,7 +184,7 @@
 }
 
 /// The summary of a reply.
-pub fn from_reply(reply: &ExchangeReply) -> Result<Summary, MalformedMessage> {
+pub fn summary_from_reply(reply: &ExchangeReply) -> Result<Summary, MalformedMessage> {
     Ok(Summary {
         cell: from_cell(reply.cell.as_ref())?,
         up: reply.up.iter().map(from_room).collect(),
--- a/crates/dapplecroft-controller/src/cells/status.rs
+++ b/crates/dapplecroft-controller/src/cells/status.rs
@@ -11,29 +11,30 @@
         CellsReply {
             cell: federation.cell.name.clone(),
             incarnation: federation.cell.incarnation,
-            leads: self.with(|core| core.leads_federation(now())),
+            leads: self.with(|core| core.may_act_for_cell(now())),
             offers: federation.offers,
             others: self.other_cells(federation),
-            away: self.with(|core| core.away_list()),
+            away: self.with(|core| core.away_job_statuses()),
         }
     }
 
     fn other_cells(&self, federation: &Federation) -> Vec<OtherCell> {
-        let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let status = |name: &str| {
+        let saturating_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+        let cell_status = |name: &str| {
             let heard = lock(&self.summaries).heard(name, now()).map(|(cell, age)| (cell.incarnation, age));
             let (incarnation, age) = heard.unwrap_or_default();
-            let (away, visiting, kept) =
-                self.with(|core| (core.away_at(name), core.visiting_from(name), core.kept_records_of(name)));
+            let (away, hosted, retained) = self.with(|core| {
+                (core.away_job_count(name), core.hosted_job_count(name), core.retained_record_count(name))
+            });
             OtherCell {
                 name: name.to_string(),
                 incarnation,
                 heard_ms_ago: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-                away_jobs: count(away),
-                visiting_jobs: count(visiting),
-                kept_records: count(kept),
+                away_jobs: saturating_u32(away),
+                visiting_jobs: saturating_u32(hosted),
+                kept_records: saturating_u32(retained),
             }
         };
-        federation.peers.iter().map(|peer| status(&peer.name)).collect()
+        federation.peers.iter().map(|peer| cell_status(&peer.name)).collect()
     }
 }
--- a/crates/dapplecroft-controller/src/core/offers.rs
+++ b/crates/dapplecroft-controller/src/core/catalog.rs
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant};
 
 /// Records of machine types are sized as if there were so many of them.
-const MOST_CATALOG_SEGMENTS: u32 = 1000;
+const ASSUMED_CATALOG_SEGMENTS: u32 = 1000;
 
 impl Core {
     /// Takes over the machine types; returns whether the record of them is
     /// behind. Prices move all the time and are not recorded for that alone.
-    pub fn take_catalog(&mut self, catalog: Catalog) -> bool {
-        let plain = |c: &Catalog| {
-            let mut c = c.clone();
-            for machine_type in &mut c.machine_types {
+    pub fn set_catalog(&mut self, catalog: Catalog) -> bool {
+        let without_prices = |catalog: &Catalog| {
+            let mut catalog = catalog.clone();
+            for machine_type in &mut catalog.machine_types {
                 (machine_type.price, machine_type.spot_price) = (0.0, 0.0);
             }
-            c
+            catalog
         };
-        let changed = self.catalog.as_ref().is_none_or(|old| plain(old) != plain(&catalog));
+        let changed = self.catalog.as_ref().is_none_or(|old| without_prices(old) != without_prices(&catalog));
         let recorded = match self.recorded_types() {
             Some(_) => true,
             None => self.version(records::CATALOG) > 0,
@@ -57,7 +57,7 @@
         changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
-    pub(super) fn offers(&self, now: Instant) -> Vec<Offer> {
+    pub(super) fn rental_offers(&self, now: Instant) -> Vec<Offer> {
         let Some(catalog) = &self.catalog else { return Vec::new() };
         let mut offers = Vec::new();
         for machine_type in &catalog.machine_types {
@@ -88,73 +88,75 @@
 
     pub(super) fn boot_time(&self, machine_type: &str) -> Duration {
         let machine_type =
-            self.catalog.as_ref().and_then(|c| c.machine_types.iter().find(|h| h.name == machine_type));
-        Duration::from_secs_f64(machine_type.map_or(60.0, |h| h.boot_s.clamp(1.0, 3600.0)))
+            self.catalog.as_ref().and_then(|c| c.machine_types.iter().find(|t| t.name == machine_type));
+        Duration::from_secs_f64(machine_type.map_or(60.0, |t| t.boot_s.clamp(1.0, 3600.0)))
     }
 
     /// How long idle machines are kept by type and kind: two boot times for what
     /// is cheapest per CPU, and proportionally less for what costs more.
-    pub(super) fn idle_times(&self) -> BTreeMap<(String, bool), Duration> {
+    pub(super) fn idle_retention_times(&self) -> BTreeMap<(String, bool), Duration> {
         let Some(catalog) = &self.catalog else { return BTreeMap::new() };
-        let rates: Vec<((String, bool), f64, f64)> = catalog
+        let prices_per_cpu: Vec<((String, bool), f64, f64)> = catalog
             .machine_types
             .iter()
             .flat_map(|t| [(t, false, t.price), (t, true, t.spot_price)])
             .filter(|(t, _, price)| t.cpus > 0.0 && *price > 0.0)
             .map(|(t, spot, price)| ((t.name.clone(), spot), price / t.cpus, t.boot_s))
             .collect();
-        let lowest = rates.iter().map(|(_, rate, _)| *rate).fold(f64::INFINITY, f64::min);
-        rates
+        let lowest_price = prices_per_cpu.iter().map(|(_, price, _)| *price).fold(f64::INFINITY, f64::min);
+        prices_per_cpu
             .into_iter()
-            .map(|(kind, rate, boot_s)| {
-                let seconds = (boot_s * 2.0 * lowest / rate).clamp(1.0, 3600.0);
+            .map(|(kind, price, boot_s)| {
+                let seconds = (boot_s * 2.0 * lowest_price / price).clamp(1.0, 3600.0);
                 (kind, Duration::from_secs_f64(seconds))
             })
             .collect()
     }
 
     /// Machines on which replicas of services are.
-    pub(super) fn replica_machines(&self) -> BTreeSet<Arc<str>> {
-        let jobs = self.open.iter().filter_map(|id| self.open_job(id)).filter(|j| j.is_service());
-        jobs.flat_map(|j| j.placed.values().filter(|p| p.committed).map(|p| p.machine.clone())).collect()
+    pub(super) fn service_replica_machines(&self) -> BTreeSet<Arc<str>> {
+        let services = self.open.iter().filter_map(|id| self.open_job(id)).filter(|job| job.is_service());
+        services
+            .flat_map(|job| job.placed.values().filter(|p| p.committed).map(|p| p.machine.clone()))
+            .collect()
     }
 
     /// How many ordinary machines are kept up for services: they must start
     /// within seconds, and no machine boots as quickly.
-    pub(super) fn standby(&self) -> usize {
-        let expected = self.settings.expects_services() && !self.uses_legacy_layout();
-        if expected { self.options.standby_machines } else { 0 }
+    pub(super) fn standby_target(&self) -> usize {
+        let services_expected = self.settings.expects_services() && !self.uses_legacy_layout();
+        if services_expected { self.options.standby_machines } else { 0 }
     }
 
     /// The machines that are kept for that: the same ones at every node.
-    pub(super) fn standby_machines(&self) -> BTreeSet<Arc<str>> {
-        let mut names: Vec<&Arc<str>> = self
+    pub(super) fn standby_machine_ids(&self) -> BTreeSet<Arc<str>> {
+        let mut ids: Vec<&Arc<str>> = self
             .machines
             .values()
             .filter(|m| !m.spot && m.group.is_some() && m.phase == MachinePhase::Active && !m.given_up)
             .map(|m| &m.id)
             .collect();
-        names.sort_unstable();
-        names.into_iter().take(self.standby()).cloned().collect()
+        ids.sort_unstable();
+        ids.into_iter().take(self.standby_target()).cloned().collect()
     }
 
     /// The kind of machine to rent for services to come, and how many: the one
     /// that is up soonest and has an image soonest.
-    pub(super) fn standby_rental(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
-        let ordinary = |r: &PendingCapacity| if r.spot { 0 } else { r.count };
-        let there: i64 = self.coming().iter().map(ordinary).sum();
-        let missing = (self.standby() as i64 - there).max(0) as u32;
+    pub(super) fn standby_scale_out(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
+        let ordinary_count = |capacity: &PendingCapacity| if capacity.spot { 0 } else { capacity.count };
+        let existing: i64 = self.coming().iter().map(ordinary_count).sum();
+        let missing = (self.standby_target() as i64 - existing).max(0) as u32;
         let catalog = self.catalog.as_ref()?;
-        let fetch = |name: &str| {
-            let machine_type = catalog.machine_types.iter().find(|h| h.name == name);
-            1.0 / machine_type.map_or(0.0, |h| h.fetch_gb_per_s).max(0.001)
+        let fetch_s_per_gb = |name: &str| {
+            let machine_type = catalog.machine_types.iter().find(|t| t.name == name);
+            1.0 / machine_type.map_or(0.0, |t| t.fetch_gb_per_s).max(0.001)
         };
         let ordinary = offers.iter().enumerate().filter(|(_, o)| !o.spot);
-        let best = ordinary.min_by(|(_, a), (_, b)| {
-            let soon = |o: &Offer| o.boot_s + fetch(&o.machine_type);
-            soon(a).total_cmp(&soon(b))
+        let fastest = ordinary.min_by(|(_, a), (_, b)| {
+            let ready_s = |o: &Offer| o.boot_s + fetch_s_per_gb(&o.machine_type);
+            ready_s(a).total_cmp(&ready_s(b))
         });
-        best.filter(|_| missing > 0).map(|(offer, _)| ScaleOutRequest { offer, count: missing })
+        fastest.filter(|_| missing > 0).map(|(offer, _)| ScaleOutRequest { offer, count: missing })
     }
 }
 
@@ -162,7 +164,8 @@
 /// type that fits none by itself is left out.
 fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogSegment> {
     let fits = |machine_types: &[MachineType]| {
-        let segment = CatalogSegment { total: MOST_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
+        let segment =
+            CatalogSegment { total: ASSUMED_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
         stored_size(&to_value(&segment)) <= limit
     };
     let mut segments: Vec<Vec<MachineType>> = Vec::new();
--- a/crates/dapplecroft-controller/src/core/offers/tests.rs
+++ b/crates/dapplecroft-controller/src/core/catalog/tests.rs
@@ -7,7 +7,7 @@
 
 // Versions before and after a change of the code's names read each other's records.
 #[test]
-fn stored_names_of_machine_types_stay_as_they_are() {
+fn catalog_records_keep_their_stored_field_names() {
     let segment = CatalogSegment { total: 1, machine_types: vec![machine_type("m")] };
     let value = to_value(&segment);
     assert_eq!((&value["of"], &value["hulls"][0]["name"]), (&json!(1), &json!("m")));
@@ -16,17 +16,21 @@
 }
 
 #[test]
-fn machine_types_are_split_so_that_each_record_fits_a_value() {
+fn catalog_is_split_into_records_that_each_fit_the_value_limit() {
     let types: Vec<MachineType> = (0..9).map(|n| machine_type(&format!("type-{n}"))).collect();
-    let one = stored_size(&to_value(&CatalogSegment { total: 1000, machine_types: types[..1].to_vec() }));
-    let segments = catalog_segments(&types, one * 2 + 20);
+    let one_type_bytes =
+        stored_size(&to_value(&CatalogSegment { total: 1000, machine_types: types[..1].to_vec() }));
+    let segments = catalog_segments(&types, one_type_bytes * 2 + 20);
     assert!(segments.len() > 3 && segments.iter().all(|s| s.total as usize == segments.len()));
     let all: Vec<MachineType> = segments.iter().flat_map(|s| s.machine_types.clone()).collect();
     assert_eq!(all, types);
-    assert!(segments.iter().all(|s| stored_size(&to_value(s)) <= one * 2 + 20));
+    assert!(segments.iter().all(|s| stored_size(&to_value(s)) <= one_type_bytes * 2 + 20));
     // What fits no value is left out, and the others are kept.
-    let mut odd = types.clone();
-    odd[4].name = "x".repeat(one * 2 + 20);
-    let kept: usize = catalog_segments(&odd, one * 2 + 20).iter().map(|s| s.machine_types.len()).sum();
+    let mut with_oversized = types.clone();
+    with_oversized[4].name = "x".repeat(one_type_bytes * 2 + 20);
+    let kept: usize = catalog_segments(&with_oversized, one_type_bytes * 2 + 20)
+        .iter()
+        .map(|s| s.machine_types.len())
+        .sum();
     assert_eq!(kept, 8);
 }
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -209,6 +209,6 @@
 
     /// What proves that the copy is new: any condition that holds will do.
     pub fn credit_conditions(&self) -> Vec<Condition> {
-        vec![self.unchanged(records::ADMISSION_POLICY.into())]
+        vec![self.unchanged_condition(records::ADMISSION_POLICY.into())]
     }
 }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -89,7 +89,7 @@
         changes.extend(plan.pages.iter().map(|(page, grants)| set(records::grants_key(*page), grants)));
         changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS.into(), &kept)));
         let mut conditions = vec![leader];
-        conditions.extend(changes.iter().map(|change| self.unchanged(change.key().to_string())));
+        conditions.extend(changes.iter().map(|change| self.unchanged_condition(change.key().to_string())));
         AtomicUpdate { conditions, changes }
     }
 
@@ -128,8 +128,8 @@
         let lifted = PolicyRecord { in_force: false, ..policy.clone() };
         let change = set(records::ADMISSION_POLICY.into(), &lifted);
         let conditions = vec![
-            self.unchanged(records::ADMISSION_POLICY.into()),
-            self.unchanged(records::live_key(stranger)),
+            self.unchanged_condition(records::ADMISSION_POLICY.into()),
+            self.unchanged_condition(records::live_key(stranger)),
         ];
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -48,7 +48,7 @@
         }
         if !self.admission_in_force {
             // Once credit is demanded, nothing is accepted without.
-            let policy = self.unchanged(records::ADMISSION_POLICY.into());
+            let policy = self.unchanged_condition(records::ADMISSION_POLICY.into());
             return Ok(SubmissionPlan { conditions: vec![policy], ..SubmissionPlan::default() });
         }
         if let Some(plan) = self.reserved_plan(&spec.id) {
@@ -84,7 +84,7 @@
             bucket: reservation.bucket.clone(),
             charge: reservation.charge,
         };
-        let conditions = vec![self.unchanged(records::RESERVATIONS.into())];
+        let conditions = vec![self.unchanged_condition(records::RESERVATIONS.into())];
         Some(SubmissionPlan { conditions, tag: Some(tag), spending: None })
     }
 
--- a/crates/dapplecroft-controller/src/core/federation.rs
+++ b/crates/dapplecroft-controller/src/core/federation.rs
@@ -3,11 +3,11 @@
 //! that are bound to the leader's key and to all records that the decision rests on.
 
 mod home;
+mod host;
 mod status;
-mod visitor;
 
-pub use home::{AwayRequest, NotAway, OfferUpdate};
-pub use visitor::{VisitPlan, VisitRequest};
+pub use home::{NotAway, OfferUpdate, OutgoingTransfer};
+pub use host::{IncomingTransfer, TransferPlan};
 
 use crate::records;
 use dapplecroft_federation::{CellId, Epoch, Origin, RefusalRecord, WatermarkRecord};
@@ -19,17 +19,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct FederationState {
     /// Jobs here that other cells answer for.
-    pub visits: BTreeMap<Arc<str>, Origin>,
+    pub hosted_jobs: BTreeMap<Arc<str>, Origin>,
     /// Transfers from other cells that were refused or given back, by cell, incarnation
     /// and job.
     refusals: BTreeMap<(String, u64, String), RefusalRecord>,
     /// What other cells have finished.
     watermarks: BTreeMap<String, WatermarkRecord>,
     /// How many offers this leader has made.
-    offers: u64,
+    offer_count: u64,
     /// Offers of this leader whose transaction may still be carried out: the version of
     /// the job's record that they are bound to, and the epoch.
-    unsettled: BTreeMap<Arc<str>, (u64, Epoch)>,
+    pending_offers: BTreeMap<Arc<str>, (u64, Epoch)>,
 }
 
 impl FederationState {
@@ -56,8 +56,8 @@
 
     /// A new leader: transactions of earlier ones fail on the leader's key.
     pub(super) fn begin_term(&mut self) {
-        self.offers = 0;
-        self.unsettled.clear();
+        self.offer_count = 0;
+        self.pending_offers.clear();
     }
 
     fn watermark(&self, cell: &str) -> WatermarkRecord {
@@ -68,13 +68,13 @@
 impl super::Core {
     /// Whether this process may act for its cell towards others: as leader whose copy
     /// has caught up, once every member can read the records of hand-overs.
-    pub fn leads_federation(&self, now: std::time::Instant) -> bool {
+    pub fn may_act_for_cell(&self, now: std::time::Instant) -> bool {
         self.options.federation.is_some() && !self.uses_legacy_layout() && self.leads(now)
     }
 
     /// Whether another cell answers for a job that is here.
-    pub fn is_visiting(&self, id: &str) -> bool {
-        self.federation.visits.contains_key(id)
+    pub fn is_hosted(&self, id: &str) -> bool {
+        self.federation.hosted_jobs.contains_key(id)
     }
 
     pub(in crate::core) fn leader_condition(&self) -> Option<Condition> {
@@ -82,7 +82,7 @@
         Some(Condition { key: records::LEADER.into(), version })
     }
 
-    pub(in crate::core) fn unchanged(&self, key: String) -> Condition {
+    pub(in crate::core) fn unchanged_condition(&self, key: String) -> Condition {
         let version = self.version(&key);
         Condition { key, version }
     }
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -20,14 +20,14 @@
 use std::time::{Duration, Instant};
 
 /// Bytes of a value that are kept for what is noted of a job later on.
-const NOTES: usize = 300;
+const RECORD_GROWTH_BYTES: usize = 300;
 
 /// For so long nothing is allocated of a job that is to be given back.
-const RETURN_HOLD: Duration = Duration::from_secs(5);
+const RETURN_ALLOCATION_PAUSE: Duration = Duration::from_secs(5);
 
 /// What follows from a request of another cell.
 #[derive(Debug, Clone)]
-pub enum VisitPlan {
+pub enum TransferPlan {
     /// It is answered.
     Answer(TransferState),
     /// This is committed first; then the request is looked at again. Credit that it
@@ -36,12 +36,12 @@
     /// It is an incarnation that has been replaced.
     OutdatedSender,
     /// Nothing can be said now.
-    NotNow,
+    NoAnswer,
 }
 
 /// A request of another cell about one job.
 #[derive(Debug, Clone)]
-pub struct VisitRequest<'a> {
+pub struct IncomingTransfer<'a> {
     /// The job's home cell.
     pub from: &'a CellId,
     /// The job.
@@ -53,22 +53,22 @@
     /// The specification, with an offer.
     pub spec: Option<&'a JobSpec>,
     /// Seconds since 1970 at its submission, with an offer.
-    pub submitted: f64,
+    pub submitted_s: f64,
 }
 
 /// How many bytes of a value are left for a visiting job's own fields.
-fn fits_value(value: &serde_json::Value, limit: usize) -> bool {
-    stored_size(value) + NOTES <= limit
+fn fits_record_limit(value: &serde_json::Value, limit: usize) -> bool {
+    stored_size(value) + RECORD_GROWTH_BYTES <= limit
 }
 
-fn visiting_record(request: &VisitRequest, spec: JobSpec) -> JobRecord {
+fn hosted_job_record(request: &IncomingTransfer, spec: JobSpec) -> JobRecord {
     JobRecord {
         stage: JobStage::Visiting,
         tasks: spec.tasks,
         allocated: BTreeMap::new(),
         legacy_done: Default::default(),
         done: None,
-        at: request.submitted,
+        at: request.submitted_s,
         spec: Some(spec),
         away: None,
         origin: Some(Origin { cell: request.from.clone(), epoch: request.epoch }),
@@ -77,7 +77,7 @@
 }
 
 impl OpenJob {
-    fn visit_state(&self) -> TransferState {
+    fn hosted_job_state(&self) -> TransferState {
         let running = self.placed.values().filter(|p| p.committed).count();
         let done = self.done.len();
         match self.record.stage {
@@ -89,12 +89,14 @@
 }
 
 impl Core {
-    fn visit(&self, job: &str) -> Visit {
-        let origin = self.federation.visits.get(job).cloned();
+    fn hosted_job(&self, job: &str) -> Visit {
+        let origin = self.federation.hosted_jobs.get(job).cloned();
         match (self.jobs.get(job), origin) {
             (None, _) => Visit::Absent,
             (Some(_), None) | (Some(Job::Away(_)), _) => Visit::Foreign,
-            (Some(Job::Open(open)), Some(origin)) => Visit::Present { origin, state: open.visit_state() },
+            (Some(Job::Open(open)), Some(origin)) => {
+                Visit::Present { origin, state: open.hosted_job_state() }
+            }
             (Some(Job::Final { stage: JobStage::Done, done }), Some(origin)) => {
                 Visit::Present { origin, state: TransferState::Done { done: *done } }
             }
@@ -104,12 +106,17 @@
         }
     }
 
-    /// What to do about a request of another cell. `taken_cpus` are those of jobs that
+    /// What to do about a request of another cell. `promised_cpus` are those of jobs that
     /// were accepted and are not in the copy yet.
-    pub fn visit_plan(&mut self, request: &VisitRequest, taken_cpus: i64, now: Instant) -> VisitPlan {
+    pub fn plan_incoming_transfer(
+        &mut self,
+        request: &IncomingTransfer,
+        promised_cpus: i64,
+        now: Instant,
+    ) -> TransferPlan {
         let (from, job) = (request.from, request.job);
         let known = Known {
-            job: self.visit(job),
+            job: self.hosted_job(job),
             refused: self
                 .federation
                 .refusals
@@ -117,37 +124,37 @@
                 .copied(),
             watermark: self.federation.watermark(&from.name),
         };
-        let room = request.spec.is_some_and(|spec| self.has_room_for_visitor(spec, taken_cpus, now));
-        let update = match on_request(&known, from, request.epoch, request.request, room) {
-            VisitorStep::Answer(state) => return VisitPlan::Answer(state),
-            VisitorStep::OutdatedSender => return VisitPlan::OutdatedSender,
+        let can_host = request.spec.is_some_and(|spec| self.can_host(spec, promised_cpus, now));
+        let update = match on_request(&known, from, request.epoch, request.request, can_host) {
+            VisitorStep::Answer(state) => return TransferPlan::Answer(state),
+            VisitorStep::OutdatedSender => return TransferPlan::OutdatedSender,
             VisitorStep::Accept => return self.accept_plan(request),
             VisitorStep::Refuse => self.refuse_update(request),
-            VisitorStep::Withdraw => self.withdraw_visit_update(request),
+            VisitorStep::Withdraw => self.cancel_hosted_job_update(request),
         };
-        update.map_or(VisitPlan::NotNow, |update| VisitPlan::Commit(update, None))
+        update.map_or(TransferPlan::NoAnswer, |update| TransferPlan::Commit(update, None))
     }
 
     /// The conditions of any change that a request brings: everything that the decision
     /// rests on is as it was.
-    fn visit_conditions(&self, from: &CellId, job: &str) -> Option<Vec<Condition>> {
+    fn transfer_conditions(&self, from: &CellId, job: &str) -> Option<Vec<Condition>> {
         Some(vec![
             self.leader_condition()?,
-            self.unchanged(records::job_key(job)),
-            self.unchanged(records::refusal_key(&from.name, from.incarnation, job)),
-            self.unchanged(records::watermark_key(&from.name)),
+            self.unchanged_condition(records::job_key(job)),
+            self.unchanged_condition(records::refusal_key(&from.name, from.incarnation, job)),
+            self.unchanged_condition(records::watermark_key(&from.name)),
         ])
     }
 
     /// A job of another cell is admitted as a user's is, by the leader's own credit.
-    fn accept_plan(&mut self, request: &VisitRequest) -> VisitPlan {
-        let Some(spec) = request.spec else { return VisitPlan::NotNow };
-        let record = visiting_record(request, spec.clone());
-        if !fits_value(&self.job_value(&record), self.limits().value) {
+    fn accept_plan(&mut self, request: &IncomingTransfer) -> TransferPlan {
+        let Some(spec) = request.spec else { return TransferPlan::NoAnswer };
+        let record = hosted_job_record(request, spec.clone());
+        if !fits_record_limit(&self.job_value(&record), self.limits().value) {
             return self.refuse_plan(request);
         }
-        let Some(mut conditions) = self.visit_conditions(request.from, request.job) else {
-            return VisitPlan::NotNow;
+        let Some(mut conditions) = self.transfer_conditions(request.from, request.job) else {
+            return TransferPlan::NoAnswer;
         };
         let Ok(admitted) = self.admit(spec) else {
             tracing::debug!(job = request.job, from = %request.from, "no credit for a job of another cell");
@@ -157,21 +164,22 @@
         let key = records::job_key(request.job);
         let value = self.job_value(&JobRecord { credit: admitted.tag, ..record });
         let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        VisitPlan::Commit(update, admitted.spending)
+        TransferPlan::Commit(update, admitted.spending)
     }
 
-    fn refuse_plan(&self, request: &VisitRequest) -> VisitPlan {
-        self.refuse_update(request).map_or(VisitPlan::NotNow, |update| VisitPlan::Commit(update, None))
+    fn refuse_plan(&self, request: &IncomingTransfer) -> TransferPlan {
+        self.refuse_update(request)
+            .map_or(TransferPlan::NoAnswer, |update| TransferPlan::Commit(update, None))
     }
 
-    fn refuse_update(&self, request: &VisitRequest) -> Option<AtomicUpdate> {
-        let conditions = self.visit_conditions(request.from, request.job)?;
-        let change = refusal(request.from, request.job, request.epoch);
+    fn refuse_update(&self, request: &IncomingTransfer) -> Option<AtomicUpdate> {
+        let conditions = self.transfer_conditions(request.from, request.job)?;
+        let change = refusal_change(request.from, request.job, request.epoch);
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
 
-    fn withdraw_visit_update(&self, request: &VisitRequest) -> Option<AtomicUpdate> {
-        let conditions = self.visit_conditions(request.from, request.job)?;
+    fn cancel_hosted_job_update(&self, request: &IncomingTransfer) -> Option<AtomicUpdate> {
+        let conditions = self.transfer_conditions(request.from, request.job)?;
         let (record, _) = self.cancelled_job_record(request.job)?;
         let key = records::job_key(request.job);
         let value = self.job_value(&record);
@@ -179,21 +187,21 @@
     }
 
     /// Processors of other cells' jobs that are not over.
-    fn visiting_cpus(&self) -> i64 {
-        let open = self.federation.visits.keys().filter_map(|id| self.open_job(id));
-        open.filter(|job| job.is_open())
+    fn hosted_cpus(&self) -> i64 {
+        let jobs = self.federation.hosted_jobs.keys().filter_map(|id| self.open_job(id));
+        jobs.filter(|job| job.is_open())
             .map(|job| job.requirements.resources.cpus * i64::from(job.left()))
             .sum()
     }
 
     /// Processors that other cells' jobs may still ask for: a share of what is up and of
     /// what one more rental would bring, as far as is known.
-    fn welcome_cpus(&self, now: Instant) -> i64 {
+    fn hosting_headroom_cpus(&self, now: Instant) -> i64 {
         let share = self.options.federation.as_ref().map_or(0.0, |f| f.visitors_share);
-        let up: i64 = self.machines.values().filter(|m| m.seems_open()).map(|m| m.capacity.cpus).sum();
-        let rentable = self.offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
-        let all = up + rentable * i64::from(MAX_RENT);
-        (all as f64 * share) as i64 - self.visiting_cpus()
+        let active: i64 = self.machines.values().filter(|m| m.seems_open()).map(|m| m.capacity.cpus).sum();
+        let rentable = self.rental_offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
+        let total = active + rentable * i64::from(MAX_RENT);
+        (total as f64 * share) as i64 - self.hosted_cpus()
     }
 
     fn backlog_cpus(&self) -> i64 {
@@ -202,35 +210,35 @@
 
     /// Whether this cell wants to take a job of another one: it could run here, nothing
     /// of this cell's own work waits for room, and the part for visitors is not used up.
-    fn has_room_for_visitor(&self, spec: &JobSpec, taken_cpus: i64, now: Instant) -> bool {
-        let Some(book) = self.teams.get(&spec.team) else { return false };
+    fn can_host(&self, spec: &JobSpec, promised_cpus: i64, now: Instant) -> bool {
+        let Some(team) = self.teams.get(&spec.team) else { return false };
         let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let cpus = resources.cpus * i64::from(spec.tasks);
-        if spec.is_service() || spec.one_zone || spec.spread || book.headroom(&resources) == 0 {
+        let job_cpus = resources.cpus * i64::from(spec.tasks);
+        if spec.is_service() || spec.one_zone || spec.spread || team.headroom(&resources) == 0 {
             return false;
         }
-        if self.backlog_cpus() > 0 || self.welcome_cpus(now) - taken_cpus < cpus {
+        if self.backlog_cpus() > 0 || self.hosting_headroom_cpus(now) - promised_cpus < job_cpus {
             return false;
         }
-        let summary_rooms = self.rooms_up();
-        let rentable = self.rooms_rentable(now);
+        let active = self.active_machine_rooms();
+        let rentable = self.rentable_machine_rooms(now);
         let allowed = |room: &Room| {
             spec.types.as_ref().is_none_or(|names| names.contains(&room.machine_type))
                 && spec.zone.as_ref().is_none_or(|zone| *zone == room.zone)
                 && (spec.spot || !room.spot)
         };
-        let mut rooms = summary_rooms.iter().chain(&rentable).filter(|room| allowed(room));
+        let mut rooms = active.iter().chain(&rentable).filter(|room| allowed(room));
         rooms.any(|room| resources.fits(&room.free))
     }
 
-    fn rooms_up(&self) -> Vec<Room> {
-        type Kind<'a> = (&'a str, &'a str, bool, i64, i64, i64);
-        let mut kinds: BTreeMap<Kind, Room> = BTreeMap::new();
+    fn active_machine_rooms(&self) -> Vec<Room> {
+        type RoomKey<'a> = (&'a str, &'a str, bool, i64, i64, i64);
+        let mut rooms: BTreeMap<RoomKey, Room> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.seems_open()) {
             let free = machine.room();
-            let kind =
+            let key =
                 (&*machine.machine_type, &*machine.zone, machine.spot, free.cpus, free.gpus, free.memory);
-            let room = kinds.entry(kind).or_insert_with(|| Room {
+            let room = rooms.entry(key).or_insert_with(|| Room {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
@@ -240,11 +248,11 @@
             });
             room.count += 1;
         }
-        kinds.into_values().collect()
+        rooms.into_values().collect()
     }
 
-    fn rooms_rentable(&self, now: Instant) -> Vec<Room> {
-        let offers = self.offers(now).into_iter();
+    fn rentable_machine_rooms(&self, now: Instant) -> Vec<Room> {
+        let offers = self.rental_offers(now).into_iter();
         let room = |offer: dapplecroft_sched::Offer| Room {
             machine_type: offer.machine_type,
             zone: offer.zone,
@@ -260,35 +268,35 @@
     pub fn cell_summary(&self, now: Instant) -> Option<Summary> {
         Some(Summary {
             cell: self.own_cell()?.clone(),
-            up: self.rooms_up(),
-            rentable: self.rooms_rentable(now),
+            up: self.active_machine_rooms(),
+            rentable: self.rentable_machine_rooms(now),
             backlog_cpus: self.backlog_cpus(),
-            welcome_cpus: self.welcome_cpus(now),
+            welcome_cpus: self.hosting_headroom_cpus(now),
         })
     }
 
     /// Jobs of other cells that have waited here too long and of which, as far as the copy
     /// shows, nothing was ever started.
-    fn overdue_visits(&self, now: Instant) -> Vec<Arc<str>> {
+    fn overdue_hosted_jobs(&self, now: Instant) -> Vec<Arc<str>> {
         let Some(federation) = &self.options.federation else { return Vec::new() };
         let overdue = |job: &OpenJob| {
             job.record.stage == JobStage::Visiting
                 && now.saturating_duration_since(job.learned) >= federation.return_after
                 && job.has_not_started()
         };
-        let visits = self.federation.visits.keys();
-        visits.filter(|id| self.open_job(id).is_some_and(overdue)).cloned().collect()
+        let hosted = self.federation.hosted_jobs.keys();
+        hosted.filter(|id| self.open_job(id).is_some_and(overdue)).cloned().collect()
     }
 
     /// Takes back what is allocated of jobs that are to be given back, and allocates nothing
     /// of them for a while. A placement rests on an allocation and does not change the
     /// job's record: only once none is left, and the copy has caught up with that, is it
     /// known that nothing was placed.
-    pub fn prepare_returns(&mut self, now: Instant) {
-        for id in self.overdue_visits(now) {
+    pub fn revoke_allocations_for_returns(&mut self, now: Instant) {
+        for id in self.overdue_hosted_jobs(now) {
             let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
             let Some(job) = self.open_job_mut(&id) else { continue };
-            job.not_before = job.not_before.max(Some(now + RETURN_HOLD));
+            job.not_before = job.not_before.max(Some(now + RETURN_ALLOCATION_PAUSE));
             if in_flight || !job.allocating.is_empty() || job.record.allocated.is_empty() {
                 continue;
             }
@@ -300,69 +308,72 @@
 
     /// Units that give back jobs of other cells of which nothing was ever started or is
     /// allocated. Each is bound to the job's record, as every allocation is.
-    pub fn return_updates(&self, most: usize, now: Instant) -> Vec<AtomicUpdate> {
-        let untouched =
-            |id: &Arc<str>| self.open_job(id).is_some_and(|job| job.is_untouched(self.applied_revision));
-        let due = self.overdue_visits(now).into_iter().filter(untouched).take(most);
-        due.filter_map(|id| {
-            let origin = self.federation.visits.get(&id)?;
-            let conditions = self.visit_conditions(&origin.cell, &id)?;
-            let drop = Change::Drop { key: records::job_key(&id) };
-            let changes = vec![refusal(&origin.cell, &id, origin.epoch), drop];
-            Some(AtomicUpdate { conditions, changes })
-        })
-        .collect()
+    pub fn job_return_updates(&self, limit: usize, now: Instant) -> Vec<AtomicUpdate> {
+        let safe_to_return = |id: &Arc<str>| {
+            self.open_job(id).is_some_and(|job| job.is_safe_to_transfer(self.applied_revision))
+        };
+        let returned = self.overdue_hosted_jobs(now).into_iter().filter(safe_to_return).take(limit);
+        returned
+            .filter_map(|id| {
+                let origin = self.federation.hosted_jobs.get(&id)?;
+                let conditions = self.transfer_conditions(&origin.cell, &id)?;
+                let drop_job = Change::Drop { key: records::job_key(&id) };
+                let changes = vec![refusal_change(&origin.cell, &id, origin.epoch), drop_job];
+                Some(AtomicUpdate { conditions, changes })
+            })
+            .collect()
     }
 
     /// The unit by which another cell's watermark is raised, if it tells anything new.
-    pub fn watermark_update(&self, from: &CellId, epoch: Epoch) -> Option<AtomicUpdate> {
+    pub fn raise_watermark_update(&self, from: &CellId, epoch: Epoch) -> Option<AtomicUpdate> {
         let record = self.federation.watermark(&from.name).raised(from.incarnation, epoch)?;
         let key = records::watermark_key(&from.name);
-        let conditions = vec![self.leader_condition()?, self.unchanged(key.clone())];
+        let conditions = vec![self.leader_condition()?, self.unchanged_condition(key.clone())];
         let value = serde_json::to_value(record).ok()?;
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
     /// Whether anything would be dropped if a watermark were raised.
-    pub fn watermark_frees(&self, from: &CellId, epoch: Epoch) -> bool {
+    pub fn watermark_allows_pruning(&self, from: &CellId, epoch: Epoch) -> bool {
         let Some(raised) = self.federation.watermark(&from.name).raised(from.incarnation, epoch) else {
             return false;
         };
         let refusals = self.federation.refusals.iter().filter(|((cell, _, _), _)| *cell == from.name);
-        let mut refusals = refusals.map(|((_, incarnation, _), r)| (*incarnation, r.epoch));
-        let visits = self.federation.visits.iter().filter(|(id, _)| self.is_over(id));
-        let mut visits = visits
+        let mut refusals = refusals.map(|((_, incarnation, _), refusal)| (*incarnation, refusal.epoch));
+        let final_jobs = self.federation.hosted_jobs.iter().filter(|(id, _)| self.is_final(id));
+        let mut final_jobs = final_jobs
             .filter(|(_, origin)| origin.cell.name == from.name)
             .map(|(_, origin)| (origin.cell.incarnation, origin.epoch));
-        refusals.any(|(i, e)| is_prunable(e, i, &raised)) || visits.any(|(i, e)| is_prunable(e, i, &raised))
+        refusals.any(|(incarnation, epoch)| is_prunable(epoch, incarnation, &raised))
+            || final_jobs.any(|(incarnation, epoch)| is_prunable(epoch, incarnation, &raised))
     }
 
-    pub(super) fn is_over(&self, id: &Arc<str>) -> bool {
+    pub(super) fn is_final(&self, id: &Arc<str>) -> bool {
         matches!(self.jobs.get(id), Some(Job::Final { .. }))
     }
 
     /// Units that drop what home cells have finished with, a few keys each.
-    pub fn prune_updates(&self, most: usize) -> Vec<AtomicUpdate> {
+    pub fn prune_updates(&self, limit: usize) -> Vec<AtomicUpdate> {
         let Some(leader) = self.leader_condition() else { return Vec::new() };
         let refusals = self.federation.refusals.iter().filter_map(|((cell, incarnation, job), refusal)| {
             let watermark = self.federation.watermark(cell);
             let prunable = is_prunable(refusal.epoch, *incarnation, &watermark);
             prunable.then(|| records::refusal_key(cell, *incarnation, job))
         });
-        let visits = self.federation.visits.iter().filter_map(|(id, origin)| {
+        let final_jobs = self.federation.hosted_jobs.iter().filter_map(|(id, origin)| {
             let watermark = self.federation.watermark(&origin.cell.name);
             let prunable = is_prunable(origin.epoch, origin.cell.incarnation, &watermark);
-            (prunable && self.is_over(id)).then(|| records::job_key(id))
+            (prunable && self.is_final(id)).then(|| records::job_key(id))
         });
-        let drop = |key: String| AtomicUpdate {
-            conditions: vec![leader.clone(), self.unchanged(key.clone())],
+        let drop_key = |key: String| AtomicUpdate {
+            conditions: vec![leader.clone(), self.unchanged_condition(key.clone())],
             changes: vec![Change::Drop { key }],
         };
-        refusals.chain(visits).take(most).map(drop).collect()
+        refusals.chain(final_jobs).take(limit).map(drop_key).collect()
     }
 }
 
-fn refusal(from: &CellId, job: &str, epoch: Epoch) -> Change {
+fn refusal_change(from: &CellId, job: &str, epoch: Epoch) -> Change {
     let key = records::refusal_key(&from.name, from.incarnation, job);
     let value = serde_json::json!(RefusalRecord { epoch });
     Change::Set { key, value, lease: None }
--- a/crates/dapplecroft-controller/src/core/federation/status.rs
+++ b/crates/dapplecroft-controller/src/core/federation/status.rs
@@ -16,7 +16,7 @@
 
 impl Core {
     /// Jobs of this cell that others were offered and may have, by job.
-    pub fn away_list(&self) -> Vec<AwayJob> {
+    pub fn away_job_statuses(&self) -> Vec<AwayJob> {
         let mut list: Vec<AwayJob> = self
             .away_jobs()
             .map(|(id, job, away)| AwayJob {
@@ -33,16 +33,16 @@
     }
 
     /// How many of a cell's jobs are here and not over.
-    pub fn visiting_from(&self, cell: &str) -> usize {
-        let own = self.federation.visits.iter().filter(|(_, origin)| origin.cell.name == cell);
-        own.filter(|(id, _)| !self.is_over(id)).count()
+    pub fn hosted_job_count(&self, cell: &str) -> usize {
+        let hosted = self.federation.hosted_jobs.iter().filter(|(_, origin)| origin.cell.name == cell);
+        hosted.filter(|(id, _)| !self.is_final(id)).count()
     }
 
     /// How many records of a cell's hand-overs are kept until it has finished with them:
     /// refusals, and jobs that are over.
-    pub fn kept_records_of(&self, cell: &str) -> usize {
+    pub fn retained_record_count(&self, cell: &str) -> usize {
         let refusals = self.federation.refusals.keys().filter(|(name, _, _)| name == cell).count();
-        let visits = self.federation.visits.iter().filter(|(_, origin)| origin.cell.name == cell);
-        refusals + visits.filter(|(id, _)| self.is_over(id)).count()
+        let hosted = self.federation.hosted_jobs.iter().filter(|(_, origin)| origin.cell.name == cell);
+        refusals + hosted.filter(|(id, _)| self.is_final(id)).count()
     }
 }
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A leader of a cell with one peer, and a job of that which is here.
-fn visited(allocated: Value) -> Core {
+fn core_hosting_job(allocated: Value) -> Core {
     let peer = RawPeer {
         name: "b".into(),
         endpoints: vec!["10.2.0.1:1".into()],
@@ -24,12 +24,12 @@
     core.options.federation = Some(Federation::check(&raw).unwrap());
     core.format = 2;
     core.role.leadership = Some(1);
-    core.apply("dc/j/run-1", Some(visiting(allocated)), 5, Instant::now());
+    core.apply("dc/j/run-1", Some(hosted_job_value(allocated)), 5, Instant::now());
     core.caught_up(10);
     core
 }
 
-fn visiting(allocated: Value) -> Value {
+fn hosted_job_value(allocated: Value) -> Value {
     let spec = job_record("run-1", 2, json!({}))["spec"].clone();
     json!({"s": "visiting", "n": 2, "to": allocated, "at": 0.0, "spec": spec, "or": {"c": "b", "i": 1, "e": 7}})
 }
@@ -38,28 +38,28 @@
 // been committed just before the job was given back, and would have run on while its home
 // cell started the job again.
 #[test]
-fn a_job_is_given_back_only_once_nothing_of_it_is_allocated_and_that_is_caught_up_with() {
+fn hosted_job_is_returned_only_after_the_replica_has_applied_the_revoked_allocations() {
     let later = Instant::now() + Duration::from_secs(100);
-    let mut core = visited(json!({"0": "0-1"}));
-    assert!(core.return_updates(9, later).is_empty(), "a holder may be placing it");
-    core.prepare_returns(later);
+    let mut core = core_hosting_job(json!({"0": "0-1"}));
+    assert!(core.job_return_updates(9, later).is_empty(), "a holder may be placing it");
+    core.revoke_allocations_for_returns(later);
     let job = core.open_job("run-1").unwrap();
     assert!(job.revoking.contains_key(&0) && job.not_before.is_some_and(|at| at > later));
-    core.apply("dc/j/run-1", Some(visiting(json!({}))), 12, later);
-    assert!(core.return_updates(9, later).is_empty(), "what was placed before may not be known yet");
+    core.apply("dc/j/run-1", Some(hosted_job_value(json!({}))), 12, later);
+    assert!(core.job_return_updates(9, later).is_empty(), "what was placed before may not be known yet");
     core.caught_up(12);
-    let updates = core.return_updates(9, later);
+    let updates = core.job_return_updates(9, later);
     assert_eq!(updates.len(), 1);
     let bound = updates[0].conditions.iter().any(|c| c.key == "dc/j/run-1" && c.version == 12);
     assert!(bound, "{:?}", updates[0].conditions);
 }
 
 #[test]
-fn a_job_of_which_something_was_placed_stays() {
+fn hosted_job_with_a_placed_task_is_not_returned() {
     let later = Instant::now() + Duration::from_secs(100);
-    let mut core = visited(json!({}));
+    let mut core = core_hosting_job(json!({}));
     let Some(Job::Open(open)) = core.jobs.get_mut("run-1") else { panic!("not open") };
     open.placed.insert(0, proposed("i-1", SegmentId::new(0, 0), 1, later));
-    core.prepare_returns(later);
-    assert!(core.return_updates(9, later).is_empty());
+    core.revoke_allocations_for_returns(later);
+    assert!(core.job_return_updates(9, later).is_empty());
 }
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -253,15 +253,15 @@
     fn rentals(&mut self, actions: &mut FleetActions, now: Instant) {
         let Some(leadership) = self.role.leadership else { return };
         let most = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_RENTING);
-        if (self.unplaced.is_empty() && self.standby() == 0) || self.fleet.renting.len() >= most {
+        if (self.unplaced.is_empty() && self.standby_target() == 0) || self.fleet.renting.len() >= most {
             return;
         }
         let thrift = self.options.thrift;
-        let offers = self.offers(now);
+        let offers = self.rental_offers(now);
         let machines = MAX_RENT * (most - self.fleet.renting.len()) as u32;
         let mut plan = plan_scale_out(&self.unplaced, self.coming(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
-            plan.extend(self.standby_rental(&offers));
+            plan.extend(self.standby_scale_out(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         for (request, shard) in self.fleet.renting.values() {
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -175,11 +175,11 @@
             heartbeat_interval: self.settings.heartbeat_interval(),
             lease: Duration::from_secs_f64(self.settings.params.workers.lease_s * LEASE_MARGIN),
             boot_times: machine_types.map(|m| (m.name.clone(), self.boot_time(&m.name))).collect(),
-            idle_times: self.idle_times(),
+            idle_times: self.idle_retention_times(),
             idle_return: self.options.idle_return,
-            with_replicas: self.replica_machines(),
+            with_replicas: self.service_replica_machines(),
             surplus,
-            standby: self.standby_machines(),
+            standby: self.standby_machine_ids(),
         }
     }
 
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -4,6 +4,7 @@
 
 mod allocation;
 mod capacity_usage;
+mod catalog;
 mod commit;
 mod commit_priority;
 mod commit_queue;
@@ -16,7 +17,6 @@
 mod layout;
 mod machine_phase;
 mod migration;
-mod offers;
 mod placing;
 mod preemption;
 mod record_replica;
@@ -33,7 +33,7 @@
 pub use capacity_usage::CapacityUsage;
 pub use commit::{CommitOutcome, CommitTarget, PendingCommit};
 pub use credit::{Ruling, SubmissionPlan};
-pub use federation::{AwayRequest, NotAway, OfferUpdate, VisitPlan, VisitRequest};
+pub use federation::{IncomingTransfer, NotAway, OfferUpdate, OutgoingTransfer, TransferPlan};
 pub use fleet::{FleetActions, MAX_CONSULTED};
 pub use groups::GroupUpdate;
 pub use session::{CommandEnd, HeartbeatOutcome};
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -336,15 +336,15 @@
         let id: Arc<str> = id.into();
         self.forget_job(&id);
         self.jobs.remove(&id);
-        self.federation.visits.remove(&id);
+        self.federation.hosted_jobs.remove(&id);
         self.note_dropped_job(&id);
     }
 
     fn apply_job(&mut self, id: &str, record: JobRecord, version: u64, now: Instant) {
         let id: Arc<str> = id.into();
         match &record.origin {
-            Some(origin) => self.federation.visits.insert(id.clone(), origin.clone()),
-            None => self.federation.visits.remove(&id),
+            Some(origin) => self.federation.hosted_jobs.insert(id.clone(), origin.clone()),
+            None => self.federation.hosted_jobs.remove(&id),
         };
         self.note_job_charge(&id, &record);
         if record.spec.is_none() {
--- a/crates/dapplecroft-controller/src/lib.rs
+++ b/crates/dapplecroft-controller/src/lib.rs
@@ -21,7 +21,7 @@
 mod users;
 
 pub use admission::resolve_admission;
-pub use cells::{Cells, ExchangeError, NoCells};
+pub use cells::{CellClient, ExchangeError, NoCellClient};
 pub use node::{Node, Parts, Reply};
 pub use options::Options;
 pub use peers::{NoPeers, PeerService, Peers};
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -1,8 +1,8 @@
 //! The loops of a cell's leader towards other cells: one for each cell, so that a slow one
 //! holds up no other, and one that offers jobs and gives back those of others.
 
-use crate::cells::convert::{from_answer, from_reply};
-use crate::cells::{ExchangeError, MAX_TRANSFERS, MalformedMessage, to_transfers};
+use crate::cells::convert::{from_answer, summary_from_reply};
+use crate::cells::{ExchangeError, MAX_TRANSFERS_PER_REQUEST, MalformedMessage, to_exchange_request};
 use crate::jobs::Job;
 use crate::node::{Node, Reply, lock, now};
 use crate::records;
@@ -59,10 +59,10 @@
     async fn peer_cell_loop(self: Arc<Self>, peer: PeerCell) {
         let mut state = PeerLoop::default();
         loop {
-            let away = self.with(|core| core.away_at(&peer.name));
+            let away = self.with(|core| core.away_job_count(&peer.name));
             let pause = if away > 0 { ASK_EVERY } else { SUMMARY_EVERY };
             let _ = timeout(pause, self.wake_federation.notified()).await;
-            if self.with(|core| core.leads_federation(now())) {
+            if self.with(|core| core.may_act_for_cell(now())) {
                 self.ask_cell(&peer, &mut state).await;
             }
         }
@@ -74,8 +74,10 @@
         let prepared = self.with(|core| {
             // Not more than what was agreed with the incarnation that answers now: what
             // is away at an earlier one stays away.
-            let mut requests = core.away_requests(&peer.name, state.last.as_deref(), MAX_TRANSFERS);
-            let meant = |request: &crate::core::AwayRequest| core.away_cell(&request.job) == state.cell;
+            let mut requests =
+                core.outgoing_transfers(&peer.name, state.last.as_deref(), MAX_TRANSFERS_PER_REQUEST);
+            let meant =
+                |request: &crate::core::OutgoingTransfer| core.host_cell_of(&request.job) == state.cell;
             requests.retain(meant);
             Some((core.watermark_for(&peer.name)?, requests))
         });
@@ -83,7 +85,7 @@
         if let Some(last) = requests.last() {
             state.last = Some(last.job.clone());
         }
-        let request = to_transfers(&federation.cell, state.cell.as_ref(), watermark, requests);
+        let request = to_exchange_request(&federation.cell, state.cell.as_ref(), watermark, requests);
         let exchange = self.cells.exchange(peer, request);
         let reply = timeout(EXCHANGE_TIMEOUT, exchange).await.unwrap_or(Err(ExchangeError::Unreachable));
         let taken = match reply {
@@ -101,7 +103,7 @@
             }
             Ok(()) => {}
             Err(error) => {
-                if error == ExchangeError::OtherCell {
+                if error == ExchangeError::WrongReceiver {
                     // It has another incarnation now: its summary says which.
                     state.cell = None;
                 }
@@ -120,9 +122,9 @@
         reply: ExchangeReply,
         asked: Instant,
     ) -> Result<(), MalformedMessage> {
-        let summary = from_reply(&reply)?;
+        let summary = summary_from_reply(&reply)?;
         if summary.cell.name != peer.name {
-            return Err(MalformedMessage::NoCell);
+            return Err(MalformedMessage::MissingCell);
         }
         let cell = summary.cell.clone();
         state.cell = Some(cell.clone());
@@ -138,9 +140,9 @@
         if state == TransferState::Refused {
             lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
         }
-        let update = self.with(|core| core.away_answer(job, cell, epoch, state));
+        let update = self.with(|core| core.apply_transfer_answer(job, cell, epoch, state));
         if let Some(update) = update {
-            let committed = self.commit_for_cells(update).await;
+            let committed = self.try_commit_handover_update(update).await;
             tracing::info!(job, %cell, epoch = epoch.0, ?state, committed, "a job comes home");
         }
     }
@@ -148,19 +150,19 @@
     async fn offer_loop(self: Arc<Self>, federation: Federation) {
         loop {
             sleep(OFFER_EVERY).await;
-            if !self.with(|core| core.leads_federation(now())) {
+            if !self.with(|core| core.may_act_for_cell(now())) {
                 continue;
             }
             self.offer_jobs(&federation).await;
-            self.with(|core| core.prepare_returns(now()));
-            for update in self.with(|core| core.return_updates(MAX_OFFERS, now())) {
+            self.with(|core| core.revoke_allocations_for_returns(now()));
+            for update in self.with(|core| core.job_return_updates(MAX_OFFERS, now())) {
                 let key = update.changes.last().map(|change| change.key().to_string());
-                let committed = self.commit_for_cells(update).await;
+                let committed = self.try_commit_handover_update(update).await;
                 tracing::info!(key, committed, "a job of another cell is given back");
             }
             if self.state.write_room() > PRUNE_ABOVE {
                 for update in self.with(|core| core.prune_updates(MAX_PRUNED)) {
-                    self.commit_for_cells(update).await;
+                    self.try_commit_handover_update(update).await;
                 }
             }
         }
@@ -194,16 +196,16 @@
             UpdateResult::Committed(revision) => {
                 self.with(|core| {
                     core.apply_changes(&offer.update.changes, revision, now());
-                    core.offer_settled(job);
+                    core.remove_pending_offer(job);
                 });
             }
             UpdateResult::Conflict(keys) => {
-                self.with(|core| core.offer_settled(job));
+                self.with(|core| core.remove_pending_offer(job));
                 for key in keys {
                     self.refresh(&key, || true).await;
                 }
             }
-            UpdateResult::Refused(_) => self.with(|core| core.offer_settled(job)),
+            UpdateResult::Refused(_) => self.with(|core| core.remove_pending_offer(job)),
             // It may yet be carried out: its epoch counts as used until the record that
             // it is bound to has changed.
             UpdateResult::Unknown(_) => {
@@ -217,9 +219,9 @@
     pub(crate) async fn withdraw_away(&self, id: &str) -> Reply {
         let deadline = tokio::time::Instant::now() + CANCEL_WAIT;
         loop {
-            match self.with(|core| core.away_cancellation(id)) {
+            match self.with(|core| core.cancel_away_job_update(id)) {
                 Ok(Some(update)) => {
-                    self.commit_for_cells(update).await;
+                    self.try_commit_handover_update(update).await;
                 }
                 Ok(None) => sleep(CANCEL_CHECK).await,
                 Err(_) => break,
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -204,7 +204,7 @@
         };
         // Kept so that a restart during an outage of the cloud still knows.
         let updates = self.with(|core| {
-            let behind = core.take_catalog(catalog.clone());
+            let behind = core.set_catalog(catalog.clone());
             if behind { core.catalog_updates(&catalog) } else { Vec::new() }
         });
         let mut all = true;
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -1,6 +1,6 @@
 //! One controller: the core behind a lock, its clients, and request handling.
 
-use crate::cells::Cells;
+use crate::cells::CellClient;
 use crate::core::{Core, HeartbeatOutcome, Wakeups};
 use crate::options::Options;
 use crate::peers::Peers;
@@ -37,7 +37,7 @@
     /// The other controllers.
     pub peers: Arc<dyn Peers>,
     /// Other cells.
-    pub cells: Arc<dyn Cells>,
+    pub cells: Arc<dyn CellClient>,
     /// The time of day.
     pub wall: fn() -> SystemTime,
     /// Seed of what little chance there is (who stands for election when).
@@ -93,7 +93,7 @@
     pub(crate) options: Options,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) peers: Arc<dyn Peers>,
-    pub(crate) cells: Arc<dyn Cells>,
+    pub(crate) cells: Arc<dyn CellClient>,
     pub(crate) state: Arc<StateClient>,
     pub(crate) cloud: CloudClient,
     pub(crate) committer: Committer,
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -99,7 +99,7 @@
     async fn known(self: &Arc<Self>, id: &str) -> Known {
         let key = records::job_key(id);
         let version = self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => Err(Known::OtherCell),
+            _ if core.is_hosted(id) => Err(Known::OtherCell),
             Some(Job::Open(job)) if job.is_open() => Ok(job.version),
             Some(Job::Away(job)) => Ok(job.version),
             Some(job) => Err(Known::Job(job.status(id))),
@@ -113,7 +113,7 @@
             return Known::Unavailable;
         }
         self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => Known::OtherCell,
+            _ if core.is_hosted(id) => Known::OtherCell,
             Some(job) => Known::Job(job.status(id)),
             None => Known::Nothing,
         })
@@ -319,7 +319,7 @@
             if matches!(status.stage, Stage::Done | Stage::Withdrawn) {
                 return Reply::json(200, &status);
             }
-            if self.with(|core| core.away_cell(id).is_some()) {
+            if self.with(|core| core.host_cell_of(id).is_some()) {
                 return self.withdraw_away(id).await;
             }
             let key = records::job_key(id);
--- a/crates/dapplecroft-controller/tests/stories/cells.rs
+++ b/crates/dapplecroft-controller/tests/stories/cells.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::{Cluster, Running, job};
 use async_trait::async_trait;
-use dapplecroft_controller::{Cells, ExchangeError, Options};
+use dapplecroft_controller::{CellClient, ExchangeError, Options};
 use dapplecroft_fakes::{Stay, WorkerTiming};
 use dapplecroft_federation::settings::{RawFederation, RawPeer};
 use dapplecroft_federation::{Federation, PeerCell};
@@ -129,7 +129,7 @@
 }
 
 #[async_trait]
-impl Cells for Port {
+impl CellClient for Port {
     async fn exchange(
         &self,
         peer: &PeerCell,
--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -1,7 +1,7 @@
 //! Three controllers with a state service, a cloud and workers, in memory.
 
 use async_trait::async_trait;
-use dapplecroft_controller::{Cells, NoCells, Node, Options, Parts, PeerService, Peers, Reply};
+use dapplecroft_controller::{CellClient, NoCellClient, Node, Options, Parts, PeerService, Peers, Reply};
 use dapplecroft_fakes::{
     Action, FakeCloud, FakeState, Handler, InvariantChecker, Net, Rule, Told, WorkerTiming,
 };
@@ -82,7 +82,7 @@
     pub nodes: usize,
     running: Running,
     /// How other cells are reached.
-    pub cells: Mutex<Arc<dyn Cells>>,
+    pub cells: Mutex<Arc<dyn CellClient>>,
     /// Controllers cut off from all others.
     pub apart: Apart,
     loops: Mutex<BTreeMap<String, JoinHandle<()>>>,
@@ -222,7 +222,7 @@
             options,
             nodes: size,
             running: Arc::default(),
-            cells: Mutex::new(Arc::new(NoCells)),
+            cells: Mutex::new(Arc::new(NoCellClient)),
             apart: Arc::default(),
             loops: Mutex::default(),
             own_options: Mutex::default(),
--- a/crates/dapplecroft-controller/tests/stories/federation.rs
+++ b/crates/dapplecroft-controller/tests/stories/federation.rs
@@ -386,15 +386,15 @@
         change(&mut request);
         request
     };
-    let unlisted = ExchangeError::Unlisted;
+    let unlisted = ExchangeError::UnknownSender;
     let malformed = |error: &ExchangeError| matches!(error, ExchangeError::Malformed(_));
     for (from, request, expected) in [
         (elsewhere, good.clone(), unlisted.clone()),
         (listed, with(&|r| r.from = own("cell-x.example.org", 1)), unlisted.clone()),
         (listed, with(&|r| r.from = own(NAMES[0], 0)), unlisted),
-        (listed, with(&|r| r.to = own(NAMES[away], 2)), ExchangeError::OtherCell),
-        (listed, with(&|r| r.to = own(NAMES[0], 1)), ExchangeError::OtherCell),
-        (listed, with(&|r| r.version = 2), ExchangeError::OtherVersion),
+        (listed, with(&|r| r.to = own(NAMES[away], 2)), ExchangeError::WrongReceiver),
+        (listed, with(&|r| r.to = own(NAMES[0], 1)), ExchangeError::WrongReceiver),
+        (listed, with(&|r| r.version = 2), ExchangeError::UnsupportedVersion),
     ] {
         assert_eq!(c.links.deliver_from(from, away, request).await.unwrap_err(), expected);
     }
--- a/crates/dapplecroft/src/cells.rs
+++ b/crates/dapplecroft/src/cells.rs
@@ -1,7 +1,7 @@
 //! The gRPC protocol between cells over TCP.
 
-use dapplecroft_controller::cells::MAX_MESSAGE;
-use dapplecroft_controller::{Cells, ExchangeError, Node};
+use dapplecroft_controller::cells::MAX_MESSAGE_BYTES;
+use dapplecroft_controller::{CellClient, ExchangeError, Node};
 use dapplecroft_federation::PeerCell;
 use dapplecroft_wire::cells::cells_client::CellsClient;
 use dapplecroft_wire::cells::cells_server::{Cells as CellsProtocol, CellsServer};
@@ -66,11 +66,13 @@
 }
 
 fn client_of(channel: Channel) -> CellsClient<Channel> {
-    CellsClient::new(channel).max_decoding_message_size(MAX_MESSAGE).max_encoding_message_size(MAX_MESSAGE)
+    CellsClient::new(channel)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES)
 }
 
 #[tonic::async_trait]
-impl Cells for GrpcCells {
+impl CellClient for GrpcCells {
     async fn exchange(
         &self,
         peer: &PeerCell,
@@ -99,9 +101,9 @@
     let text = error.to_string();
     match error {
         ExchangeError::NotLeader => Status::failed_precondition(text),
-        ExchangeError::OtherVersion => Status::unimplemented(text),
-        ExchangeError::Unlisted => Status::permission_denied(text),
-        ExchangeError::OtherCell => Status::aborted(OTHER_CELL),
+        ExchangeError::UnsupportedVersion => Status::unimplemented(text),
+        ExchangeError::UnknownSender => Status::permission_denied(text),
+        ExchangeError::WrongReceiver => Status::aborted(OTHER_CELL),
         ExchangeError::OutdatedSender => Status::aborted(OUTDATED),
         ExchangeError::Malformed(_) => Status::invalid_argument(text),
         ExchangeError::Busy => Status::resource_exhausted(text),
@@ -112,10 +114,10 @@
 fn from_status(status: &Status) -> ExchangeError {
     match status.code() {
         Code::FailedPrecondition => ExchangeError::NotLeader,
-        Code::Unimplemented => ExchangeError::OtherVersion,
-        Code::PermissionDenied => ExchangeError::Unlisted,
+        Code::Unimplemented => ExchangeError::UnsupportedVersion,
+        Code::PermissionDenied => ExchangeError::UnknownSender,
         Code::Aborted if status.message() == OUTDATED => ExchangeError::OutdatedSender,
-        Code::Aborted => ExchangeError::OtherCell,
+        Code::Aborted => ExchangeError::WrongReceiver,
         Code::InvalidArgument | Code::OutOfRange => ExchangeError::Malformed(status.message().to_string()),
         Code::ResourceExhausted => ExchangeError::Busy,
         _ => ExchangeError::Unreachable,
@@ -139,8 +141,8 @@
 pub async fn serve(node: Arc<Node>, listen: Option<SocketAddr>) -> Result<(), tonic::transport::Error> {
     let Some(listen) = listen else { return std::future::pending().await };
     let service = CellsServer::new(CellService(node))
-        .max_decoding_message_size(MAX_MESSAGE)
-        .max_encoding_message_size(MAX_MESSAGE);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let mut server = Server::builder().timeout(TIMEOUT * 2).max_concurrent_streams(MAX_STREAMS);
     server.add_service(service).serve(listen).await
 }
--- a/crates/dapplecroft/src/cells/tests.rs
+++ b/crates/dapplecroft/src/cells/tests.rs
@@ -5,9 +5,9 @@
     for error in [
         ExchangeError::Unreachable,
         ExchangeError::NotLeader,
-        ExchangeError::OtherVersion,
-        ExchangeError::Unlisted,
-        ExchangeError::OtherCell,
+        ExchangeError::UnsupportedVersion,
+        ExchangeError::UnknownSender,
+        ExchangeError::WrongReceiver,
         ExchangeError::OutdatedSender,
         ExchangeError::Busy,
     ] {
