--- a/crates/dapplecroft-controller/src/cells.rs
+++ b/crates/dapplecroft-controller/src/cells.rs
@@ -1,4 +1,5 @@
-//! What cells ask of each other, and how it is answered.
+//! The exchange protocol between cells: message conversion, the client trait and the answers
+//! to other cells.
 
 mod answer;
 pub(crate) mod convert;
@@ -10,46 +11,50 @@
 use dapplecroft_federation::PeerCell;
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest};
 
-/// The version of the cells' protocol that this program speaks.
+/// Version of the exchange protocol that this program uses; requests of other versions are
+/// rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The most transfers of one request.
+/// Maximum number of transfers in one request.
 pub const MAX_TRANSFERS_PER_REQUEST: usize = 64;
-/// The largest message between cells: as many specifications as one request holds.
+/// Maximum size of a message between cells. It must hold the job specifications of
+/// [`MAX_TRANSFERS_PER_REQUEST`] offers.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why another cell gave no answer. None of these proves anything about a transfer.
+/// Reasons why an exchange with another cell failed. None of them tells whether that cell has
+/// accepted or refused a transfer. The texts are sent to the other cell.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// None of its controllers could be reached, or answered in time.
+    /// No controller of the cell could be reached or answered in time.
     #[error("not reached")]
     Unreachable,
-    /// The asked controller does not lead its cell; another one may.
+    /// The controller that received the request does not lead its cell; another one may.
     #[error("not the leader")]
     NotLeader,
-    /// The asked cell does not take part, or speaks another version.
+    /// The receiving cell belongs to no federation, or uses another version of the protocol.
     #[error("speaks no version of ours")]
     UnsupportedVersion,
-    /// The sender is not a listed cell, or connects from elsewhere.
+    /// The sender is not configured as a peer, or connects from an address outside the peer's
+    /// networks.
     #[error("not a listed cell")]
     UnknownSender,
-    /// It is another cell, or another incarnation of it, than the one that was meant.
+    /// The request is addressed to another cell, or to another incarnation of this cell.
     #[error("another cell or incarnation")]
     WrongReceiver,
-    /// The sender's incarnation has been replaced.
+    /// A newer incarnation of the sending cell is known.
     #[error("the sender's incarnation is outdated")]
     OutdatedSender,
-    /// The message can't be understood, or is too large.
+    /// The message is invalid or too large.
     #[error("malformed: {0}")]
     Malformed(String),
-    /// Too much is asked at a time.
+    /// Too many requests of other cells are in progress.
     #[error("busy")]
     Busy,
 }
 
-/// Asks other cells.
+/// Client for requests to other cells.
 #[async_trait]
 pub trait CellClient: Send + Sync {
-    /// Asks a cell's leader.
+    /// Sends a request to the leader of a cell and returns its reply.
     async fn exchange(
         &self,
         peer: &PeerCell,
@@ -57,7 +62,7 @@
     ) -> Result<ExchangeReply, ExchangeError>;
 }
 
-/// No other cells.
+/// A client for a cell without a federation: every other cell is unreachable.
 #[derive(Debug, Default)]
 pub struct NoCellClient;
 
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to other cells: the visited cell's part of a hand-over.
+//! Answers to requests of other cells: the host cell's side of a hand-over.
 
 use super::convert::{DecodedTransfer, from_cell, from_transfer, to_answer, to_exchange_reply};
 use super::{ExchangeError, MAX_TRANSFERS_PER_REQUEST, PROTOCOL_VERSION};
@@ -16,16 +16,17 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Requests of other cells that are worked on at a time.
+/// Maximum number of requests of other cells that are handled at the same time.
 const MAX_CONCURRENT_EXCHANGES: usize = 4;
-/// How often a request is looked at again after what it needed was committed, or was
-/// not because something else had changed.
+/// Maximum number of times that one transfer is planned. It is planned again after each commit
+/// that it needs; a cancellation is also planned again after a failed commit.
 const MAX_TRANSFER_STEPS: usize = 4;
-/// How long an answer waits for commits; what is not committed by then is left out.
+/// How long a transfer's answer may wait for commits. A transfer that takes longer has no
+/// answer in the reply.
 const TRANSFER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// Answers another cell that connects from an address.
+    /// Answers a request of another cell that was received from the address `from`.
     pub async fn answer_exchange(
         self: &Arc<Self>,
         from: IpAddr,
@@ -35,7 +36,8 @@
         if !self.with(|core| core.may_act_for_cell(now())) {
             return Err(ExchangeError::NotLeader);
         }
-        // The sender can end, and its request with it, at any moment.
+        // The slot is released on drop, because this future is dropped when the sender cancels
+        // the request or disconnects.
         let slot = ExchangeSlot::take(&self.exchanging);
         if slot.earlier >= MAX_CONCURRENT_EXCHANGES {
             return Err(ExchangeError::Busy);
@@ -43,7 +45,8 @@
         self.handle_exchange(&cell, &request).await
     }
 
-    /// Whether a request may be answered at all; returns the sender.
+    /// Checks the sender, the receiver, the version and the size of a request; returns the
+    /// sender.
     fn validate_exchange(&self, from: IpAddr, request: &ExchangeRequest) -> Result<CellId, ExchangeError> {
         let Some(federation) = &self.options.federation else {
             return Err(ExchangeError::UnsupportedVersion);
@@ -63,6 +66,8 @@
         Ok(cell)
     }
 
+    /// Raises the sender's watermark if that allows records to be pruned, and answers all
+    /// transfers of the request.
     async fn handle_exchange(
         self: &Arc<Self>,
         cell: &CellId,
@@ -85,8 +90,9 @@
         Ok(to_exchange_reply(&summary, answers))
     }
 
-    /// All at once, so that they share transactions. What takes too long has no answer
-    /// in this reply; it is asked about again.
+    /// Answers all transfers of a request concurrently, so that their commits can share
+    /// transactions. A transfer that takes too long has no answer in this reply; the home cell
+    /// asks about it again.
     async fn answer_transfers(
         self: &Arc<Self>,
         cell: &CellId,
@@ -115,8 +121,8 @@
         Ok(answers)
     }
 
-    /// Commits what a request needs and looks at it again, until it can be answered from
-    /// what is committed.
+    /// Plans a transfer request, commits what the plan needs and repeats this until the
+    /// committed records suffice for an answer. `None` if the request can't be answered now.
     async fn answer_transfer(
         &self,
         cell: &CellId,
@@ -150,7 +156,8 @@
         Ok(None)
     }
 
-    /// Commits a step of a hand-over, and settles what it spends.
+    /// Commits an update of a hand-over and settles the admission credit that it spends.
+    /// Returns whether the update was committed.
     async fn commit_with_spending(
         &self,
         job: &str,
@@ -165,12 +172,14 @@
         matches!(result, UpdateResult::Committed(_))
     }
 
-    /// Commits a unit of a hand-over; on a conflict the keys are read again. `false`: it
-    /// is not made, or nobody knows.
+    /// Commits an update of a hand-over. Returns `false` if it was not committed or its outcome
+    /// is unknown.
     pub(crate) async fn try_commit_handover_update(&self, update: AtomicUpdate) -> bool {
         matches!(self.commit_handover_update(update).await, UpdateResult::Committed(_))
     }
 
+    /// Commits an update of a hand-over and applies it to the replica. After a conflict, the
+    /// conflicting keys are read again.
     async fn commit_handover_update(&self, update: AtomicUpdate) -> UpdateResult {
         let result = self.committer.commit_soon(update.clone()).await;
         match &result {
@@ -183,16 +192,17 @@
                 }
             }
             UpdateResult::Refused(error) | UpdateResult::Unknown(error) => {
-                tracing::debug!(error, "a step of a hand-over is not committed yet");
+                tracing::debug!(error, "commit of a hand-over update refused, or its outcome is unknown");
             }
         }
         result
     }
 }
 
-/// A request that is being worked on, until it is dropped.
+/// Counts a request as in progress until it is dropped.
 struct ExchangeSlot<'a> {
     running: &'a AtomicUsize,
+    /// Number of requests that were in progress when this one began.
     earlier: usize,
 }
 
@@ -208,8 +218,8 @@
     }
 }
 
-/// Whether a request is meant for this cell as it is. A request without a receiver asks
-/// for the summary alone.
+/// Checks that a request is addressed to the current incarnation of this cell. A request
+/// without a receiver asks only for the summary, so it must not contain transfers.
 fn check_receiver(federation: &Federation, request: &ExchangeRequest) -> Result<(), ExchangeError> {
     match &request.to {
         None if request.transfers.is_empty() => Ok(()),
--- a/crates/dapplecroft-controller/src/cells/convert.rs
+++ b/crates/dapplecroft-controller/src/cells/convert.rs
@@ -1,4 +1,4 @@
-//! Messages between cells as typed values.
+//! Conversion between the messages of the exchange protocol and typed values.
 
 use super::{ExchangeError, PROTOCOL_VERSION};
 use crate::core::OutgoingTransfer;
@@ -11,22 +11,22 @@
 };
 use dapplecroft_wire::users::{JobSpec, valid_id};
 
-/// What of a message can't be understood.
+/// Why a message of another cell is invalid. The texts are sent to the other cell.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// No cell is named.
+    /// The message does not name its cell, or comes from another cell than the one that was asked.
     #[error("no cell")]
     MissingCell,
-    /// A transfer is of no known kind.
+    /// The kind of a transfer is unknown.
     #[error("unknown kind of transfer")]
     UnknownTransferKind,
-    /// An id is none.
+    /// A job id is invalid, or differs from the id in the job's specification.
     #[error("no job id")]
     InvalidJobId,
-    /// An offered job can't be read.
+    /// The specification of an offered job can't be parsed.
     #[error("unreadable job: {0}")]
     UnreadableSpec(String),
-    /// An answer is of no known kind.
+    /// The state in an answer is unknown.
     #[error("unknown state of a transfer")]
     UnknownTransferState,
 }
@@ -37,18 +37,19 @@
     }
 }
 
-/// A request about one transfer, as it was received.
+/// One transfer of a received request, decoded and checked.
 #[derive(Debug, Clone)]
 pub struct DecodedTransfer {
-    /// The job.
+    /// Job id.
     pub job: String,
-    /// The transfer.
+    /// Epoch of the transfer.
     pub epoch: Epoch,
-    /// What is asked.
+    /// Kind of the request.
     pub request: TransferRequest,
-    /// The specification, with an offer.
+    /// Job specification; only present with an offer.
     pub spec: Option<JobSpec>,
-    /// Seconds since 1970 at its submission.
+    /// Time at which the user submitted the job, in seconds since the Unix epoch; 0 if the
+    /// received value is not finite.
     pub submitted_s: f64,
 }
 
@@ -56,13 +57,14 @@
     Cell { name: cell.name.clone(), incarnation: cell.incarnation }
 }
 
-/// The cell that a message names.
+/// Decodes the cell named in a message.
 pub fn from_cell(cell: Option<&Cell>) -> Result<CellId, MalformedMessage> {
     let cell = cell.ok_or(MalformedMessage::MissingCell)?;
     Ok(CellId::new(&cell.name, cell.incarnation))
 }
 
-/// A request to another cell; without a known incarnation only its summary is asked for.
+/// Encodes a request to another cell. Without `to`, while the other cell's incarnation is not
+/// known, the request asks only for that cell's summary.
 pub fn to_exchange_request(
     from: &CellId,
     to: Option<&CellId>,
@@ -89,7 +91,7 @@
     }
 }
 
-/// One transfer of a request.
+/// Decodes and checks one transfer of a request.
 pub(super) fn from_transfer(transfer: &Transfer) -> Result<DecodedTransfer, MalformedMessage> {
     if !valid_id(&transfer.job) {
         return Err(MalformedMessage::InvalidJobId);
@@ -131,7 +133,7 @@
     TransferAnswer { job: job.to_string(), epoch: epoch.0, state: kind as i32, done, running }
 }
 
-/// What a cell has answered about a transfer.
+/// Decodes another cell's answer about a transfer.
 pub fn from_answer(answer: &TransferAnswer) -> Result<(Epoch, TransferState), MalformedMessage> {
     let (done, running) = (answer.done, answer.running);
     let state = match TransferStateKind::try_from(answer.state) {
@@ -171,7 +173,7 @@
     }
 }
 
-/// A reply with a cell's summary.
+/// Encodes a reply: the summary of this cell and the answers to the request's transfers.
 pub fn to_exchange_reply(summary: &Summary, answers: Vec<TransferAnswer>) -> ExchangeReply {
     ExchangeReply {
         cell: Some(to_cell(&summary.cell)),
@@ -183,7 +185,7 @@
     }
 }
 
-/// The summary of a reply.
+/// Decodes the summary in another cell's reply.
 pub fn summary_from_reply(reply: &ExchangeReply) -> Result<Summary, MalformedMessage> {
     Ok(Summary {
         cell: from_cell(reply.cell.as_ref())?,
--- a/crates/dapplecroft-controller/src/cells/status.rs
+++ b/crates/dapplecroft-controller/src/cells/status.rs
@@ -1,11 +1,12 @@
-//! How things stand between cells, for operators.
+//! Status of the exchange with other cells, for operators.
 
 use crate::node::{Node, lock, now};
 use dapplecroft_federation::Federation;
 use dapplecroft_wire::peer::{CellsReply, OtherCell};
 
 impl Node {
-    /// What this node knows of other cells and of the jobs passed to and from them.
+    /// Returns what this controller knows of the other cells and of the jobs handed over to and
+    /// from them.
     pub fn cells_status(&self) -> CellsReply {
         let Some(federation) = &self.options.federation else { return CellsReply::default() };
         CellsReply {
--- a/crates/dapplecroft-controller/src/core/catalog.rs
+++ b/crates/dapplecroft-controller/src/core/catalog.rs
@@ -1,5 +1,5 @@
-//! The machine types: what can be rented, how long idle machines are kept, and
-//! what is kept up for services.
+//! The catalog of machine types: its records, the machines that can be rented, how long idle
+//! machines are kept, and the machines that are held ready for services.
 
 use super::Core;
 use super::fleet::MachineKind;
@@ -15,12 +15,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Records of machine types are sized as if there were so many of them.
+/// Number of catalog records that is assumed when their size is checked. Every record contains
+/// the actual number, which is known only after the split and is expected to have no more
+/// digits.
 const ASSUMED_CATALOG_SEGMENTS: u32 = 1000;
 
 impl Core {
-    /// Takes over the machine types; returns whether the record of them is
-    /// behind. Prices move all the time and are not recorded for that alone.
+    /// Replaces the catalog. Returns whether its records are missing or outdated. A change of
+    /// prices alone does not make them outdated, since prices change all the time.
     pub fn set_catalog(&mut self, catalog: Catalog) -> bool {
         let without_prices = |catalog: &Catalog| {
             let mut catalog = catalog.clone();
@@ -41,8 +43,9 @@
         changed || unrecorded
     }
 
-    /// The records of the machine types that differ from what is recorded: one
-    /// that any version reads, or as many as it takes for each to fit a value.
+    /// Returns the updates of those catalog records that differ from the stored ones. In the
+    /// legacy layout this is one record, which all versions of the program can read; otherwise
+    /// the catalog is split so that each record fits into a value.
     pub fn catalog_updates(&self, catalog: &Catalog) -> Vec<AtomicUpdate> {
         let set = |key: String, value| {
             let conditions = vec![Condition { key: key.clone(), version: self.version(&key) }];
@@ -57,6 +60,8 @@
         changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
     }
 
+    /// Kinds of machine that can be rented now: every machine type in each of its zones, as
+    /// ordinary and as spot machine, except kinds that the cloud has recently refused.
     pub(super) fn rental_offers(&self, now: Instant) -> Vec<Offer> {
         let Some(catalog) = &self.catalog else { return Vec::new() };
         let mut offers = Vec::new();
@@ -86,14 +91,17 @@
         offers
     }
 
+    /// Usual boot time of a machine type, limited to between one second and one hour; one
+    /// minute if the type is unknown.
     pub(super) fn boot_time(&self, machine_type: &str) -> Duration {
         let machine_type =
             self.catalog.as_ref().and_then(|c| c.machine_types.iter().find(|t| t.name == machine_type));
         Duration::from_secs_f64(machine_type.map_or(60.0, |t| t.boot_s.clamp(1.0, 3600.0)))
     }
 
-    /// How long idle machines are kept by type and kind: two boot times for what
-    /// is cheapest per CPU, and proportionally less for what costs more.
+    /// How long idle machines are kept before they are released, by machine type and whether
+    /// they are spot machines: two boot times for the kind with the lowest price per CPU, and
+    /// proportionally less for more expensive kinds.
     pub(super) fn idle_retention_times(&self) -> BTreeMap<(String, bool), Duration> {
         let Some(catalog) = &self.catalog else { return BTreeMap::new() };
         let prices_per_cpu: Vec<((String, bool), f64, f64)> = catalog
@@ -113,7 +121,7 @@
             .collect()
     }
 
-    /// Machines on which replicas of services are.
+    /// Machines that run at least one service replica.
     pub(super) fn service_replica_machines(&self) -> BTreeSet<Arc<str>> {
         let services = self.open.iter().filter_map(|id| self.open_job(id)).filter(|job| job.is_service());
         services
@@ -121,14 +129,15 @@
             .collect()
     }
 
-    /// How many ordinary machines are kept up for services: they must start
-    /// within seconds, and no machine boots as quickly.
+    /// Number of ordinary (non-spot) machines to hold ready for services that may be submitted.
+    /// Services must start within seconds, and no machine boots that quickly.
     pub(super) fn standby_target(&self) -> usize {
         let services_expected = self.settings.expects_services() && !self.uses_legacy_layout();
         if services_expected { self.options.standby_machines } else { 0 }
     }
 
-    /// The machines that are kept for that: the same ones at every node.
+    /// Machines that are held ready for services: the first active ordinary ones in the order
+    /// of their ids, so that every controller selects the same machines.
     pub(super) fn standby_machine_ids(&self) -> BTreeSet<Arc<str>> {
         let mut ids: Vec<&Arc<str>> = self
             .machines
@@ -140,8 +149,9 @@
         ids.into_iter().take(self.standby_target()).cloned().collect()
     }
 
-    /// The kind of machine to rent for services to come, and how many: the one
-    /// that is up soonest and has an image soonest.
+    /// Returns the kind and the number of machines to rent so that enough are held ready for
+    /// services; `None` if enough exist or are on their way. It selects the ordinary kind with
+    /// the shortest sum of the boot time and the time to fetch one gigabyte of an image.
     pub(super) fn standby_scale_out(&self, offers: &[Offer]) -> Option<ScaleOutRequest> {
         let ordinary_count = |capacity: &PendingCapacity| if capacity.spot { 0 } else { capacity.count };
         let existing: i64 = self.coming().iter().map(ordinary_count).sum();
@@ -160,8 +170,8 @@
     }
 }
 
-/// Splits machine types into records that each fit a value of `limit` bytes. A
-/// type that fits none by itself is left out.
+/// Splits machine types into records that each fit into a value of `limit` bytes. A type that
+/// is too large for a record of its own is left out.
 fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogSegment> {
     let fits = |machine_types: &[MachineType]| {
         let segment =
--- a/crates/dapplecroft-controller/src/core/catalog/tests.rs
+++ b/crates/dapplecroft-controller/src/core/catalog/tests.rs
@@ -5,7 +5,8 @@
     MachineType { name: name.into(), cpus: 16.0, memory_gb: 64.0, ..MachineType::default() }
 }
 
-// Versions before and after a change of the code's names read each other's records.
+// Guards against renaming a field in the code and thereby in the stored records, which other
+// versions of the program could then no longer read.
 #[test]
 fn catalog_records_keep_their_stored_field_names() {
     let segment = CatalogSegment { total: 1, machine_types: vec![machine_type("m")] };
@@ -25,7 +26,7 @@
     let all: Vec<MachineType> = segments.iter().flat_map(|s| s.machine_types.clone()).collect();
     assert_eq!(all, types);
     assert!(segments.iter().all(|s| stored_size(&to_value(s)) <= one_type_bytes * 2 + 20));
-    // What fits no value is left out, and the others are kept.
+    // A type that is too large for any record is left out; the others are kept.
     let mut with_oversized = types.clone();
     with_oversized[4].name = "x".repeat(one_type_bytes * 2 + 20);
     let kept: usize = catalog_segments(&with_oversized, one_type_bytes * 2 + 20)
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -1,5 +1,5 @@
-//! The home cell's part: which jobs are offered, what is away, and what an answer makes
-//! of a job's record.
+//! The home cell's side of a hand-over: selects the jobs to offer to other cells, follows
+//! the jobs that are away, and applies the answers of other cells to the jobs' records.
 
 use crate::core::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob};
@@ -14,40 +14,42 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// An offer that is to be committed before it is sent.
+/// An offer of a job to another cell. It must be committed before it is sent.
 #[derive(Debug, Clone)]
 pub struct OfferUpdate {
-    /// The job.
+    /// Id of the offered job.
     pub job: Arc<str>,
-    /// What is committed.
+    /// Transaction that marks the job as away.
     pub update: AtomicUpdate,
 }
 
-/// What to ask another cell about one job.
+/// A request to another cell about one job that is away there.
 #[derive(Debug, Clone)]
 pub struct OutgoingTransfer {
-    /// The job.
+    /// Job id.
     pub job: Arc<str>,
-    /// The transfer.
+    /// Epoch of the transfer.
     pub epoch: Epoch,
-    /// What is asked.
+    /// Kind of the request.
     pub request: TransferRequest,
-    /// The specification, if it is offered.
+    /// Job specification; only sent with an offer.
     pub spec: Option<JobSpec>,
-    /// Seconds since 1970 at its submission.
+    /// Time at which the user submitted the job, in seconds since the Unix epoch.
     pub submitted_s: f64,
 }
 
 impl OpenJob {
-    /// Whether the copy shows nothing of it on a machine, now or ever.
+    /// Whether the replica shows no sign that any of the job's tasks was ever placed: no
+    /// placement, completed task, exit, attempt or failure.
     pub(super) fn has_not_started(&self) -> bool {
         let no_tasks_recorded = self.placed.is_empty() && self.done.is_empty() && self.exits.is_empty();
         no_tasks_recorded && self.tries.is_empty() && self.completed_records.is_empty() && self.failures == 0
     }
 
-    /// Whether nothing of it was ever started, and nothing can be under its record as it
-    /// is: every placement rests on an allocation, and none is left that the copy has not
-    /// caught up with.
+    /// Whether none of the job's tasks has started or can start while its record is
+    /// unchanged, so that another cell can safely run it. A placement requires an allocation
+    /// in the record: there must be no allocation, and the replica must have applied all
+    /// changes up to the last revocation, which a placement may have preceded.
     pub(super) fn is_safe_to_transfer(&self, applied_revision: u64) -> bool {
         let not_allocated = self.record.allocated.is_empty() && self.allocating.is_empty();
         let revocations_applied =
@@ -60,7 +62,8 @@
     }
 }
 
-/// Takes room for as many of `count` tasks as there is; returns how many found some.
+/// Reserves capacity for as many tasks of a job as fit into `capacities`, and returns their
+/// number.
 fn reserve_pending_capacity(capacities: &mut Vec<PendingCapacity>, request: &Wish) -> i64 {
     let requirements = &request.requirements;
     let mut remaining = i64::from(request.tasks);
@@ -85,9 +88,10 @@
 }
 
 impl Core {
-    /// Jobs that may be offered to other cells, those that have waited the longest
-    /// first: nothing of them was ever started, and neither a machine that is up or
-    /// ordered nor one that could be rented has room for any of their tasks.
+    /// Selects up to `limit` jobs to offer to other cells, earliest submission first. Such a
+    /// job has waited for at least `spill_after`, no task of it has ever started, and none
+    /// fits on a machine that is running, has been requested or could be rented. Waiting jobs
+    /// that were submitted earlier take their part of the capacity first.
     pub fn spill_candidates(&self, limit: usize, now: Instant) -> Vec<(Arc<str>, Wish)> {
         let Some(federation) = self.options.federation.as_ref().filter(|f| f.offers) else {
             return Vec::new();
@@ -117,8 +121,10 @@
         candidates
     }
 
-    /// Whether a job is of a kind that may be passed on, and waits for room rather than
-    /// for its team's limit. One that visits is not passed on: one hop at most.
+    /// Whether a job may be handed over to another cell. It must wait for machines rather
+    /// than for its team's quota limit, and must be neither a service nor a job whose tasks
+    /// depend on each other's zones. A hosted job is never passed on, so a job moves by at
+    /// most one hop.
     fn may_be_offered(&self, id: &Arc<str>, job: &OpenJob) -> bool {
         let transferable_kind =
             job.record.stage == JobStage::Open && !job.is_service() && !job.is_constrained();
@@ -128,7 +134,9 @@
         transferable_kind && below_team_limit && !in_flight && job.is_safe_to_transfer(self.applied_revision)
     }
 
-    /// The unit by which a job is offered to a cell.
+    /// Returns the update that records the offer of a job to a cell, under a new epoch. The
+    /// offer counts as pending until [`Core::remove_pending_offer`] or a change of the job's
+    /// record.
     pub fn offer_update(&mut self, id: &Arc<str>, cell: CellId) -> Option<OfferUpdate> {
         let job = self.open_job(id).filter(|job| self.may_be_offered(id, job))?;
         let (version, record) = (job.version, job.record.clone());
@@ -144,11 +152,13 @@
         Some(OfferUpdate { job: id.clone(), update })
     }
 
-    /// Notes that the transaction of an offer will not be carried out any more, or was.
+    /// Removes an offer from the pending ones, once its transaction has either been committed
+    /// or can no longer take effect.
     pub fn remove_pending_offer(&mut self, id: &Arc<str>) {
         self.federation.pending_offers.remove(id);
     }
 
+    /// Jobs that have been offered to another cell and have not come back.
     pub(super) fn away_jobs(&self) -> impl Iterator<Item = (&Arc<str>, &AwayJob, &AwayRecord)> {
         self.jobs.iter().filter_map(|(id, job)| match job {
             Job::Away(job) => job.record.away.as_ref().map(|away| (id, job.as_ref(), away)),
@@ -156,13 +166,14 @@
         })
     }
 
-    /// How many jobs are away at a cell.
+    /// Number of jobs that are away at a cell.
     pub fn away_job_count(&self, cell: &str) -> usize {
         self.away_jobs().filter(|(_, _, away)| away.cell.name == cell).count()
     }
 
-    /// What to ask a cell about the jobs that are away there, up to `most`, those after
-    /// `last` first.
+    /// Returns up to `limit` requests to a cell about the jobs that are away there. They
+    /// start with the job that follows `last` in the order of ids and wrap around, so that
+    /// successive calls reach all jobs.
     pub fn outgoing_transfers(&self, cell: &str, last: Option<&str>, limit: usize) -> Vec<OutgoingTransfer> {
         let mut requests: Vec<OutgoingTransfer> = self
             .away_jobs()
@@ -184,13 +195,14 @@
         requests.sort_by(|a, b| a.job.cmp(&b.job));
         let start = last.map_or(0, |last| requests.partition_point(|r| &*r.job <= last));
         requests.rotate_left(start);
-        // Cancellations can't wait for their turn.
+        // Cancellations go first in every request, because users wait for them.
         requests.sort_by_key(|r| r.request != TransferRequest::Cancel);
         requests.truncate(limit);
         requests
     }
 
-    /// The incarnation of a cell at which a job is away.
+    /// The cell, with its incarnation, to which a job has been offered; `None` if the job is
+    /// not away.
     pub fn host_cell_of(&self, job: &str) -> Option<CellId> {
         match self.jobs.get(job)? {
             Job::Away(job) => job.record.away.as_ref().map(|away| away.cell.clone()),
@@ -198,10 +210,12 @@
         }
     }
 
-    /// The watermark for a cell: all transfers to it with a lower epoch are over.
+    /// Returns the watermark to send to a cell: all transfers to that cell with a lower epoch
+    /// are over.
     pub fn watermark_for(&mut self, cell: &str) -> Option<Epoch> {
         let leader_term = self.role.leadership?;
-        // An offer is settled once the record that it is bound to has changed.
+        // Once the version of the job's record differs from the one that the offer's
+        // transaction is conditional on, the transaction has either been committed or will fail.
         let resolved: Vec<Arc<str>> = self
             .federation
             .pending_offers
@@ -218,7 +232,8 @@
         Some(watermark(away.map(|(_, _, away)| away.epoch).chain(pending_offers), next))
     }
 
-    /// Takes over a cell's answer about a job; returns what has to be committed.
+    /// Processes a cell's answer about a job that is away. Returns the update to commit if
+    /// the job is open in this cell again or has ended.
     pub fn apply_transfer_answer(
         &mut self,
         job: &str,
@@ -246,8 +261,9 @@
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// The unit by which any node notes that a job which is away is to be cancelled;
-    /// `Ok(None)`: that is noted already. `Err`: it is not away.
+    /// Returns the update that marks a job which is away as being cancelled. Every controller
+    /// of the cell may commit it, not only the leader. `Ok(None)` if the record is marked
+    /// already.
     pub fn cancel_away_job_update(&self, id: &str) -> Result<Option<AtomicUpdate>, NotAway> {
         let Some(Job::Away(job)) = self.jobs.get(id) else { return Err(NotAway) };
         let Some(away) = job.record.away.as_ref().filter(|away| !away.cancelling) else { return Ok(None) };
@@ -259,6 +275,6 @@
     }
 }
 
-/// A job is not away.
+/// The job is not away at another cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotAway;
--- a/crates/dapplecroft-controller/src/core/federation/host.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -1,5 +1,6 @@
-//! The visited cell's part: what is known of a transfer, what is committed before it is
-//! answered, what is given back, and what may be forgotten.
+//! The host cell's side of a hand-over: plans the response to transfer requests of home
+//! cells, returns hosted jobs that have waited too long, and prunes records of finished
+//! transfers.
 
 use crate::core::{CommitTarget, Core};
 use crate::jobs::{Job, OpenJob};
@@ -19,44 +20,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes of a value that are kept for what is noted of a job later on.
+/// Bytes that a new hosted job's record must leave free below the size limit of a value, for
+/// fields that are added later, such as allocations.
 const RECORD_GROWTH_BYTES: usize = 300;
 
-/// For so long nothing is allocated of a job that is to be given back.
+/// How long no task of an overdue hosted job is allocated or placed after its allocations
+/// are revoked, so that the return to its home cell can be committed.
 const RETURN_ALLOCATION_PAUSE: Duration = Duration::from_secs(5);
 
-/// What follows from a request of another cell.
+/// How this cell responds to a transfer request of a home cell.
 #[derive(Debug, Clone)]
 pub enum TransferPlan {
-    /// It is answered.
+    /// Answer with this state; the committed records suffice.
     Answer(TransferState),
-    /// This is committed first; then the request is looked at again. Credit that it
-    /// spends has to be settled.
+    /// Commit this update, then plan the request again. The caller must settle the admission
+    /// credit, if any, that the update spends.
     Commit(AtomicUpdate, Option<Spending>),
-    /// It is an incarnation that has been replaced.
+    /// The sender is an incarnation of the home cell that has been replaced.
     OutdatedSender,
-    /// Nothing can be said now.
+    /// Send no answer now; the home cell asks again.
     NoAnswer,
 }
 
-/// A request of another cell about one job.
+/// A request of a home cell about one job.
 #[derive(Debug, Clone)]
 pub struct IncomingTransfer<'a> {
     /// The job's home cell.
     pub from: &'a CellId,
-    /// The job.
+    /// Job id.
     pub job: &'a str,
-    /// The transfer.
+    /// Epoch of the transfer.
     pub epoch: Epoch,
-    /// What is asked.
+    /// Kind of the request.
     pub request: TransferRequest,
-    /// The specification, with an offer.
+    /// Job specification; only present with an offer.
     pub spec: Option<&'a JobSpec>,
-    /// Seconds since 1970 at its submission, with an offer.
+    /// Time at which the user submitted the job, in seconds since the Unix epoch by the home
+    /// cell's clock; only meaningful with an offer.
     pub submitted_s: f64,
 }
 
-/// How many bytes of a value are left for a visiting job's own fields.
+/// Whether a new hosted job's record fits into a value of `limit` bytes and leaves
+/// [`RECORD_GROWTH_BYTES`] free.
 fn fits_record_limit(value: &serde_json::Value, limit: usize) -> bool {
     stored_size(value) + RECORD_GROWTH_BYTES <= limit
 }
@@ -81,7 +86,7 @@
         let running = self.placed.values().filter(|p| p.committed).count();
         let done = self.done.len();
         match self.record.stage {
-            // Its cancellation is committed: nothing of it will start.
+            // The cancellation is committed, so none of the job's tasks will start any more.
             JobStage::Withdrawn => TransferState::Withdrawn { done },
             _ => TransferState::Accepted { done, running: u32::try_from(running).unwrap_or(u32::MAX) },
         }
@@ -106,8 +111,8 @@
         }
     }
 
-    /// What to do about a request of another cell. `promised_cpus` are those of jobs that
-    /// were accepted and are not in the copy yet.
+    /// Plans the response to a request of a home cell. `promised_cpus` are the CPUs, in
+    /// thousandths, of jobs that may have been accepted but are not in the replica yet.
     pub fn plan_incoming_transfer(
         &mut self,
         request: &IncomingTransfer,
@@ -135,8 +140,8 @@
         update.map_or(TransferPlan::NoAnswer, |update| TransferPlan::Commit(update, None))
     }
 
-    /// The conditions of any change that a request brings: everything that the decision
-    /// rests on is as it was.
+    /// Conditions of every update that responds to a request: this controller still leads the
+    /// cell, and all records that the decision was based on are unchanged.
     fn transfer_conditions(&self, from: &CellId, job: &str) -> Option<Vec<Condition>> {
         Some(vec![
             self.leader_condition()?,
@@ -146,7 +151,9 @@
         ])
     }
 
-    /// A job of another cell is admitted as a user's is, by the leader's own credit.
+    /// Plans to accept an offered job. It is admitted like a user's submission and spends the
+    /// leader's own admission credit; the offer is refused if that credit or the size limit of
+    /// a value does not suffice.
     fn accept_plan(&mut self, request: &IncomingTransfer) -> TransferPlan {
         let Some(spec) = request.spec else { return TransferPlan::NoAnswer };
         let record = hosted_job_record(request, spec.clone());
@@ -157,7 +164,11 @@
             return TransferPlan::NoAnswer;
         };
         let Ok(admitted) = self.admit(spec) else {
-            tracing::debug!(job = request.job, from = %request.from, "no credit for a job of another cell");
+            tracing::debug!(
+                job = request.job,
+                from = %request.from,
+                "refusing a job offered by another cell: not enough admission credit"
+            );
             return self.refuse_plan(request);
         };
         conditions.extend(admitted.conditions);
@@ -186,7 +197,7 @@
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// Processors of other cells' jobs that are not over.
+    /// CPUs, in thousandths, that the uncompleted tasks of open hosted jobs request.
     fn hosted_cpus(&self) -> i64 {
         let jobs = self.federation.hosted_jobs.keys().filter_map(|id| self.open_job(id));
         jobs.filter(|job| job.is_open())
@@ -194,8 +205,9 @@
             .sum()
     }
 
-    /// Processors that other cells' jobs may still ask for: a share of what is up and of
-    /// what one more rental would bring, as far as is known.
+    /// CPUs, in thousandths, that further jobs of other cells may request. The limit for all
+    /// hosted jobs together is the configured share of the CPUs of the active machines plus
+    /// those that one more rental request of the largest machine type could add.
     fn hosting_headroom_cpus(&self, now: Instant) -> i64 {
         let share = self.options.federation.as_ref().map_or(0.0, |f| f.visitors_share);
         let active: i64 = self.machines.values().filter(|m| m.seems_open()).map(|m| m.capacity.cpus).sum();
@@ -204,12 +216,15 @@
         (total as f64 * share) as i64 - self.hosted_cpus()
     }
 
+    /// CPUs, in thousandths, requested by tasks that the last placement round could not place.
     fn backlog_cpus(&self) -> i64 {
         self.unplaced.iter().map(|demand| demand.requirements.resources.cpus * demand.count).sum()
     }
 
-    /// Whether this cell wants to take a job of another one: it could run here, nothing
-    /// of this cell's own work waits for room, and the part for visitors is not used up.
+    /// Whether this cell is willing to host a job of another cell: no tasks in this cell wait
+    /// for capacity, the CPU share of hosted jobs suffices, and a task fits on an active
+    /// machine or on one that could be rented. Services and jobs with placement constraints
+    /// between their tasks are not hosted.
     fn can_host(&self, spec: &JobSpec, promised_cpus: i64, now: Instant) -> bool {
         let Some(team) = self.teams.get(&spec.team) else { return false };
         let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
@@ -231,6 +246,7 @@
         rooms.any(|room| resources.fits(&room.free))
     }
 
+    /// Free capacity of the machines that take work, with equal machines grouped together.
     fn active_machine_rooms(&self) -> Vec<Room> {
         type RoomKey<'a> = (&'a str, &'a str, bool, i64, i64, i64);
         let mut rooms: BTreeMap<RoomKey, Room> = BTreeMap::new();
@@ -251,6 +267,7 @@
         rooms.into_values().collect()
     }
 
+    /// Capacity of one machine of each kind that could be rented now.
     fn rentable_machine_rooms(&self, now: Instant) -> Vec<Room> {
         let offers = self.rental_offers(now).into_iter();
         let room = |offer: dapplecroft_sched::Offer| Room {
@@ -264,7 +281,8 @@
         offers.map(room).collect()
     }
 
-    /// What this cell tells others of itself.
+    /// Summary of this cell's capacity and backlog, which is sent to other cells with every
+    /// reply; `None` if this cell does not belong to a federation.
     pub fn cell_summary(&self, now: Instant) -> Option<Summary> {
         Some(Summary {
             cell: self.own_cell()?.clone(),
@@ -275,8 +293,8 @@
         })
     }
 
-    /// Jobs of other cells that have waited here too long and of which, as far as the copy
-    /// shows, nothing was ever started.
+    /// Hosted jobs that have waited here for at least `return_after` and of which, according
+    /// to the replica, no task has ever started.
     fn overdue_hosted_jobs(&self, now: Instant) -> Vec<Arc<str>> {
         let Some(federation) = &self.options.federation else { return Vec::new() };
         let overdue = |job: &OpenJob| {
@@ -288,10 +306,10 @@
         hosted.filter(|id| self.open_job(id).is_some_and(overdue)).cloned().collect()
     }
 
-    /// Takes back what is allocated of jobs that are to be given back, and allocates nothing
-    /// of them for a while. A placement rests on an allocation and does not change the
-    /// job's record: only once none is left, and the copy has caught up with that, is it
-    /// known that nothing was placed.
+    /// Revokes the allocations of overdue hosted jobs and suspends new ones for a while, so
+    /// that these jobs can be returned. A placement requires an allocation but does not change
+    /// the job's record. It is therefore certain that no task was placed only after all
+    /// allocations are revoked and the replica has applied the revocation.
     pub fn revoke_allocations_for_returns(&mut self, now: Instant) {
         for id in self.overdue_hosted_jobs(now) {
             let in_flight = self.commits.is_in_flight(&CommitTarget::Job(id.clone()));
@@ -306,8 +324,9 @@
         }
     }
 
-    /// Units that give back jobs of other cells of which nothing was ever started or is
-    /// allocated. Each is bound to the job's record, as every allocation is.
+    /// Returns up to `limit` updates that return overdue hosted jobs, none of whose tasks has
+    /// started or is allocated. Each update is conditional on the job's record, as every
+    /// allocation is, so it conflicts with an allocation made at the same time.
     pub fn job_return_updates(&self, limit: usize, now: Instant) -> Vec<AtomicUpdate> {
         let safe_to_return = |id: &Arc<str>| {
             self.open_job(id).is_some_and(|job| job.is_safe_to_transfer(self.applied_revision))
@@ -324,7 +343,8 @@
             .collect()
     }
 
-    /// The unit by which another cell's watermark is raised, if it tells anything new.
+    /// Returns the update that raises a home cell's watermark; `None` if the stored watermark
+    /// is not lower.
     pub fn raise_watermark_update(&self, from: &CellId, epoch: Epoch) -> Option<AtomicUpdate> {
         let record = self.federation.watermark(&from.name).raised(from.incarnation, epoch)?;
         let key = records::watermark_key(&from.name);
@@ -333,7 +353,8 @@
         Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] })
     }
 
-    /// Whether anything would be dropped if a watermark were raised.
+    /// Whether raising a home cell's watermark would allow any record to be pruned. Otherwise
+    /// a commit of the new watermark is not worth its cost.
     pub fn watermark_allows_pruning(&self, from: &CellId, epoch: Epoch) -> bool {
         let Some(raised) = self.federation.watermark(&from.name).raised(from.incarnation, epoch) else {
             return false;
@@ -348,11 +369,13 @@
             || final_jobs.any(|(incarnation, epoch)| is_prunable(epoch, incarnation, &raised))
     }
 
+    /// Whether a job has ended and none of its tasks is left on a machine.
     pub(super) fn is_final(&self, id: &Arc<str>) -> bool {
         matches!(self.jobs.get(id), Some(Job::Final { .. }))
     }
 
-    /// Units that drop what home cells have finished with, a few keys each.
+    /// Returns up to `limit` updates, each of which drops the record of a refusal or of a
+    /// final hosted job that the home cell's watermark has passed.
     pub fn prune_updates(&self, limit: usize) -> Vec<AtomicUpdate> {
         let Some(leader) = self.leader_condition() else { return Vec::new() };
         let refusals = self.federation.refusals.iter().filter_map(|((cell, incarnation, job), refusal)| {
@@ -373,6 +396,7 @@
     }
 }
 
+/// The change that records the refusal of a transfer.
 fn refusal_change(from: &CellId, job: &str, epoch: Epoch) -> Change {
     let key = records::refusal_key(&from.name, from.incarnation, job);
     let value = serde_json::json!(RefusalRecord { epoch });
--- a/crates/dapplecroft-controller/src/core/federation/status.rs
+++ b/crates/dapplecroft-controller/src/core/federation/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of hand-overs.
+//! Status of hand-overs, for operators.
 
 use crate::core::Core;
 use dapplecroft_federation::TransferState;
@@ -15,7 +15,8 @@
 }
 
 impl Core {
-    /// Jobs of this cell that others were offered and may have, by job.
+    /// Jobs of this cell that are away: offered to another cell, which may have accepted
+    /// them. Sorted by job id.
     pub fn away_job_statuses(&self) -> Vec<AwayJob> {
         let mut list: Vec<AwayJob> = self
             .away_jobs()
@@ -32,14 +33,14 @@
         list
     }
 
-    /// How many of a cell's jobs are here and not over.
+    /// Number of jobs of another cell that are hosted here and have not ended.
     pub fn hosted_job_count(&self, cell: &str) -> usize {
         let hosted = self.federation.hosted_jobs.iter().filter(|(_, origin)| origin.cell.name == cell);
         hosted.filter(|(id, _)| !self.is_final(id)).count()
     }
 
-    /// How many records of a cell's hand-overs are kept until it has finished with them:
-    /// refusals, and jobs that are over.
+    /// Number of records of a home cell's finished transfers: refusals and final jobs. They
+    /// are kept until the home cell's watermark has passed them.
     pub fn retained_record_count(&self, cell: &str) -> usize {
         let refusals = self.federation.refusals.keys().filter(|(name, _, _)| name == cell).count();
         let hosted = self.federation.hosted_jobs.iter().filter(|(_, origin)| origin.cell.name == cell);
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// A leader of a cell with one peer, and a job of that which is here.
+/// Returns the core of cell a's leader, which hosts job `run-1` of its peer cell b.
 fn core_hosting_job(allocated: Value) -> Core {
     let peer = RawPeer {
         name: "b".into(),
@@ -29,24 +29,29 @@
     core
 }
 
+/// Stored record of the hosted job, with the given allocation of tasks to shards.
 fn hosted_job_value(allocated: Value) -> Value {
     let spec = job_record("run-1", 2, json!({}))["spec"].clone();
     json!({"s": "visiting", "n": 2, "to": allocated, "at": 0.0, "spec": spec, "or": {"c": "b", "i": 1, "e": 7}})
 }
 
-// A placement is bound to the job's record and leaves it as it is: a holder's could have
-// been committed just before the job was given back, and would have run on while its home
-// cell started the job again.
+// Guards against a job that runs in two cells. A shard holder's placement is conditional on
+// the job's record but does not change it. A placement committed just before the job was
+// returned would go unnoticed, and the task would run on while the home cell starts the job
+// again.
 #[test]
 fn hosted_job_is_returned_only_after_the_replica_has_applied_the_revoked_allocations() {
     let later = Instant::now() + Duration::from_secs(100);
     let mut core = core_hosting_job(json!({"0": "0-1"}));
-    assert!(core.job_return_updates(9, later).is_empty(), "a holder may be placing it");
+    assert!(core.job_return_updates(9, later).is_empty(), "a shard holder may be placing an allocated task");
     core.revoke_allocations_for_returns(later);
     let job = core.open_job("run-1").unwrap();
     assert!(job.revoking.contains_key(&0) && job.not_before.is_some_and(|at| at > later));
     core.apply("dc/j/run-1", Some(hosted_job_value(json!({}))), 12, later);
-    assert!(core.job_return_updates(9, later).is_empty(), "what was placed before may not be known yet");
+    assert!(
+        core.job_return_updates(9, later).is_empty(),
+        "the replica may not show a placement made before the revocation yet"
+    );
     core.caught_up(12);
     let updates = core.job_return_updates(9, later);
     assert_eq!(updates.len(), 1);
