--- a/crates/dapplecroft-controller/src/core/federation/host.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -222,9 +222,9 @@
     }
 
     /// Whether this cell is willing to host a job of another cell: no tasks in this cell wait
-    /// for capacity, the CPU share of hosted jobs suffices, and a task fits on an active
-    /// machine or on one that could be rented. Services and jobs with placement constraints
-    /// between their tasks are not hosted.
+    /// for capacity, the CPU share of hosted jobs suffices, the job's team exists here and is
+    /// below its quota limit, and a task fits on an active machine or on one that could be
+    /// rented. Services and jobs whose tasks depend on each other's zones are not hosted.
     fn can_host(&self, spec: &JobSpec, promised_cpus: i64, now: Instant) -> bool {
         let Some(team) = self.teams.get(&spec.team) else { return false };
         let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
