--- a/crates/dapplecroft-controller/examples/cells_waiting.rs
+++ b/crates/dapplecroft-controller/examples/cells_waiting.rs
@@ -29,7 +29,7 @@
 async fn measure(offers: bool) {
     let names: Vec<String> = (0..JOBS).map(name).collect();
     let runs: Vec<(&str, u64)> = names.iter().map(|id| (id.as_str(), RUN_S)).collect();
-    let adjust = |_: usize, raw: &mut dapplecroft_federation::settings::RawFederation| {
+    let adjust = |_: usize, raw: &mut dapplecroft_federation::settings::RawFederationSettings| {
         raw.offers = Some(offers);
         raw.spill_after_s = Some(10.0);
     };
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -6,7 +6,7 @@
 use crate::core::{VisitPlan, VisitRequest};
 use crate::node::{Node, now};
 use dapplecroft_admission::Spending;
-use dapplecroft_federation::{CellId, Epoch, Federation, TransferRequest, TransferState};
+use dapplecroft_federation::{CellId, Epoch, FederationSettings, TransferRequest, TransferState};
 use dapplecroft_sched::Resources;
 use dapplecroft_state::{AtomicUpdate, UpdateResult};
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest, TransferAnswer};
@@ -199,7 +199,7 @@
 
 /// Whether a request is meant for this cell as it is. A request without a receiver asks
 /// for the summary alone.
-fn check_receiver(federation: &Federation, request: &ExchangeRequest) -> Result<(), ExchangeError> {
+fn check_receiver(federation: &FederationSettings, request: &ExchangeRequest) -> Result<(), ExchangeError> {
     match &request.to {
         None if request.transfers.is_empty() => Ok(()),
         None => Err(ExchangeError::Malformed("no receiver".into())),
--- a/crates/dapplecroft-controller/src/cells/convert.rs
+++ b/crates/dapplecroft-controller/src/cells/convert.rs
@@ -2,7 +2,7 @@
 
 use super::{ExchangeError, PROTOCOL};
 use crate::core::AwayRequest;
-use dapplecroft_federation::summary::{Room, Summary};
+use dapplecroft_federation::summary::{MachinePool, Summary};
 use dapplecroft_federation::{CellId, Epoch, TransferRequest, TransferState};
 use dapplecroft_sched::Resources;
 use dapplecroft_wire::cells::{
@@ -139,7 +139,7 @@
     Ok((Epoch(answer.epoch), state))
 }
 
-fn to_room(room: &Room) -> MachineRoom {
+fn to_room(room: &MachinePool) -> MachineRoom {
     MachineRoom {
         machine_type: room.machine_type.clone(),
         zone: room.zone.clone(),
@@ -154,8 +154,8 @@
     }
 }
 
-fn from_room(room: &MachineRoom) -> Room {
-    Room {
+fn from_room(room: &MachineRoom) -> MachinePool {
+    MachinePool {
         machine_type: room.machine_type.clone(),
         zone: room.zone.clone(),
         spot: room.spot,
@@ -173,7 +173,7 @@
         up: summary.up.iter().map(to_room).collect(),
         rentable: summary.rentable.iter().map(to_room).collect(),
         backlog_cpus: summary.backlog_cpus,
-        welcome_cpus: summary.welcome_cpus,
+        welcome_cpus: summary.hosting_headroom_cpus,
     }
 }
 
@@ -184,6 +184,6 @@
         up: reply.up.iter().map(from_room).collect(),
         rentable: reply.rentable.iter().map(from_room).collect(),
         backlog_cpus: reply.backlog_cpus,
-        welcome_cpus: reply.welcome_cpus,
+        hosting_headroom_cpus: reply.welcome_cpus,
     })
 }
--- a/crates/dapplecroft-controller/src/cells/status.rs
+++ b/crates/dapplecroft-controller/src/cells/status.rs
@@ -1,7 +1,7 @@
 //! How things stand between cells, for operators.
 
 use crate::node::{Node, lock, now};
-use dapplecroft_federation::Federation;
+use dapplecroft_federation::FederationSettings;
 use dapplecroft_wire::peer::{CellsReply, OtherCell};
 
 impl Node {
@@ -12,16 +12,18 @@
             cell: federation.cell.name.clone(),
             incarnation: federation.cell.incarnation,
             leads: self.with(|core| core.leads_federation(now())),
-            offers: federation.offers,
+            offers: federation.offers_jobs,
             others: self.other_cells(federation),
             away: self.with(|core| core.away_list()),
         }
     }
 
-    fn other_cells(&self, federation: &Federation) -> Vec<OtherCell> {
+    fn other_cells(&self, federation: &FederationSettings) -> Vec<OtherCell> {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let status = |name: &str| {
-            let heard = lock(&self.summaries).heard(name, now()).map(|(cell, age)| (cell.incarnation, age));
+            let heard = lock(&self.summaries)
+                .latest_cell_and_age(name, now())
+                .map(|(cell, age)| (cell.incarnation, age));
             let (incarnation, age) = heard.unwrap_or_default();
             let (away, visiting, kept) =
                 self.with(|core| (core.away_at(name), core.visiting_from(name), core.kept_records_of(name)));
--- a/crates/dapplecroft-controller/src/core/federation/home.rs
+++ b/crates/dapplecroft-controller/src/core/federation/home.rs
@@ -4,8 +4,8 @@
 use crate::core::{CommitTarget, Core};
 use crate::jobs::{AwayJob, Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage};
-use dapplecroft_federation::home::watermark;
-use dapplecroft_federation::summary::Wish;
+use dapplecroft_federation::home::compute_watermark;
+use dapplecroft_federation::summary::JobDemand;
 use dapplecroft_federation::{AwayRecord, CellId, Epoch, HomeStep, Outcome, TransferRequest, TransferState};
 use dapplecroft_sched::PendingCapacity;
 use dapplecroft_state::AtomicUpdate;
@@ -55,13 +55,13 @@
         self.has_not_started() && not_allocated && settled
     }
 
-    fn wish(&self) -> Wish {
-        Wish { requirements: (*self.requirements).clone(), tasks: self.record.tasks }
+    fn wish(&self) -> JobDemand {
+        JobDemand { requirements: (*self.requirements).clone(), tasks: self.record.tasks }
     }
 }
 
 /// Takes room for as many of `count` tasks as there is; returns how many found some.
-fn take_room(rooms: &mut Vec<PendingCapacity>, wish: &Wish) -> i64 {
+fn take_room(rooms: &mut Vec<PendingCapacity>, wish: &JobDemand) -> i64 {
     let requirements = &wish.requirements;
     let mut left = i64::from(wish.tasks);
     let mut used: Vec<PendingCapacity> = Vec::new();
@@ -88,8 +88,8 @@
     /// Jobs that may be offered to other cells, those that have waited the longest
     /// first: nothing of them was ever started, and neither a machine that is up or
     /// ordered nor one that could be rented has room for any of their tasks.
-    pub fn spill_candidates(&self, most: usize, now: Instant) -> Vec<(Arc<str>, Wish)> {
-        let Some(federation) = self.options.federation.as_ref().filter(|f| f.offers) else {
+    pub fn spill_candidates(&self, most: usize, now: Instant) -> Vec<(Arc<str>, JobDemand)> {
+        let Some(federation) = self.options.federation.as_ref().filter(|f| f.offers_jobs) else {
             return Vec::new();
         };
         let mut waiting: Vec<(&Arc<str>, &OpenJob)> =
@@ -132,8 +132,8 @@
         let job = self.open_job(id).filter(|job| self.may_leave(id, job))?;
         let (version, record) = (job.version, job.record.clone());
         let leader = self.leader_condition()?;
-        let epoch = Epoch::of(leader.version, self.federation.offers)?;
-        let away = Some(AwayRecord::offered(cell, epoch));
+        let epoch = Epoch::from_parts(leader.version, self.federation.offers)?;
+        let away = Some(AwayRecord::for_offer(cell, epoch));
         let key = records::job_key(id);
         let conditions = vec![leader, self.unchanged(key.clone())];
         let value = self.job_value(&JobRecord { stage: JobStage::Away, away, ..record });
@@ -168,7 +168,7 @@
             .filter(|(_, _, away)| away.cell.name == cell)
             .map(|(id, job, away)| {
                 let unheard = matches!(job.heard, None | Some(TransferState::Unknown));
-                let request = away.request(unheard);
+                let request = away.next_request(unheard);
                 let offered = request == TransferRequest::Offer;
                 let spec = if offered { job.record.spec.clone() } else { None };
                 AwayRequest { job: id.clone(), epoch: away.epoch, request, spec, submitted: job.record.at }
@@ -205,10 +205,10 @@
         for id in versions {
             self.federation.unsettled.remove(&id);
         }
-        let next = Epoch::of(term, self.federation.offers)?;
+        let next = Epoch::from_parts(term, self.federation.offers)?;
         let away = self.away_jobs().filter(|(_, _, away)| away.cell.name == cell);
         let unsettled = self.federation.unsettled.values().map(|(_, epoch)| *epoch);
-        Some(watermark(away.map(|(_, _, away)| away.epoch).chain(unsettled), next))
+        Some(compute_watermark(away.map(|(_, _, away)| away.epoch).chain(unsettled), next))
     }
 
     /// Takes over a cell's answer about a job; returns what has to be committed.
@@ -229,7 +229,7 @@
             HomeStep::Wait => return None,
             HomeStep::Reopen => JobRecord { stage: JobStage::Open, away: None, ..away_job.record.clone() },
             HomeStep::End { outcome: Outcome::Done, done } => away_job.record.compact(JobStage::Done, done),
-            HomeStep::End { outcome: Outcome::Withdrawn, done } => {
+            HomeStep::End { outcome: Outcome::Cancelled, done } => {
                 away_job.record.compact(JobStage::Withdrawn, done)
             }
         };
@@ -245,7 +245,7 @@
         let Some(Job::Away(job)) = self.jobs.get(id) else { return Err(NotAway) };
         let Some(away) = job.record.away.as_ref().filter(|away| !away.cancelling) else { return Ok(None) };
         let key = records::job_key(id);
-        let record = JobRecord { away: Some(away.cancelled()), ..job.record.clone() };
+        let record = JobRecord { away: Some(away.with_cancellation_requested()), ..job.record.clone() };
         let conditions = vec![self.unchanged(key.clone())];
         let value = self.job_value(&record);
         Ok(Some(AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] }))
--- a/crates/dapplecroft-controller/src/core/federation/tests.rs
+++ b/crates/dapplecroft-controller/src/core/federation/tests.rs
@@ -2,26 +2,26 @@
 use crate::core::testing::{core, job_record, proposed};
 use crate::jobs::Job;
 use crate::records::SegmentId;
-use dapplecroft_federation::settings::{Federation, RawFederation, RawPeer};
+use dapplecroft_federation::settings::{FederationSettings, RawFederationSettings, RawPeerSettings};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
 /// A leader of a cell with one peer, and a job of that which is here.
 fn visited(allocated: Value) -> Core {
-    let peer = RawPeer {
+    let peer = RawPeerSettings {
         name: "b".into(),
         endpoints: vec!["10.2.0.1:1".into()],
         networks: vec!["10.2.0.0/16".into()],
     };
-    let raw = RawFederation {
+    let raw = RawFederationSettings {
         cell: "a".into(),
         incarnation: 1,
         listen: "10.1.0.1:1".into(),
         peers: vec![peer],
-        ..RawFederation::default()
+        ..RawFederationSettings::default()
     };
     let mut core = core();
-    core.options.federation = Some(Federation::check(&raw).unwrap());
+    core.options.federation = Some(FederationSettings::validate(&raw).unwrap());
     core.format = 2;
     core.role.leadership = Some(1);
     core.apply("dc/j/run-1", Some(visiting(allocated)), 5, Instant::now());
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -6,10 +6,10 @@
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use dapplecroft_admission::Spending;
 use dapplecroft_cloud::MAX_RENT;
-use dapplecroft_federation::summary::{Room, Summary};
-use dapplecroft_federation::visitor::{Known, is_prunable, on_request};
+use dapplecroft_federation::host::{HostRecords, is_prunable, on_request};
+use dapplecroft_federation::summary::{MachinePool, Summary};
 use dapplecroft_federation::{
-    CellId, Epoch, Origin, RefusalRecord, TransferRequest, TransferState, Visit, VisitorStep,
+    CellId, Epoch, HostStep, HostedJob, Origin, RefusalRecord, TransferRequest, TransferState,
 };
 use dapplecroft_sched::Resources;
 use dapplecroft_state::AtomicUpdate;
@@ -89,17 +89,17 @@
 }
 
 impl Core {
-    fn visit(&self, job: &str) -> Visit {
+    fn visit(&self, job: &str) -> HostedJob {
         let origin = self.federation.visits.get(job).cloned();
         match (self.jobs.get(job), origin) {
-            (None, _) => Visit::Absent,
-            (Some(_), None) | (Some(Job::Away(_)), _) => Visit::Foreign,
-            (Some(Job::Open(open)), Some(origin)) => Visit::Present { origin, state: open.visit_state() },
+            (None, _) => HostedJob::Absent,
+            (Some(_), None) | (Some(Job::Away(_)), _) => HostedJob::Unrelated,
+            (Some(Job::Open(open)), Some(origin)) => HostedJob::Present { origin, state: open.visit_state() },
             (Some(Job::Final { stage: JobStage::Done, done }), Some(origin)) => {
-                Visit::Present { origin, state: TransferState::Done { done: *done } }
+                HostedJob::Present { origin, state: TransferState::Done { done: *done } }
             }
             (Some(Job::Final { done, .. }), Some(origin)) => {
-                Visit::Present { origin, state: TransferState::Withdrawn { done: *done } }
+                HostedJob::Present { origin, state: TransferState::Withdrawn { done: *done } }
             }
         }
     }
@@ -108,9 +108,9 @@
     /// were accepted and are not in the copy yet.
     pub fn visit_plan(&mut self, request: &VisitRequest, taken_cpus: i64, now: Instant) -> VisitPlan {
         let (from, job) = (request.from, request.job);
-        let known = Known {
+        let known = HostRecords {
             job: self.visit(job),
-            refused: self
+            refusal: self
                 .federation
                 .refusals
                 .get(&(from.name.clone(), from.incarnation, job.to_string()))
@@ -119,11 +119,11 @@
         };
         let room = request.spec.is_some_and(|spec| self.has_room_for_visitor(spec, taken_cpus, now));
         let update = match on_request(&known, from, request.epoch, request.request, room) {
-            VisitorStep::Answer(state) => return VisitPlan::Answer(state),
-            VisitorStep::OutdatedSender => return VisitPlan::OutdatedSender,
-            VisitorStep::Accept => return self.accept_plan(request),
-            VisitorStep::Refuse => self.refuse_update(request),
-            VisitorStep::Withdraw => self.withdraw_visit_update(request),
+            HostStep::Answer(state) => return VisitPlan::Answer(state),
+            HostStep::OutdatedSender => return VisitPlan::OutdatedSender,
+            HostStep::Accept => return self.accept_plan(request),
+            HostStep::Refuse => self.refuse_update(request),
+            HostStep::Cancel => self.withdraw_visit_update(request),
         };
         update.map_or(VisitPlan::NotNow, |update| VisitPlan::Commit(update, None))
     }
@@ -189,7 +189,7 @@
     /// Processors that other cells' jobs may still ask for: a share of what is up and of
     /// what one more rental would bring, as far as is known.
     fn welcome_cpus(&self, now: Instant) -> i64 {
-        let share = self.options.federation.as_ref().map_or(0.0, |f| f.visitors_share);
+        let share = self.options.federation.as_ref().map_or(0.0, |f| f.hosted_jobs_share);
         let up: i64 = self.machines.values().filter(|m| m.seems_open()).map(|m| m.capacity.cpus).sum();
         let rentable = self.offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
         let all = up + rentable * i64::from(MAX_RENT);
@@ -214,7 +214,7 @@
         }
         let summary_rooms = self.rooms_up();
         let rentable = self.rooms_rentable(now);
-        let allowed = |room: &Room| {
+        let allowed = |room: &MachinePool| {
             spec.types.as_ref().is_none_or(|names| names.contains(&room.machine_type))
                 && spec.zone.as_ref().is_none_or(|zone| *zone == room.zone)
                 && (spec.spot || !room.spot)
@@ -223,14 +223,14 @@
         rooms.any(|room| resources.fits(&room.free))
     }
 
-    fn rooms_up(&self) -> Vec<Room> {
+    fn rooms_up(&self) -> Vec<MachinePool> {
         type Kind<'a> = (&'a str, &'a str, bool, i64, i64, i64);
-        let mut kinds: BTreeMap<Kind, Room> = BTreeMap::new();
+        let mut kinds: BTreeMap<Kind, MachinePool> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.seems_open()) {
             let free = machine.room();
             let kind =
                 (&*machine.machine_type, &*machine.zone, machine.spot, free.cpus, free.gpus, free.memory);
-            let room = kinds.entry(kind).or_insert_with(|| Room {
+            let room = kinds.entry(kind).or_insert_with(|| MachinePool {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
@@ -243,9 +243,9 @@
         kinds.into_values().collect()
     }
 
-    fn rooms_rentable(&self, now: Instant) -> Vec<Room> {
+    fn rooms_rentable(&self, now: Instant) -> Vec<MachinePool> {
         let offers = self.offers(now).into_iter();
-        let room = |offer: dapplecroft_sched::Offer| Room {
+        let room = |offer: dapplecroft_sched::Offer| MachinePool {
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
@@ -263,7 +263,7 @@
             up: self.rooms_up(),
             rentable: self.rooms_rentable(now),
             backlog_cpus: self.backlog_cpus(),
-            welcome_cpus: self.welcome_cpus(now),
+            hosting_headroom_cpus: self.welcome_cpus(now),
         })
     }
 
@@ -316,7 +316,7 @@
 
     /// The unit by which another cell's watermark is raised, if it tells anything new.
     pub fn watermark_update(&self, from: &CellId, epoch: Epoch) -> Option<AtomicUpdate> {
-        let record = self.federation.watermark(&from.name).raised(from.incarnation, epoch)?;
+        let record = self.federation.watermark(&from.name).advanced_to(from.incarnation, epoch)?;
         let key = records::watermark_key(&from.name);
         let conditions = vec![self.leader_condition()?, self.unchanged(key.clone())];
         let value = serde_json::to_value(record).ok()?;
@@ -325,7 +325,7 @@
 
     /// Whether anything would be dropped if a watermark were raised.
     pub fn watermark_frees(&self, from: &CellId, epoch: Epoch) -> bool {
-        let Some(raised) = self.federation.watermark(&from.name).raised(from.incarnation, epoch) else {
+        let Some(raised) = self.federation.watermark(&from.name).advanced_to(from.incarnation, epoch) else {
             return false;
         };
         let refusals = self.federation.refusals.iter().filter(|((cell, _, _), _)| *cell == from.name);
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -6,7 +6,7 @@
 use crate::jobs::Job;
 use crate::node::{Node, Reply, lock, now};
 use crate::records;
-use dapplecroft_federation::{CellId, Epoch, Federation, PeerCell, TransferState};
+use dapplecroft_federation::{CellId, Epoch, FederationSettings, PeerCell, TransferState};
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::cells::ExchangeReply;
 use std::sync::Arc;
@@ -126,7 +126,7 @@
         }
         let cell = summary.cell.clone();
         state.cell = Some(cell.clone());
-        lock(&self.summaries).note(summary, asked);
+        lock(&self.summaries).record_summary(summary, asked);
         for answer in &reply.answers {
             let (epoch, transfer) = from_answer(answer)?;
             self.take_answer(&answer.job, &cell, epoch, transfer).await;
@@ -136,7 +136,7 @@
 
     async fn take_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
         if state == TransferState::Refused {
-            lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
+            lock(&self.summaries).record_refusal(&job.into(), &cell.name, now());
         }
         let update = self.with(|core| core.away_answer(job, cell, epoch, state));
         if let Some(update) = update {
@@ -145,7 +145,7 @@
         }
     }
 
-    async fn offer_loop(self: Arc<Self>, federation: Federation) {
+    async fn offer_loop(self: Arc<Self>, federation: FederationSettings) {
         loop {
             sleep(OFFER_EVERY).await;
             if !self.with(|core| core.leads_federation(now())) {
@@ -166,16 +166,16 @@
         }
     }
 
-    async fn offer_jobs(&self, federation: &Federation) {
+    async fn offer_jobs(&self, federation: &FederationSettings) {
         let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS, now()));
-        lock(&self.summaries).forget_refusals(federation.refusal_pause, now());
+        lock(&self.summaries).expire_refusals(federation.refusal_pause, now());
         for (job, wish) in candidates {
             let chosen = {
                 let mut book = lock(&self.summaries);
-                let (fresh, pause) = (federation.summary_fresh, federation.refusal_pause);
-                let chosen = book.choose(&job, &wish, fresh, pause, now());
+                let (fresh, pause) = (federation.summary_max_age, federation.refusal_pause);
+                let chosen = book.choose_cell(&job, &wish, fresh, pause, now());
                 if let Some(cell) = &chosen {
-                    book.note_offer(&cell.name, &wish);
+                    book.deduct_offer(&cell.name, &wish);
                 }
                 chosen
             };
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -6,7 +6,7 @@
 use crate::peers::Peers;
 use bytes::Bytes;
 use dapplecroft_cloud::CloudClient;
-use dapplecroft_federation::SummaryBook;
+use dapplecroft_federation::PeerSummaries;
 use dapplecroft_net::Transport;
 use dapplecroft_state::{Committer, StateClient};
 use dapplecroft_wire::settings::Settings;
@@ -127,7 +127,7 @@
     /// How many silent machines the others were asked about so far.
     pub(crate) consulted: AtomicUsize,
     /// What other cells have told of themselves.
-    pub(crate) summaries: Mutex<SummaryBook>,
+    pub(crate) summaries: Mutex<PeerSummaries>,
     /// How many requests of other cells are being worked on.
     pub(crate) exchanging: AtomicUsize,
     /// When the state service last answered this node's lease renewal.
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -1,7 +1,7 @@
 //! Operators' own settings with their defaults.
 
 use dapplecroft_admission::RawAdmission;
-use dapplecroft_federation::Federation;
+use dapplecroft_federation::FederationSettings;
 use std::time::Duration;
 
 /// What operators may tune, beyond what the platform hands over.
@@ -36,7 +36,7 @@
     /// Users' requests worked on at a time; more get 503.
     pub max_requests: usize,
     /// The federation of cells that this one belongs to, if any.
-    pub federation: Option<Federation>,
+    pub federation: Option<FederationSettings>,
     /// Admission control; unset: every submission that can run is accepted.
     pub admission: Option<RawAdmission>,
 }
--- a/crates/dapplecroft-controller/tests/stories/cells.rs
+++ b/crates/dapplecroft-controller/tests/stories/cells.rs
@@ -5,8 +5,8 @@
 use async_trait::async_trait;
 use dapplecroft_controller::{Cells, ExchangeError, Options};
 use dapplecroft_fakes::{Stay, WorkerTiming};
-use dapplecroft_federation::settings::{RawFederation, RawPeer};
-use dapplecroft_federation::{Federation, PeerCell};
+use dapplecroft_federation::settings::{RawFederationSettings, RawPeerSettings};
+use dapplecroft_federation::{FederationSettings, PeerCell};
 use dapplecroft_wire::cells::{ExchangeReply, ExchangeRequest};
 use http::Method;
 use serde_json::Value;
@@ -174,14 +174,14 @@
     accepted: Mutex<BTreeMap<String, usize>>,
 }
 
-fn federation(cell: usize, adjust: &dyn Fn(usize, &mut RawFederation)) -> Federation {
+fn federation(cell: usize, adjust: &dyn Fn(usize, &mut RawFederationSettings)) -> FederationSettings {
     let others = (0..NAMES.len()).filter(|other| *other != cell);
-    let peer = |other: usize| RawPeer {
+    let peer = |other: usize| RawPeerSettings {
         name: NAMES[other].into(),
         endpoints: vec![format!("{}:8090", network_address(other))],
         networks: vec![format!("10.{}.0.0/16", 100 + other)],
     };
-    let mut raw = RawFederation {
+    let mut raw = RawFederationSettings {
         cell: NAMES[cell].into(),
         incarnation: 1,
         listen: "0.0.0.0:8090".into(),
@@ -189,10 +189,10 @@
         spill_after_s: Some(4.0),
         return_after_s: Some(20.0),
         refusal_pause_s: Some(10.0),
-        ..RawFederation::default()
+        ..RawFederationSettings::default()
     };
     adjust(cell, &mut raw);
-    Federation::check(&raw).unwrap()
+    FederationSettings::validate(&raw).unwrap()
 }
 
 /// A story may play one set of cells after the other on the same clock.
@@ -214,7 +214,7 @@
     pub async fn with(
         machines: [usize; 3],
         runs: &[(&str, u64)],
-        adjust: &dyn Fn(usize, &mut RawFederation),
+        adjust: &dyn Fn(usize, &mut RawFederationSettings),
     ) -> ThreeCells {
         let links = Links::default();
         let mut cells = Vec::new();
--- a/crates/dapplecroft-controller/tests/stories/federation.rs
+++ b/crates/dapplecroft-controller/tests/stories/federation.rs
@@ -4,8 +4,8 @@
 use crate::cells::{NAMES, ThreeCells, network_address};
 use crate::cluster::{Cluster, host, job, pause};
 use dapplecroft_controller::{ExchangeError, Options};
-use dapplecroft_federation::Federation;
-use dapplecroft_federation::settings::RawFederation;
+use dapplecroft_federation::FederationSettings;
+use dapplecroft_federation::settings::RawFederationSettings;
 use dapplecroft_wire::cells::{Cell, ExchangeRequest, Transfer, TransferKind};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -252,7 +252,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cell_that_takes_no_visitors_gets_none_and_its_refusal_is_forgotten() {
-    let none = |cell: usize, raw: &mut RawFederation| {
+    let none = |cell: usize, raw: &mut RawFederationSettings| {
         if cell > 0 {
             raw.visitors_share = Some(0.0);
         }
@@ -487,14 +487,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_federation_without_peers_changes_nothing() {
-    let alone = RawFederation {
+    let alone = RawFederationSettings {
         cell: NAMES[0].into(),
         incarnation: 1,
         listen: "0.0.0.0:8090".into(),
-        ..RawFederation::default()
+        ..RawFederationSettings::default()
     };
     let mut written = Vec::new();
-    for federation in [None, Some(Federation::check(&alone).unwrap())] {
+    for federation in [None, Some(FederationSettings::validate(&alone).unwrap())] {
         let c = Cluster::with(3, |_| {}, Options { federation, ..Options::default() }).await;
         for id in ["run-1", "run-2"] {
             c.submit(id, "free", 6, 8.0, "normal").await;
--- a/crates/dapplecroft-federation/src/home.rs
+++ b/crates/dapplecroft-federation/src/home.rs
@@ -53,19 +53,19 @@
 
 impl AwayRecord {
     /// The record of a job that is offered to a cell.
-    pub fn offered(cell: CellId, epoch: Epoch) -> AwayRecord {
+    pub fn for_offer(cell: CellId, epoch: Epoch) -> AwayRecord {
         AwayRecord { cell, epoch, cancelling: false }
     }
 
     /// The record once its user has asked to cancel the job.
-    pub fn cancelled(&self) -> AwayRecord {
+    pub fn with_cancellation_requested(&self) -> AwayRecord {
         AwayRecord { cancelling: true, ..self.clone() }
     }
 
-    /// What to ask the other cell; `unknown` says that it has answered that it has not
+    /// What to ask the other cell; `offer_unknown` says that it has answered that it has not
     /// heard of the offer yet, or has not answered at all so far.
-    pub fn request(&self, unknown: bool) -> TransferRequest {
-        match (self.cancelling, unknown) {
+    pub fn next_request(&self, offer_unknown: bool) -> TransferRequest {
+        match (self.cancelling, offer_unknown) {
             (true, _) => TransferRequest::Cancel,
             (false, true) => TransferRequest::Offer,
             (false, false) => TransferRequest::Poll,
@@ -82,11 +82,11 @@
         match state {
             TransferState::Accepted { .. } | TransferState::Unknown => HomeStep::Wait,
             TransferState::Refused if self.cancelling => {
-                HomeStep::End { outcome: Outcome::Withdrawn, done: 0 }
+                HomeStep::End { outcome: Outcome::Cancelled, done: 0 }
             }
             TransferState::Refused => HomeStep::Reopen,
             TransferState::Done { done } => HomeStep::End { outcome: Outcome::Done, done },
-            TransferState::Withdrawn { done } => HomeStep::End { outcome: Outcome::Withdrawn, done },
+            TransferState::Withdrawn { done } => HomeStep::End { outcome: Outcome::Cancelled, done },
         }
     }
 }
@@ -94,8 +94,8 @@
 /// The watermark to tell a cell: every transfer to it with a lower epoch is over here,
 /// and none with a lower one will ever begin. `outstanding` are the epochs of all jobs
 /// that are away at that cell, by a copy of the records that has caught up with the
-/// leader's own term, and of all offers whose transaction may still be carried out; `next`
+/// leader's own term, and of all offers whose transaction may still be carried out; `next_epoch`
 /// is the lowest epoch that this leader may still use.
-pub fn watermark(outstanding: impl IntoIterator<Item = Epoch>, next: Epoch) -> Epoch {
-    outstanding.into_iter().fold(next, Epoch::min)
+pub fn compute_watermark(outstanding: impl IntoIterator<Item = Epoch>, next_epoch: Epoch) -> Epoch {
+    outstanding.into_iter().fold(next_epoch, Epoch::min)
 }
--- a/crates/dapplecroft-federation/src/visitor.rs
+++ b/crates/dapplecroft-federation/src/host.rs
@@ -47,24 +47,24 @@
 impl WatermarkRecord {
     /// The record after a home cell has told of a watermark; `None` if it says nothing
     /// new.
-    pub fn raised(&self, incarnation: u64, epoch: Epoch) -> Option<WatermarkRecord> {
+    pub fn advanced_to(&self, incarnation: u64, epoch: Epoch) -> Option<WatermarkRecord> {
         let newer = (incarnation, epoch) > (self.incarnation, self.epoch);
         newer.then_some(WatermarkRecord { incarnation, epoch })
     }
 
     /// Whether a transfer is below it.
-    fn outlaws(&self, epoch: Epoch) -> bool {
+    fn covers(&self, epoch: Epoch) -> bool {
         epoch < self.epoch
     }
 }
 
 /// A job's record here, as far as a hand-over goes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Visit {
+pub enum HostedJob {
     /// There is none.
     Absent,
     /// It is no visiting job, or another cell's.
-    Foreign,
+    Unrelated,
     /// It came by a transfer.
     Present {
         /// Which.
@@ -76,18 +76,18 @@
 
 /// What is known here of a transfer, by committed records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct HostRecords {
     /// The job's record.
-    pub job: Visit,
+    pub job: HostedJob,
     /// What was refused of the job.
-    pub refused: Option<RefusalRecord>,
+    pub refusal: Option<RefusalRecord>,
     /// What its home cell has finished.
     pub watermark: WatermarkRecord,
 }
 
 /// What follows from a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VisitorStep {
+pub enum HostStep {
     /// It is answered.
     Answer(TransferState),
     /// The job's record is committed, with its origin; then it is answered.
@@ -95,44 +95,44 @@
     /// A refusal is committed; then it is answered.
     Refuse,
     /// The job's cancellation is committed; then it is answered.
-    Withdraw,
+    Cancel,
     /// The sender is an incarnation that has been replaced.
     OutdatedSender,
 }
 
-/// What to do about a request of a home cell. `room` says whether this cell wants to
+/// What to do about a request of a home cell. `can_accept` says whether this cell wants to
 /// take the job now.
 pub fn on_request(
-    known: &Known,
+    records: &HostRecords,
     from: &CellId,
     epoch: Epoch,
     request: TransferRequest,
-    room: bool,
-) -> VisitorStep {
-    if from.incarnation < known.watermark.incarnation {
-        return VisitorStep::OutdatedSender;
+    can_accept: bool,
+) -> HostStep {
+    if from.incarnation < records.watermark.incarnation {
+        return HostStep::OutdatedSender;
     }
-    let outlawed = from.incarnation == known.watermark.incarnation && known.watermark.outlaws(epoch);
-    if outlawed {
-        return VisitorStep::Answer(TransferState::Refused);
+    let covered = from.incarnation == records.watermark.incarnation && records.watermark.covers(epoch);
+    if covered {
+        return HostStep::Answer(TransferState::Refused);
     }
-    if known.refused.is_some_and(|refusal| epoch <= refusal.epoch) {
-        return VisitorStep::Answer(TransferState::Refused);
+    if records.refusal.is_some_and(|refusal| epoch <= refusal.epoch) {
+        return HostStep::Answer(TransferState::Refused);
     }
-    match &known.job {
-        Visit::Present { origin, state } if origin.cell == *from && origin.epoch == epoch => {
+    match &records.job {
+        HostedJob::Present { origin, state } if origin.cell == *from && origin.epoch == epoch => {
             match (request, state) {
-                (TransferRequest::Cancel, TransferState::Accepted { .. }) => VisitorStep::Withdraw,
-                _ => VisitorStep::Answer(*state),
+                (TransferRequest::Cancel, TransferState::Accepted { .. }) => HostStep::Cancel,
+                _ => HostStep::Answer(*state),
             }
         }
         // An id that is taken: by a user of this cell, by another cell's job, or by what
         // is left of an earlier transfer.
-        Visit::Present { .. } | Visit::Foreign => VisitorStep::Refuse,
-        Visit::Absent => match request {
-            TransferRequest::Offer if room => VisitorStep::Accept,
-            TransferRequest::Offer | TransferRequest::Cancel => VisitorStep::Refuse,
-            TransferRequest::Poll => VisitorStep::Answer(TransferState::Unknown),
+        HostedJob::Present { .. } | HostedJob::Unrelated => HostStep::Refuse,
+        HostedJob::Absent => match request {
+            TransferRequest::Offer if can_accept => HostStep::Accept,
+            TransferRequest::Offer | TransferRequest::Cancel => HostStep::Refuse,
+            TransferRequest::Poll => HostStep::Answer(TransferState::Unknown),
         },
     }
 }
@@ -140,5 +140,5 @@
 /// Whether the record of a refusal, or of a visiting job that is over, may be dropped.
 pub fn is_prunable(epoch: Epoch, incarnation: u64, watermark: &WatermarkRecord) -> bool {
     let replaced = incarnation < watermark.incarnation;
-    replaced || (incarnation == watermark.incarnation && watermark.outlaws(epoch))
+    replaced || (incarnation == watermark.incarnation && watermark.covers(epoch))
 }
--- a/crates/dapplecroft-federation/src/lib.rs
+++ b/crates/dapplecroft-federation/src/lib.rs
@@ -7,18 +7,18 @@
 //! about a hand-over by itself.
 //!
 //! - [`home`]: the cell that answers for a job for ever.
-//! - [`visitor`]: the cell that runs a job for another one.
+//! - [`host`]: the cell that runs a job for another one.
 //! - [`summary`]: what cells tell of their free room, and the choice among them.
 //! - [`settings`]: what operators set, checked.
 
 pub mod home;
+pub mod host;
 pub mod messages;
 pub mod settings;
 pub mod summary;
-pub mod visitor;
 
 pub use home::{AwayRecord, HomeStep};
+pub use host::{HostStep, HostedJob, Origin, RefusalRecord, WatermarkRecord};
 pub use messages::{CellId, Epoch, Outcome, TransferRequest, TransferState};
-pub use settings::{Federation, PeerCell, SettingsError};
-pub use summary::{Room, Summary, SummaryBook};
-pub use visitor::{Origin, RefusalRecord, Visit, VisitorStep, WatermarkRecord};
+pub use settings::{FederationSettings, PeerCell, SettingsError};
+pub use summary::{MachinePool, PeerSummaries, Summary};
--- a/crates/dapplecroft-federation/src/messages.rs
+++ b/crates/dapplecroft-federation/src/messages.rs
@@ -29,7 +29,7 @@
 }
 
 /// Bits of an epoch that number the transfers of one leadership.
-const COUNTER_BITS: u32 = 20;
+const OFFER_COUNTER_BITS: u32 = 20;
 
 /// The number of a transfer. The home cell uses each once and in rising order: the high
 /// part is the term of its leader, a revision of its state service, the low part counts
@@ -40,9 +40,9 @@
 
 impl Epoch {
     /// The `counter`-th transfer of a leader's term; `None` if either is too large.
-    pub fn of(term: u64, counter: u64) -> Option<Epoch> {
-        let fits = counter < 1 << COUNTER_BITS && term < 1 << (u64::BITS - COUNTER_BITS);
-        if fits { Some(Epoch(term << COUNTER_BITS | counter)) } else { None }
+    pub fn from_parts(term: u64, counter: u64) -> Option<Epoch> {
+        let fits = counter < 1 << OFFER_COUNTER_BITS && term < 1 << (u64::BITS - OFFER_COUNTER_BITS);
+        if fits { Some(Epoch(term << OFFER_COUNTER_BITS | counter)) } else { None }
     }
 }
 
@@ -52,7 +52,7 @@
     /// All its tasks completed.
     Done,
     /// Its user cancelled it.
-    Withdrawn,
+    Cancelled,
 }
 
 /// What the home cell asks about a transfer. Every request may be repeated, arrive
--- a/crates/dapplecroft-federation/src/settings.rs
+++ b/crates/dapplecroft-federation/src/settings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The longest name of a cell: it is a part of keys.
-pub const MAX_NAME: usize = 63;
+pub const MAX_CELL_NAME_BYTES: usize = 63;
 
 /// Another cell.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 /// What a cell is, and whom it passes jobs to.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Federation {
+pub struct FederationSettings {
     /// This cell.
     pub cell: CellId,
     /// Where this controller listens for other cells.
@@ -30,7 +30,7 @@
     /// The others.
     pub peers: Vec<PeerCell>,
     /// Whether jobs are offered. If not, what is away still comes home.
-    pub offers: bool,
+    pub offers_jobs: bool,
     /// A job is offered only after it has waited for so long.
     pub spill_after: Duration,
     /// A job of another cell of which nothing has started is given back after so long.
@@ -38,18 +38,20 @@
     /// A cell that has refused a job is not offered it again for so long.
     pub refusal_pause: Duration,
     /// A summary older than this is not used.
-    pub summary_fresh: Duration,
+    pub summary_max_age: Duration,
     /// The part of the processors of all machines that are up that other cells' jobs may
     /// ask for together: the rest is kept for this cell's own work.
-    pub visitors_share: f64,
+    pub hosted_jobs_share: f64,
 }
 
 /// Why settings are not accepted; each names the value.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// A name of a cell that can't be one.
-    #[error("federation.{field}: {name:?} must be 1 to {MAX_NAME} letters, digits, dots or hyphens")]
-    Name {
+    #[error(
+        "federation.{field}: {name:?} must be 1 to {MAX_CELL_NAME_BYTES} letters, digits, dots or hyphens"
+    )]
+    InvalidCellName {
         /// The field.
         field: &'static str,
         /// The name.
@@ -57,16 +59,16 @@
     },
     /// There is no incarnation.
     #[error("federation.incarnation: must be at least 1")]
-    NoIncarnation,
+    MissingIncarnation,
     /// A cell is named twice.
     #[error("federation.peers: {0} is named twice")]
-    Twice(String),
+    DuplicatePeer(String),
     /// A cell is its own peer.
     #[error("federation.peers: {0} is this cell itself")]
-    Itself(String),
+    PeerIsThisCell(String),
     /// Something is no address.
     #[error("federation.{field}: {value:?} is no address with a port")]
-    Address {
+    InvalidAddress {
         /// The field.
         field: &'static str,
         /// What was given.
@@ -77,25 +79,25 @@
     NoEndpoints(String),
     /// Something is no network.
     #[error("federation.peers.networks: {0:?} is no network")]
-    Network(String),
+    InvalidNetwork(String),
     /// A cell has no network to connect from.
     #[error("federation.peers: {0} has no networks")]
     NoNetworks(String),
     /// Two cells' networks overlap: a connection would not tell them apart.
     #[error("federation.peers.networks: {0} of {1} and {2} of {3} overlap")]
-    Overlap(IpNet, String, IpNet, String),
+    OverlappingNetworks(IpNet, String, IpNet, String),
     /// An endpoint is in none of its cell's networks.
     #[error("federation.peers: the endpoint {0} of {1} is in none of its networks")]
-    Outside(SocketAddr, String),
+    EndpointOutsideNetworks(SocketAddr, String),
     /// A number is out of range.
-    #[error("federation.{field}: must be from {least} to {most}, is {value}")]
-    Range {
+    #[error("federation.{field}: must be from {min} to {max}, is {value}")]
+    OutOfRange {
         /// The field.
         field: &'static str,
         /// The least value.
-        least: f64,
+        min: f64,
         /// The greatest value.
-        most: f64,
+        max: f64,
         /// What was given.
         value: f64,
     },
@@ -103,7 +105,7 @@
 
 /// Another cell, as operators write it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct RawPeer {
+pub struct RawPeerSettings {
     /// Its name.
     pub name: String,
     /// `host:port`, by IP number.
@@ -114,7 +116,7 @@
 
 /// The settings, as operators write them; times in seconds, unset ones have defaults.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct RawFederation {
+pub struct RawFederationSettings {
     /// This cell's name.
     pub cell: String,
     /// Which life of its records.
@@ -122,58 +124,61 @@
     /// Where this controller listens for other cells.
     pub listen: String,
     /// The others.
-    pub peers: Vec<RawPeer>,
+    pub peers: Vec<RawPeerSettings>,
     /// Whether jobs are offered.
     pub offers: Option<bool>,
-    /// See [`Federation::spill_after`].
+    /// See [`FederationSettings::spill_after`].
     pub spill_after_s: Option<f64>,
-    /// See [`Federation::return_after`].
+    /// See [`FederationSettings::return_after`].
     pub return_after_s: Option<f64>,
-    /// See [`Federation::refusal_pause`].
+    /// See [`FederationSettings::refusal_pause`].
     pub refusal_pause_s: Option<f64>,
-    /// See [`Federation::summary_fresh`].
+    /// See [`FederationSettings::summary_max_age`].
     pub summary_fresh_s: Option<f64>,
-    /// See [`Federation::visitors_share`].
+    /// See [`FederationSettings::hosted_jobs_share`].
     pub visitors_share: Option<f64>,
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), SettingsError> {
+fn check_cell_name(field: &'static str, name: &str) -> Result<(), SettingsError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '.' || c == '-';
-    let good = (1..=MAX_NAME).contains(&name.len()) && name.chars().all(allowed);
-    if good { Ok(()) } else { Err(SettingsError::Name { field, name: name.to_string() }) }
+    let good = (1..=MAX_CELL_NAME_BYTES).contains(&name.len()) && name.chars().all(allowed);
+    if good { Ok(()) } else { Err(SettingsError::InvalidCellName { field, name: name.to_string() }) }
 }
 
-fn address(field: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
-    value.parse().map_err(|_| SettingsError::Address { field, value: value.to_string() })
+fn parse_address(field: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
+    value.parse().map_err(|_| SettingsError::InvalidAddress { field, value: value.to_string() })
 }
 
-fn number(field: &'static str, value: f64, least: f64, most: f64) -> Result<f64, SettingsError> {
-    if (least..=most).contains(&value) {
+fn check_range(field: &'static str, value: f64, min: f64, max: f64) -> Result<f64, SettingsError> {
+    if (min..=max).contains(&value) {
         Ok(value)
     } else {
-        Err(SettingsError::Range { field, least, most, value })
+        Err(SettingsError::OutOfRange { field, min, max, value })
     }
 }
 
-fn seconds(
+fn parse_duration(
     field: &'static str,
     value: Option<f64>,
     default: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<Duration, SettingsError> {
-    number(field, value.unwrap_or(default), least, most).map(Duration::from_secs_f64)
+    check_range(field, value.unwrap_or(default), min, max).map(Duration::from_secs_f64)
 }
 
 impl PeerCell {
-    fn check(raw: &RawPeer) -> Result<PeerCell, SettingsError> {
-        check_name("peers.name", &raw.name)?;
-        let endpoints: Vec<SocketAddr> =
-            raw.endpoints.iter().map(|text| address("peers.endpoints", text)).collect::<Result<_, _>>()?;
+    fn validate(raw: &RawPeerSettings) -> Result<PeerCell, SettingsError> {
+        check_cell_name("peers.name", &raw.name)?;
+        let endpoints: Vec<SocketAddr> = raw
+            .endpoints
+            .iter()
+            .map(|text| parse_address("peers.endpoints", text))
+            .collect::<Result<_, _>>()?;
         let networks: Vec<IpNet> = raw
             .networks
             .iter()
-            .map(|text| text.parse().map_err(|_| SettingsError::Network(text.clone())))
+            .map(|text| text.parse().map_err(|_| SettingsError::InvalidNetwork(text.clone())))
             .collect::<Result<_, _>>()?;
         if endpoints.is_empty() {
             return Err(SettingsError::NoEndpoints(raw.name.clone()));
@@ -183,7 +188,7 @@
         }
         let peer = PeerCell { name: raw.name.clone(), endpoints, networks };
         match peer.endpoints.iter().find(|endpoint| !peer.may_connect(endpoint.ip())) {
-            Some(endpoint) => Err(SettingsError::Outside(*endpoint, peer.name.clone())),
+            Some(endpoint) => Err(SettingsError::EndpointOutsideNetworks(*endpoint, peer.name.clone())),
             None => Ok(peer),
         }
     }
@@ -194,13 +199,18 @@
     }
 }
 
-fn overlapping(peers: &[PeerCell]) -> Option<SettingsError> {
+fn find_overlap(peers: &[PeerCell]) -> Option<SettingsError> {
     for (n, one) in peers.iter().enumerate() {
         for other in &peers[n + 1..] {
             for a in &one.networks {
                 for b in &other.networks {
                     if a.contains(b) || b.contains(a) {
-                        return Some(SettingsError::Overlap(*a, one.name.clone(), *b, other.name.clone()));
+                        return Some(SettingsError::OverlappingNetworks(
+                            *a,
+                            one.name.clone(),
+                            *b,
+                            other.name.clone(),
+                        ));
                     }
                 }
             }
@@ -209,35 +219,35 @@
     None
 }
 
-impl Federation {
+impl FederationSettings {
     /// Checks settings; the error names the value that is wrong.
-    pub fn check(raw: &RawFederation) -> Result<Federation, SettingsError> {
-        check_name("cell", &raw.cell)?;
+    pub fn validate(raw: &RawFederationSettings) -> Result<FederationSettings, SettingsError> {
+        check_cell_name("cell", &raw.cell)?;
         if raw.incarnation == 0 {
-            return Err(SettingsError::NoIncarnation);
+            return Err(SettingsError::MissingIncarnation);
         }
-        let peers: Vec<PeerCell> = raw.peers.iter().map(PeerCell::check).collect::<Result<_, _>>()?;
+        let peers: Vec<PeerCell> = raw.peers.iter().map(PeerCell::validate).collect::<Result<_, _>>()?;
         let mut names = BTreeSet::new();
         for peer in &peers {
             if peer.name == raw.cell {
-                return Err(SettingsError::Itself(peer.name.clone()));
+                return Err(SettingsError::PeerIsThisCell(peer.name.clone()));
             }
             if !names.insert(&peer.name) {
-                return Err(SettingsError::Twice(peer.name.clone()));
+                return Err(SettingsError::DuplicatePeer(peer.name.clone()));
             }
         }
-        if let Some(error) = overlapping(&peers) {
+        if let Some(error) = find_overlap(&peers) {
             return Err(error);
         }
-        Ok(Federation {
+        Ok(FederationSettings {
             cell: CellId::new(&raw.cell, raw.incarnation),
-            listen: address("listen", &raw.listen)?,
-            offers: raw.offers.unwrap_or(true),
-            spill_after: seconds("spill_after_s", raw.spill_after_s, 20.0, 1.0, 3600.0)?,
-            return_after: seconds("return_after_s", raw.return_after_s, 60.0, 5.0, 3600.0)?,
-            refusal_pause: seconds("refusal_pause_s", raw.refusal_pause_s, 30.0, 1.0, 3600.0)?,
-            summary_fresh: seconds("summary_fresh_s", raw.summary_fresh_s, 6.0, 2.0, 60.0)?,
-            visitors_share: number("visitors_share", raw.visitors_share.unwrap_or(0.5), 0.0, 1.0)?,
+            listen: parse_address("listen", &raw.listen)?,
+            offers_jobs: raw.offers.unwrap_or(true),
+            spill_after: parse_duration("spill_after_s", raw.spill_after_s, 20.0, 1.0, 3600.0)?,
+            return_after: parse_duration("return_after_s", raw.return_after_s, 60.0, 5.0, 3600.0)?,
+            refusal_pause: parse_duration("refusal_pause_s", raw.refusal_pause_s, 30.0, 1.0, 3600.0)?,
+            summary_max_age: parse_duration("summary_fresh_s", raw.summary_fresh_s, 6.0, 2.0, 60.0)?,
+            hosted_jobs_share: check_range("visitors_share", raw.visitors_share.unwrap_or(0.5), 0.0, 1.0)?,
             peers,
         })
     }
--- a/crates/dapplecroft-federation/src/summary.rs
+++ b/crates/dapplecroft-federation/src/summary.rs
@@ -11,7 +11,7 @@
 
 /// Equal machines of a cell with equal room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Room {
+pub struct MachinePool {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
@@ -32,148 +32,148 @@
     /// The cell.
     pub cell: CellId,
     /// Machines that are up and take work.
-    pub up: Vec<Room>,
+    pub up: Vec<MachinePool>,
     /// Kinds of machine that could still be rented, as far as is known.
-    pub rentable: Vec<Room>,
+    pub rentable: Vec<MachinePool>,
     /// CPUs of tasks that wait there for room, in thousandths.
     pub backlog_cpus: i64,
     /// CPUs that it would still take of other cells' jobs, in thousandths.
-    pub welcome_cpus: i64,
+    pub hosting_headroom_cpus: i64,
 }
 
 /// What a job asks for, as far as the choice of a cell goes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
+pub struct JobDemand {
     /// What each task needs.
     pub requirements: TaskRequirements,
     /// How many tasks there are.
     pub tasks: u32,
 }
 
-impl Wish {
-    fn allows(&self, room: &Room) -> bool {
-        self.requirements.allows(&room.machine_type, &room.zone, room.spot)
+impl JobDemand {
+    fn allows(&self, pool: &MachinePool) -> bool {
+        self.requirements.allows(&pool.machine_type, &pool.zone, pool.spot)
     }
 
-    fn tasks_in(&self, rooms: &[Room]) -> i64 {
-        let allowed = rooms.iter().filter(|room| self.allows(room));
-        allowed.map(|room| self.requirements.resources.times_in(&room.free) * room.count).sum()
+    fn tasks_that_fit(&self, pools: &[MachinePool]) -> i64 {
+        let allowed = pools.iter().filter(|pool| self.allows(pool));
+        allowed.map(|pool| self.requirements.resources.times_in(&pool.free) * pool.count).sum()
     }
 
-    fn all(&self) -> Resources {
+    fn total_resources(&self) -> Resources {
         self.requirements.resources.times(i64::from(self.tasks))
     }
 }
 
 /// How well a cell fits a job; the greatest is the best.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-struct Fit {
+struct CellFit {
     /// Whether all tasks can begin at once.
-    whole: bool,
+    starts_all_tasks: bool,
     /// Best fit on the dominant share: how full the machines that are up and may be
     /// used become. Where not all tasks begin at once, how many do.
-    fullness: f64,
+    fraction: f64,
 }
 
 /// What is known of other cells.
 #[derive(Debug, Default)]
-pub struct SummaryBook {
+pub struct PeerSummaries {
     summaries: BTreeMap<String, (Summary, Instant)>,
     /// When each cell last refused which job.
     refusals: HashMap<(Arc<str>, String), Instant>,
 }
 
-impl SummaryBook {
+impl PeerSummaries {
     /// Takes note of a summary. It counts from when it was *asked* for.
-    pub fn note(&mut self, summary: Summary, asked: Instant) {
+    pub fn record_summary(&mut self, summary: Summary, asked: Instant) {
         let known = self.summaries.get(&summary.cell.name);
-        let older =
+        let outdated =
             known.is_some_and(|(old, at)| (old.cell.incarnation, *at) > (summary.cell.incarnation, asked));
-        if !older {
+        if !outdated {
             self.summaries.insert(summary.cell.name.clone(), (summary, asked));
         }
     }
 
     /// A cell as it last told of itself, and how long ago it was asked for that.
-    pub fn heard(&self, cell: &str, now: Instant) -> Option<(&CellId, Duration)> {
+    pub fn latest_cell_and_age(&self, cell: &str, now: Instant) -> Option<(&CellId, Duration)> {
         let (summary, asked) = self.summaries.get(cell)?;
         Some((&summary.cell, now.saturating_duration_since(*asked)))
     }
 
     /// Takes note that a cell has refused a job.
-    pub fn note_refusal(&mut self, job: &Arc<str>, cell: &str, now: Instant) {
+    pub fn record_refusal(&mut self, job: &Arc<str>, cell: &str, now: Instant) {
         self.refusals.insert((job.clone(), cell.to_string()), now);
     }
 
     /// Forgets refusals that count no more.
-    pub fn forget_refusals(&mut self, pause: Duration, now: Instant) {
-        self.refusals.retain(|_, at| now.saturating_duration_since(*at) < pause);
+    pub fn expire_refusals(&mut self, refusal_pause: Duration, now: Instant) {
+        self.refusals.retain(|_, at| now.saturating_duration_since(*at) < refusal_pause);
     }
 
     /// Takes off what has been offered to a cell since its summary: it does not know of
     /// it yet.
-    pub fn note_offer(&mut self, cell: &str, wish: &Wish) {
+    pub fn deduct_offer(&mut self, cell: &str, demand: &JobDemand) {
         let Some((summary, _)) = self.summaries.get_mut(cell) else { return };
-        summary.welcome_cpus -= wish.all().cpus;
-        let mut left = i64::from(wish.tasks);
-        let mut split = Vec::new();
-        for room in summary.up.iter_mut().filter(|room| wish.allows(room)) {
-            let each = wish.requirements.resources.times_in(&room.free);
-            if each == 0 || left <= 0 {
+        summary.hosting_headroom_cpus -= demand.total_resources().cpus;
+        let mut remaining_tasks = i64::from(demand.tasks);
+        let mut occupied = Vec::new();
+        for pool in summary.up.iter_mut().filter(|pool| demand.allows(pool)) {
+            let per_machine = demand.requirements.resources.times_in(&pool.free);
+            if per_machine == 0 || remaining_tasks <= 0 {
                 continue;
             }
-            let machines = ((left + each - 1) / each).min(room.count);
-            room.count -= machines;
-            left -= machines * each;
-            split.push(Room { free: Resources::default(), count: machines, ..room.clone() });
+            let machines = ((remaining_tasks + per_machine - 1) / per_machine).min(pool.count);
+            pool.count -= machines;
+            remaining_tasks -= machines * per_machine;
+            occupied.push(MachinePool { free: Resources::default(), count: machines, ..pool.clone() });
         }
-        summary.up.extend(split);
+        summary.up.extend(occupied);
     }
 
     /// The cell that a job is best offered to, if any: among those that have told of
-    /// themselves within `fresh` and have not refused it within `pause`, the one that can
+    /// themselves within `max_age` and have not refused it within `refusal_pause`, the one that can
     /// begin all of it and becomes the fullest by it; else the one that can begin most.
-    pub fn choose(
+    pub fn choose_cell(
         &self,
         job: &Arc<str>,
-        wish: &Wish,
-        fresh: Duration,
-        pause: Duration,
+        demand: &JobDemand,
+        max_age: Duration,
+        refusal_pause: Duration,
         now: Instant,
     ) -> Option<CellId> {
         let recent = |at: &Instant, within| now.saturating_duration_since(*at) < within;
         let refused = |cell: &str| {
             let at = self.refusals.get(&(job.clone(), cell.to_string()));
-            at.is_some_and(|at| recent(at, pause))
+            at.is_some_and(|at| recent(at, refusal_pause))
         };
         let fits = self
             .summaries
             .values()
-            .filter(|(summary, asked)| recent(asked, fresh) && !refused(&summary.cell.name))
-            .filter_map(|(summary, _)| Some((fit(summary, wish)?, &summary.cell)));
+            .filter(|(summary, asked)| recent(asked, max_age) && !refused(&summary.cell.name))
+            .filter_map(|(summary, _)| Some((evaluate_fit(summary, demand)?, &summary.cell)));
         let best = fits.max_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal));
         best.map(|(_, cell)| cell.clone())
     }
 }
 
 /// How well a cell fits a job; `None`: it has no room, or work of its own that waits.
-fn fit(summary: &Summary, wish: &Wish) -> Option<Fit> {
-    if summary.backlog_cpus > 0 || summary.welcome_cpus < wish.all().cpus {
+fn evaluate_fit(summary: &Summary, demand: &JobDemand) -> Option<CellFit> {
+    if summary.backlog_cpus > 0 || summary.hosting_headroom_cpus < demand.total_resources().cpus {
         return None;
     }
-    let tasks = i64::from(wish.tasks);
-    let begins = wish.tasks_in(&summary.up).min(tasks);
-    if begins == 0 && wish.tasks_in(&summary.rentable) == 0 {
+    let tasks = i64::from(demand.tasks);
+    let starting = demand.tasks_that_fit(&summary.up).min(tasks);
+    if starting == 0 && demand.tasks_that_fit(&summary.rentable) == 0 {
         return None;
     }
-    if begins < tasks {
-        return Some(Fit { whole: false, fullness: begins as f64 / tasks as f64 });
+    if starting < tasks {
+        return Some(CellFit { starts_all_tasks: false, fraction: starting as f64 / tasks as f64 });
     }
     let mut capacity = Resources::default();
-    let mut booked = wish.all();
-    for room in summary.up.iter().filter(|room| wish.allows(room)) {
-        capacity += room.capacity.times(room.count);
-        booked += (room.capacity - room.free).times(room.count);
+    let mut used = demand.total_resources();
+    for pool in summary.up.iter().filter(|pool| demand.allows(pool)) {
+        capacity += pool.capacity.times(pool.count);
+        used += (pool.capacity - pool.free).times(pool.count);
     }
-    Some(Fit { whole: true, fullness: booked.share_of(&capacity) })
+    Some(CellFit { starts_all_tasks: true, fraction: used.share_of(&capacity) })
 }
--- a/crates/dapplecroft-federation/tests/hand_over.rs
+++ b/crates/dapplecroft-federation/tests/hand_over.rs
@@ -11,89 +11,89 @@
 
 #![allow(clippy::unwrap_used)]
 
-use dapplecroft_federation::home::watermark;
-use dapplecroft_federation::visitor::{Known, is_prunable, on_request};
+use dapplecroft_federation::home::compute_watermark;
+use dapplecroft_federation::host::{HostRecords, is_prunable, on_request};
 use dapplecroft_federation::{
-    AwayRecord, CellId, Epoch, HomeStep, Origin, Outcome, RefusalRecord, TransferRequest, TransferState,
-    Visit, VisitorStep, WatermarkRecord,
+    AwayRecord, CellId, Epoch, HomeStep, HostStep, HostedJob, Origin, Outcome, RefusalRecord,
+    TransferRequest, TransferState, WatermarkRecord,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Cells that the job may be offered to.
-const CELLS: usize = 2;
+const HOST_CELLS: usize = 2;
 /// Offers that are made at most, in all. With three there are 882,786 states, none of which
 /// breaks a rule; that takes too long for every run.
-const OFFERS: u64 = 2;
+const MAX_OFFERS: u64 = 2;
 /// More states than this are too many to explore.
 const MAX_STATES: usize = 3_000_000;
 
 /// A fault put into the hand-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fault {
+enum InjectedFault {
     None,
     /// The home cell takes the job back after a timeout.
-    ReopenAfterSilence,
+    ReopenAfterTimeout,
     /// The visited cell refuses without a record of it.
     RefusalNotCommitted,
     /// Refusals are dropped before the home cell has finished.
     RefusalPrunedEarly,
     /// A cancellation is confirmed before the visited cell has committed it.
-    CancelledWithoutProof,
+    CancellationConfirmedWithoutCommit,
     /// The watermark passes an offer whose transaction may still be carried out. (The
     /// first draft of the hand-over had this fault; this exploration found it.)
-    WatermarkPassesUnsettledOffer,
+    WatermarkPassesInFlightOffer,
     /// Final records are dropped as soon as the home cell has asked.
-    ResultPrunedEarly,
+    FinalRecordPrunedEarly,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum HomeRecord {
     Open,
     Away { cell: usize, epoch: u64, cancelling: bool },
-    Over { done: bool },
+    Ended { done: bool },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum HomeChange {
-    Start,
-    Set(HomeRecord),
+enum HomeTransaction {
+    StartJob,
+    SetRecord(HomeRecord),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum JobState {
+enum HostJobState {
     Open,
-    Withdrawn,
+    Cancelled,
     Done,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum VisitorChange {
+enum HostTransaction {
     Accept(u64),
     Refuse(u64),
     Return(u64),
-    Withdraw,
+    Cancel,
 }
 
 /// A visited cell: its records, what its machines do, and transactions on their way.
 /// These are bound to its records as they are, so any commit voids the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Visitor {
-    job: Option<(u64, JobState)>,
-    refused: Option<u64>,
+struct HostCell {
+    job: Option<(u64, HostJobState)>,
+    refused_epoch: Option<u64>,
     watermark: u64,
-    runs: bool,
-    ever_ran: bool,
-    on_way: BTreeSet<VisitorChange>,
+    running: bool,
+    has_started: bool,
+    in_flight: BTreeSet<HostTransaction>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct World {
+struct Model {
     home: HomeRecord,
-    home_runs: bool,
-    home_ran: bool,
-    home_on_way: BTreeSet<HomeChange>,
+    home_running: bool,
+    home_has_started: bool,
+    home_in_flight: BTreeSet<HomeTransaction>,
     next_epoch: u64,
-    visitors: [Visitor; CELLS],
+    hosts: [HostCell; HOST_CELLS],
     requests: BTreeSet<(usize, u64, TransferRequest)>,
     answers: BTreeSet<(usize, u64, TransferState)>,
     watermarks: BTreeSet<(usize, u64)>,
@@ -101,27 +101,27 @@
     completions: u8,
 }
 
-fn home_cell() -> CellId {
+fn home_cell_id() -> CellId {
     CellId::new("a", 1)
 }
 
-fn visited(cell: usize) -> CellId {
+fn host_cell_id(cell: usize) -> CellId {
     CellId::new(["b", "c"][cell], 1)
 }
 
-impl Visitor {
-    fn known(&self) -> Known {
-        let job = self.job.map_or(Visit::Absent, |(epoch, state)| Visit::Present {
-            origin: Origin { cell: home_cell(), epoch: Epoch(epoch) },
+impl HostCell {
+    fn records(&self) -> HostRecords {
+        let job = self.job.map_or(HostedJob::Absent, |(epoch, state)| HostedJob::Present {
+            origin: Origin { cell: home_cell_id(), epoch: Epoch(epoch) },
             state: match state {
-                JobState::Open => TransferState::Accepted { done: 0, running: 0 },
-                JobState::Withdrawn => TransferState::Withdrawn { done: 0 },
-                JobState::Done => TransferState::Done { done: 1 },
+                HostJobState::Open => TransferState::Accepted { done: 0, running: 0 },
+                HostJobState::Cancelled => TransferState::Withdrawn { done: 0 },
+                HostJobState::Done => TransferState::Done { done: 1 },
             },
         });
-        Known {
+        HostRecords {
             job,
-            refused: self.refused.map(|epoch| RefusalRecord { epoch: Epoch(epoch) }),
+            refusal: self.refused_epoch.map(|epoch| RefusalRecord { epoch: Epoch(epoch) }),
             watermark: self.watermark_record(),
         }
     }
@@ -130,75 +130,76 @@
         WatermarkRecord { incarnation: 1, epoch: Epoch(self.watermark) }
     }
 
-    fn commit(&mut self, change: VisitorChange) {
-        match change {
-            VisitorChange::Accept(epoch) => self.job = Some((epoch, JobState::Open)),
-            VisitorChange::Refuse(epoch) => self.refused = Some(epoch),
-            VisitorChange::Return(epoch) => {
+    fn commit(&mut self, transaction: HostTransaction) {
+        match transaction {
+            HostTransaction::Accept(epoch) => self.job = Some((epoch, HostJobState::Open)),
+            HostTransaction::Refuse(epoch) => self.refused_epoch = Some(epoch),
+            HostTransaction::Return(epoch) => {
                 self.job = None;
-                self.refused = Some(epoch);
+                self.refused_epoch = Some(epoch);
             }
-            VisitorChange::Withdraw => {
-                self.job = self.job.map(|(epoch, _)| (epoch, JobState::Withdrawn));
-                self.runs = false;
+            HostTransaction::Cancel => {
+                self.job = self.job.map(|(epoch, _)| (epoch, HostJobState::Cancelled));
+                self.running = false;
             }
         }
-        self.on_way.clear();
+        self.in_flight.clear();
     }
 
     /// What it may do by itself.
-    fn own_steps(&self, fault: Fault) -> Vec<Visitor> {
+    fn host_transitions(&self, fault: InjectedFault) -> Vec<HostCell> {
         let mut next = Vec::new();
-        for change in &self.on_way {
+        for transaction in &self.in_flight {
             let mut after = self.clone();
-            after.commit(*change);
+            after.commit(*transaction);
             next.push(after);
         }
-        if let Some((epoch, JobState::Open)) = self.job {
-            if self.runs {
+        if let Some((epoch, HostJobState::Open)) = self.job {
+            if self.running {
                 let mut after = self.clone();
-                after.job = Some((epoch, JobState::Done));
-                after.runs = false;
-                after.on_way.clear();
+                after.job = Some((epoch, HostJobState::Done));
+                after.running = false;
+                after.in_flight.clear();
                 next.push(after);
             } else {
                 let mut after = self.clone();
-                (after.runs, after.ever_ran) = (true, true);
+                (after.running, after.has_started) = (true, true);
                 // The first start rests on an allocation, which is committed on the job's
                 // record, as a return is.
-                after.on_way.clear();
+                after.in_flight.clear();
                 next.push(after);
             }
-            if !self.ever_ran {
+            if !self.has_started {
                 let mut after = self.clone();
-                after.on_way.insert(VisitorChange::Return(epoch));
+                after.in_flight.insert(HostTransaction::Return(epoch));
                 next.push(after);
             }
         }
-        let early = fault == Fault::RefusalPrunedEarly;
-        if let Some(epoch) = self.refused
-            && (early || is_prunable(Epoch(epoch), 1, &self.watermark_record()))
+        let prune_early = fault == InjectedFault::RefusalPrunedEarly;
+        if let Some(epoch) = self.refused_epoch
+            && (prune_early || is_prunable(Epoch(epoch), 1, &self.watermark_record()))
         {
-            next.push(Visitor { refused: None, on_way: BTreeSet::new(), ..self.clone() });
+            next.push(HostCell { refused_epoch: None, in_flight: BTreeSet::new(), ..self.clone() });
         }
-        if let Some((epoch, JobState::Done | JobState::Withdrawn)) = self.job
-            && (fault == Fault::ResultPrunedEarly || is_prunable(Epoch(epoch), 1, &self.watermark_record()))
+        if let Some((epoch, HostJobState::Done | HostJobState::Cancelled)) = self.job
+            && (fault == InjectedFault::FinalRecordPrunedEarly
+                || is_prunable(Epoch(epoch), 1, &self.watermark_record()))
         {
-            next.push(Visitor { job: None, ever_ran: false, on_way: BTreeSet::new(), ..self.clone() });
+            next.push(HostCell { job: None, has_started: false, in_flight: BTreeSet::new(), ..self.clone() });
         }
         next
     }
 }
 
-impl World {
-    fn start() -> World {
-        World {
+impl Model {
+    fn initial() -> Model {
+        Model {
             home: HomeRecord::Open,
-            home_runs: false,
-            home_ran: false,
-            home_on_way: BTreeSet::new(),
+            home_running: false,
+            home_has_started: false,
+            home_in_flight: BTreeSet::new(),
             next_epoch: 1,
-            visitors: Default::default(),
+            hosts: Default::default(),
             requests: BTreeSet::new(),
             answers: BTreeSet::new(),
             watermarks: BTreeSet::new(),
@@ -206,153 +207,165 @@
         }
     }
 
-    fn with(&self, change: impl FnOnce(&mut World)) -> World {
+    fn with(&self, change: impl FnOnce(&mut Model)) -> Model {
         let mut next = self.clone();
         change(&mut next);
         next
     }
 
-    fn set_home(&mut self, record: HomeRecord) {
-        if matches!(record, HomeRecord::Over { .. }) {
-            self.home_runs = false;
+    fn commit_home_record(&mut self, record: HomeRecord) {
+        if matches!(record, HomeRecord::Ended { .. }) {
+            self.home_running = false;
         }
         self.home = record;
-        self.home_on_way.clear();
+        self.home_in_flight.clear();
     }
 
-    fn away(&self) -> Option<(usize, AwayRecord)> {
+    fn away_record(&self) -> Option<(usize, AwayRecord)> {
         match self.home {
             HomeRecord::Away { cell, epoch, cancelling } => {
-                let record = AwayRecord { cell: visited(cell), epoch: Epoch(epoch), cancelling };
+                let record = AwayRecord { cell: host_cell_id(cell), epoch: Epoch(epoch), cancelling };
                 Some((cell, record))
             }
             _ => None,
         }
     }
 
-    fn home_steps(&self, fault: Fault, next: &mut Vec<World>) {
-        for change in &self.home_on_way {
-            next.push(self.with(|w| match change {
-                HomeChange::Start => {
-                    w.home_on_way.clear();
-                    (w.home_runs, w.home_ran) = (true, true);
+    fn home_transitions(&self, fault: InjectedFault, next: &mut Vec<Model>) {
+        for transaction in &self.home_in_flight {
+            next.push(self.with(|model| match transaction {
+                HomeTransaction::StartJob => {
+                    model.home_in_flight.clear();
+                    (model.home_running, model.home_has_started) = (true, true);
                 }
-                HomeChange::Set(record) => w.set_home(record.clone()),
+                HomeTransaction::SetRecord(record) => model.commit_home_record(record.clone()),
             }));
         }
         if self.home == HomeRecord::Open {
-            if self.home_runs {
-                next.push(self.with(|w| {
-                    w.completions += 1;
-                    w.set_home(HomeRecord::Over { done: true });
+            if self.home_running {
+                next.push(self.with(|model| {
+                    model.completions += 1;
+                    model.commit_home_record(HomeRecord::Ended { done: true });
                 }));
             } else {
-                next.push(self.with(|w| {
-                    w.home_on_way.insert(HomeChange::Start);
+                next.push(self.with(|model| {
+                    model.home_in_flight.insert(HomeTransaction::StartJob);
                 }));
             }
-            if !self.home_ran && self.next_epoch <= OFFERS {
-                for cell in 0..CELLS {
-                    next.push(self.with(|w| {
-                        let offered = AwayRecord::offered(visited(cell), Epoch(w.next_epoch));
+            if !self.home_has_started && self.next_epoch <= MAX_OFFERS {
+                for cell in 0..HOST_CELLS {
+                    next.push(self.with(|model| {
+                        let offered = AwayRecord::for_offer(host_cell_id(cell), Epoch(model.next_epoch));
                         let record =
                             HomeRecord::Away { cell, epoch: offered.epoch.0, cancelling: offered.cancelling };
-                        w.home_on_way.insert(HomeChange::Set(record));
-                        w.next_epoch += 1;
+                        model.home_in_flight.insert(HomeTransaction::SetRecord(record));
+                        model.next_epoch += 1;
                     }));
                 }
             }
-            next.push(self.with(|w| w.set_home(HomeRecord::Over { done: false })));
+            next.push(self.with(|model| model.commit_home_record(HomeRecord::Ended { done: false })));
         }
         if let HomeRecord::Away { cell, epoch, cancelling: false } = self.home {
-            next.push(self.with(|w| w.set_home(HomeRecord::Away { cell, epoch, cancelling: true })));
+            next.push(
+                self.with(|model| {
+                    model.commit_home_record(HomeRecord::Away { cell, epoch, cancelling: true })
+                }),
+            );
         }
-        if fault == Fault::ReopenAfterSilence && matches!(self.home, HomeRecord::Away { .. }) {
-            next.push(self.with(|w| {
-                w.home_on_way.insert(HomeChange::Set(HomeRecord::Open));
+        if fault == InjectedFault::ReopenAfterTimeout && matches!(self.home, HomeRecord::Away { .. }) {
+            next.push(self.with(|model| {
+                model.home_in_flight.insert(HomeTransaction::SetRecord(HomeRecord::Open));
             }));
         }
-        if fault == Fault::CancelledWithoutProof
+        if fault == InjectedFault::CancellationConfirmedWithoutCommit
             && matches!(self.home, HomeRecord::Away { cancelling: true, .. })
         {
-            next.push(self.with(|w| w.set_home(HomeRecord::Over { done: false })));
+            next.push(self.with(|model| model.commit_home_record(HomeRecord::Ended { done: false })));
         }
     }
 
-    fn messages(&self, fault: Fault, next: &mut Vec<World>) {
-        if let Some((cell, record)) = self.away() {
+    fn message_transitions(&self, fault: InjectedFault, next: &mut Vec<Model>) {
+        if let Some((cell, record)) = self.away_record() {
             // A poll is left out: it changes nothing, and an offer gets any answer that
             // it gets.
-            next.push(self.with(|w| {
-                w.requests.insert((cell, record.epoch.0, record.request(true)));
+            next.push(self.with(|model| {
+                model.requests.insert((cell, record.epoch.0, record.next_request(true)));
             }));
             for (from, epoch, state) in self.answers.iter().copied() {
-                let change = match record.on_answer(&visited(from), Epoch(epoch), state) {
+                let new_record = match record.on_answer(&host_cell_id(from), Epoch(epoch), state) {
                     HomeStep::Wait => continue,
                     HomeStep::Reopen => HomeRecord::Open,
-                    HomeStep::End { outcome, .. } => HomeRecord::Over { done: outcome == Outcome::Done },
+                    HomeStep::End { outcome, .. } => HomeRecord::Ended { done: outcome == Outcome::Done },
                 };
-                next.push(self.with(|w| {
-                    w.home_on_way.insert(HomeChange::Set(change));
+                next.push(self.with(|model| {
+                    model.home_in_flight.insert(HomeTransaction::SetRecord(new_record));
                 }));
             }
         }
-        for cell in 0..CELLS {
-            let away = self.away().filter(|(at, _)| *at == cell).map(|(_, record)| record.epoch);
-            let unsettled = self.home_on_way.iter().filter_map(|change| match change {
-                HomeChange::Set(HomeRecord::Away { epoch, .. }) => Some(Epoch(*epoch)),
+        for cell in 0..HOST_CELLS {
+            let away = self.away_record().filter(|(at, _)| *at == cell).map(|(_, record)| record.epoch);
+            let in_flight_offers = self.home_in_flight.iter().filter_map(|transaction| match transaction {
+                HomeTransaction::SetRecord(HomeRecord::Away { epoch, .. }) => Some(Epoch(*epoch)),
                 _ => None,
             });
-            let unsettled = unsettled.filter(|_| fault != Fault::WatermarkPassesUnsettledOffer);
-            let outstanding = away.into_iter().chain(unsettled);
-            let mark = watermark(outstanding, Epoch(self.next_epoch)).0;
-            next.push(self.with(|w| {
-                w.watermarks.insert((cell, mark));
+            let in_flight_offers =
+                in_flight_offers.filter(|_| fault != InjectedFault::WatermarkPassesInFlightOffer);
+            let outstanding = away.into_iter().chain(in_flight_offers);
+            let watermark = compute_watermark(outstanding, Epoch(self.next_epoch)).0;
+            next.push(self.with(|model| {
+                model.watermarks.insert((cell, watermark));
             }));
         }
         for (cell, epoch) in self.watermarks.iter().copied() {
-            let raised = self.visitors[cell].watermark_record().raised(1, Epoch(epoch));
-            if let Some(record) = raised {
-                next.push(self.with(|w| {
-                    w.visitors[cell].watermark = record.epoch.0;
-                    w.visitors[cell].on_way.clear();
+            let advanced = self.hosts[cell].watermark_record().advanced_to(1, Epoch(epoch));
+            if let Some(record) = advanced {
+                next.push(self.with(|model| {
+                    model.hosts[cell].watermark = record.epoch.0;
+                    model.hosts[cell].in_flight.clear();
                 }));
             }
         }
         for (cell, epoch, request) in self.requests.iter().copied() {
-            for room in [true, false] {
-                next.push(self.with(|w| w.deliver(cell, epoch, request, room, fault)));
+            for can_accept in [true, false] {
+                next.push(self.with(|model| model.deliver_request(cell, epoch, request, can_accept, fault)));
             }
         }
     }
 
-    fn deliver(&mut self, cell: usize, epoch: u64, request: TransferRequest, room: bool, fault: Fault) {
-        let known = self.visitors[cell].known();
-        let change = match on_request(&known, &home_cell(), Epoch(epoch), request, room) {
+    fn deliver_request(
+        &mut self,
+        cell: usize,
+        epoch: u64,
+        request: TransferRequest,
+        can_accept: bool,
+        fault: InjectedFault,
+    ) {
+        let records = self.hosts[cell].records();
+        let transaction = match on_request(&records, &home_cell_id(), Epoch(epoch), request, can_accept) {
             // The home cell only waits on these.
-            VisitorStep::Answer(TransferState::Accepted { .. } | TransferState::Unknown) => return,
-            VisitorStep::Answer(state) => {
+            HostStep::Answer(TransferState::Accepted { .. } | TransferState::Unknown) => return,
+            HostStep::Answer(state) => {
                 self.answers.insert((cell, epoch, state));
                 return;
             }
-            VisitorStep::OutdatedSender => return,
-            VisitorStep::Refuse if fault == Fault::RefusalNotCommitted => {
+            HostStep::OutdatedSender => return,
+            HostStep::Refuse if fault == InjectedFault::RefusalNotCommitted => {
                 self.answers.insert((cell, epoch, TransferState::Refused));
                 return;
             }
-            VisitorStep::Accept => VisitorChange::Accept(epoch),
-            VisitorStep::Refuse => VisitorChange::Refuse(epoch),
-            VisitorStep::Withdraw => VisitorChange::Withdraw,
+            HostStep::Accept => HostTransaction::Accept(epoch),
+            HostStep::Refuse => HostTransaction::Refuse(epoch),
+            HostStep::Cancel => HostTransaction::Cancel,
         };
-        self.visitors[cell].on_way.insert(change);
+        self.hosts[cell].in_flight.insert(transaction);
     }
 
     /// The same world with the cells in the other order: nothing tells them apart, so
     /// only one of both has to be explored.
-    fn canonical(self) -> World {
+    fn canonical(self) -> Model {
         let other = |cell: usize| 1 - cell;
         let mut swapped = self.clone();
-        swapped.visitors.swap(0, 1);
+        swapped.hosts.swap(0, 1);
         let swap = |record: &HomeRecord| match *record {
             HomeRecord::Away { cell, epoch, cancelling } => {
                 HomeRecord::Away { cell: other(cell), epoch, cancelling }
@@ -360,40 +373,43 @@
             ref same => same.clone(),
         };
         swapped.home = swap(&self.home);
-        swapped.home_on_way = self
-            .home_on_way
+        swapped.home_in_flight = self
+            .home_in_flight
             .iter()
-            .map(|change| match change {
-                HomeChange::Start => HomeChange::Start,
-                HomeChange::Set(record) => HomeChange::Set(swap(record)),
+            .map(|transaction| match transaction {
+                HomeTransaction::StartJob => HomeTransaction::StartJob,
+                HomeTransaction::SetRecord(record) => HomeTransaction::SetRecord(swap(record)),
             })
             .collect();
-        swapped.requests = self.requests.iter().map(|(c, e, r)| (other(*c), *e, *r)).collect();
-        swapped.answers = self.answers.iter().map(|(c, e, s)| (other(*c), *e, *s)).collect();
-        swapped.watermarks = self.watermarks.iter().map(|(c, e)| (other(*c), *e)).collect();
+        swapped.requests =
+            self.requests.iter().map(|(cell, epoch, request)| (other(*cell), *epoch, *request)).collect();
+        swapped.answers =
+            self.answers.iter().map(|(cell, epoch, state)| (other(*cell), *epoch, *state)).collect();
+        swapped.watermarks = self.watermarks.iter().map(|(cell, epoch)| (other(*cell), *epoch)).collect();
         self.min(swapped)
     }
 
-    fn next(&self, fault: Fault) -> Vec<World> {
+    fn successors(&self, fault: InjectedFault) -> Vec<Model> {
         let mut next = Vec::new();
-        self.home_steps(fault, &mut next);
-        self.messages(fault, &mut next);
-        for cell in 0..CELLS {
-            for after in self.visitors[cell].own_steps(fault) {
-                let completed =
-                    self.visitors[cell].runs && !after.runs && matches!(after.job, Some((_, JobState::Done)));
-                next.push(self.with(|w| {
-                    w.completions += u8::from(completed);
-                    w.visitors[cell] = after;
+        self.home_transitions(fault, &mut next);
+        self.message_transitions(fault, &mut next);
+        for cell in 0..HOST_CELLS {
+            for after in self.hosts[cell].host_transitions(fault) {
+                let completed = self.hosts[cell].running
+                    && !after.running
+                    && matches!(after.job, Some((_, HostJobState::Done)));
+                next.push(self.with(|model| {
+                    model.completions += u8::from(completed);
+                    model.hosts[cell] = after;
                 }));
             }
         }
-        next.into_iter().map(World::canonical).collect()
+        next.into_iter().map(Model::canonical).collect()
     }
 
     /// Which rule is broken here, if any.
-    fn broken(&self) -> Option<&'static str> {
-        let running = usize::from(self.home_runs) + self.visitors.iter().filter(|v| v.runs).count();
+    fn violated_rule(&self) -> Option<&'static str> {
+        let running = usize::from(self.home_running) + self.hosts.iter().filter(|host| host.running).count();
         if running > 1 {
             return Some("it runs in two cells at once");
         }
@@ -401,8 +417,8 @@
             return Some("it was run to its end twice");
         }
         match self.home {
-            HomeRecord::Over { .. } if running > 0 => Some("it runs after its end was told"),
-            HomeRecord::Over { done: true } if self.completions == 0 => {
+            HomeRecord::Ended { .. } if running > 0 => Some("it runs after its end was told"),
+            HomeRecord::Ended { done: true } if self.completions == 0 => {
                 Some("it is told to be done and is not")
             }
             HomeRecord::Open if self.completions > 0 => Some("its end is lost"),
@@ -411,94 +427,96 @@
     }
 }
 
-struct Explored {
+struct Exploration {
     states: usize,
-    broken: BTreeSet<&'static str>,
+    violations: BTreeSet<&'static str>,
     /// States from which the job can't come to its end any more.
     stuck: usize,
     /// The shortest way to the first broken rule.
-    trace: Vec<World>,
+    trace: Vec<Model>,
 }
 
 /// The shortest way to a state, from which the others were first reached.
-fn trace(numbers: &HashMap<World, usize>, before: &[Vec<u32>], to: usize) -> Vec<World> {
-    let mut way = vec![to];
-    while let Some(first) = way.last().and_then(|n| before[*n].first()) {
-        way.push(*first as usize);
+fn shortest_path(state_numbers: &HashMap<Model, usize>, predecessors: &[Vec<u32>], to: usize) -> Vec<Model> {
+    let mut path = vec![to];
+    while let Some(first) = path.last().and_then(|n| predecessors[*n].first()) {
+        path.push(*first as usize);
     }
-    way.reverse();
-    let worlds: HashMap<usize, &World> = numbers.iter().map(|(world, n)| (*n, world)).collect();
-    way.iter().map(|n| worlds[n].clone()).collect()
+    path.reverse();
+    let states: HashMap<usize, &Model> = state_numbers.iter().map(|(model, n)| (*n, model)).collect();
+    path.iter().map(|n| states[n].clone()).collect()
 }
 
-fn explore(fault: Fault) -> Explored {
-    let mut numbers: HashMap<World, usize> = HashMap::new();
-    let mut before: Vec<Vec<u32>> = Vec::new();
-    let mut over: Vec<usize> = Vec::new();
+fn explore(fault: InjectedFault) -> Exploration {
+    let mut state_numbers: HashMap<Model, usize> = HashMap::new();
+    let mut predecessors: Vec<Vec<u32>> = Vec::new();
+    let mut ended: Vec<usize> = Vec::new();
     let mut queue = VecDeque::new();
-    let mut broken = BTreeSet::new();
-    let mut first = None;
-    numbers.insert(World::start(), 0);
-    before.push(Vec::new());
-    queue.push_back(World::start());
-    while let Some(world) = queue.pop_front() {
-        let number = numbers[&world];
-        if let Some(rule) = world.broken() {
-            if broken.is_empty() {
-                first = Some(number);
+    let mut violations = BTreeSet::new();
+    let mut first_violation = None;
+    state_numbers.insert(Model::initial(), 0);
+    predecessors.push(Vec::new());
+    queue.push_back(Model::initial());
+    while let Some(model) = queue.pop_front() {
+        let number = state_numbers[&model];
+        if let Some(rule) = model.violated_rule() {
+            if violations.is_empty() {
+                first_violation = Some(number);
             }
-            broken.insert(rule);
+            violations.insert(rule);
             // What follows from a broken rule says nothing.
             continue;
         }
-        if matches!(world.home, HomeRecord::Over { .. }) {
-            over.push(number);
+        if matches!(model.home, HomeRecord::Ended { .. }) {
+            ended.push(number);
         }
-        for next in world.next(fault) {
-            let fresh = numbers.len();
-            let known = *numbers.entry(next.clone()).or_insert(fresh);
-            if known == fresh {
-                before.push(Vec::new());
-                queue.push_back(next);
+        for successor in model.successors(fault) {
+            let new_number = state_numbers.len();
+            let successor_number = *state_numbers.entry(successor.clone()).or_insert(new_number);
+            if successor_number == new_number {
+                predecessors.push(Vec::new());
+                queue.push_back(successor);
             }
-            before[known].push(number as u32);
+            predecessors[successor_number].push(number as u32);
         }
-        assert!(numbers.len() <= MAX_STATES, "too many states");
-        if fault != Fault::None && !broken.is_empty() {
+        assert!(state_numbers.len() <= MAX_STATES, "too many states");
+        if fault != InjectedFault::None && !violations.is_empty() {
             break;
         }
     }
-    let mut ends = vec![false; before.len()];
-    while let Some(number) = over.pop() {
-        if !std::mem::replace(&mut ends[number], true) {
-            over.extend(before[number].iter().map(|n| *n as usize));
+    let mut can_end = vec![false; predecessors.len()];
+    while let Some(number) = ended.pop() {
+        if !std::mem::replace(&mut can_end[number], true) {
+            ended.extend(predecessors[number].iter().map(|n| *n as usize));
         }
     }
-    let stuck = ends.iter().filter(|end| !**end).count();
-    let trace = first.map(|number| trace(&numbers, &before, number)).unwrap_or_default();
-    Explored { states: numbers.len(), broken, stuck, trace }
+    let stuck = can_end.iter().filter(|can_end| !**can_end).count();
+    let trace = first_violation
+        .map(|number| shortest_path(&state_numbers, &predecessors, number))
+        .unwrap_or_default();
+    Exploration { states: state_numbers.len(), violations, stuck, trace }
 }
 
 #[test]
 fn no_order_of_events_breaks_a_rule_or_loses_the_job() {
-    let explored = explore(Fault::None);
+    let explored = explore(InjectedFault::None);
     println!("{} states", explored.states);
-    assert_eq!(explored.broken, BTreeSet::new(), "{:#?}", explored.trace);
+    assert_eq!(explored.violations, BTreeSet::new(), "{:#?}", explored.trace);
     assert_eq!(explored.stuck, 0, "states from which there is no way to the end");
 }
 
 #[test]
-fn known_faults_are_found() {
+fn each_injected_fault_is_detected() {
     for fault in [
-        Fault::ReopenAfterSilence,
-        Fault::RefusalNotCommitted,
-        Fault::RefusalPrunedEarly,
-        Fault::CancelledWithoutProof,
-        Fault::WatermarkPassesUnsettledOffer,
-        Fault::ResultPrunedEarly,
+        InjectedFault::ReopenAfterTimeout,
+        InjectedFault::RefusalNotCommitted,
+        InjectedFault::RefusalPrunedEarly,
+        InjectedFault::CancellationConfirmedWithoutCommit,
+        InjectedFault::WatermarkPassesInFlightOffer,
+        InjectedFault::FinalRecordPrunedEarly,
     ] {
         let explored = explore(fault);
-        println!("{fault:?}: {:?} after {} states", explored.broken, explored.states);
-        assert!(!explored.broken.is_empty(), "{fault:?} is not found");
+        println!("{fault:?}: {:?} after {} states", explored.violations, explored.states);
+        assert!(!explored.violations.is_empty(), "{fault:?} is not found");
     }
 }
--- a/crates/dapplecroft-federation/tests/random.rs
+++ b/crates/dapplecroft-federation/tests/random.rs
@@ -4,17 +4,17 @@
 
 #![allow(clippy::unwrap_used)]
 
-use dapplecroft_federation::home::watermark;
-use dapplecroft_federation::visitor::{Known, is_prunable, on_request};
+use dapplecroft_federation::home::compute_watermark;
+use dapplecroft_federation::host::{HostRecords, is_prunable, on_request};
 use dapplecroft_federation::{
-    AwayRecord, CellId, Epoch, HomeStep, Origin, Outcome, RefusalRecord, TransferRequest, TransferState,
-    Visit, VisitorStep, WatermarkRecord,
+    AwayRecord, CellId, Epoch, HomeStep, HostStep, HostedJob, Origin, Outcome, RefusalRecord,
+    TransferRequest, TransferState, WatermarkRecord,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const JOBS: usize = 3;
-const CELLS: usize = 2;
+const HOST_CELLS: usize = 2;
 
 #[derive(Debug, Clone)]
 enum Event {
@@ -22,256 +22,262 @@
         job: usize,
         cell: usize,
     },
-    StartHere(usize),
-    EndHere(usize),
+    StartAtHome(usize),
+    EndAtHome(usize),
     Cancel(usize),
-    Ask(usize),
+    SendRequests(usize),
     /// One of the messages that were ever sent arrives, again or for the first time.
-    Request {
+    DeliverRequest {
         pick: usize,
-        room: bool,
+        can_accept: bool,
     },
-    Answer(usize),
-    Watermark(usize),
-    Start {
+    DeliverAnswer(usize),
+    RaiseWatermark(usize),
+    StartAtHost {
         job: usize,
         cell: usize,
     },
-    End {
+    EndAtHost {
         job: usize,
         cell: usize,
     },
-    Return {
+    ReturnFromHost {
         job: usize,
         cell: usize,
     },
-    Prune {
+    PruneAtHost {
         job: usize,
         cell: usize,
     },
 }
 
-fn event() -> impl Strategy<Value = Event> {
-    let (job, cell) = (0..JOBS, 0..CELLS);
+fn any_event() -> impl Strategy<Value = Event> {
+    let (job, cell) = (0..JOBS, 0..HOST_CELLS);
     prop_oneof![
         2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::Offer { job, cell }),
-        1 => job.clone().prop_map(Event::StartHere),
-        1 => job.clone().prop_map(Event::EndHere),
+        1 => job.clone().prop_map(Event::StartAtHome),
+        1 => job.clone().prop_map(Event::EndAtHome),
         1 => job.clone().prop_map(Event::Cancel),
-        4 => job.clone().prop_map(Event::Ask),
-        8 => (any::<usize>(), any::<bool>()).prop_map(|(pick, room)| Event::Request { pick, room }),
-        8 => any::<usize>().prop_map(Event::Answer),
-        2 => cell.clone().prop_map(Event::Watermark),
-        2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::Start { job, cell }),
-        2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::End { job, cell }),
-        3 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::Return { job, cell }),
-        3 => (job, cell).prop_map(|(job, cell)| Event::Prune { job, cell }),
+        4 => job.clone().prop_map(Event::SendRequests),
+        8 => (any::<usize>(), any::<bool>()).prop_map(|(pick, can_accept)| Event::DeliverRequest { pick, can_accept }),
+        8 => any::<usize>().prop_map(Event::DeliverAnswer),
+        2 => cell.clone().prop_map(Event::RaiseWatermark),
+        2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::StartAtHost { job, cell }),
+        2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::EndAtHost { job, cell }),
+        3 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::ReturnFromHost { job, cell }),
+        3 => (job, cell).prop_map(|(job, cell)| Event::PruneAtHost { job, cell }),
     ]
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Home {
+enum HomeRecord {
     Open,
     Away(AwayRecord),
-    Over(Outcome),
+    Ended(Outcome),
 }
 
 #[derive(Debug, Clone, Default)]
-struct VisitedJob {
+struct HostJob {
     job: Option<(Epoch, TransferState)>,
-    refused: Option<RefusalRecord>,
-    runs: bool,
-    ever_ran: bool,
+    refusal: Option<RefusalRecord>,
+    running: bool,
+    has_started: bool,
 }
 
 #[derive(Debug)]
-struct World {
-    home: Vec<Home>,
-    home_runs: Vec<bool>,
-    home_ran: Vec<bool>,
-    next: u64,
-    visited: Vec<Vec<VisitedJob>>,
+struct Model {
+    home_records: Vec<HomeRecord>,
+    home_running: Vec<bool>,
+    home_has_started: Vec<bool>,
+    next_epoch: u64,
+    host_jobs: Vec<Vec<HostJob>>,
     watermarks: Vec<WatermarkRecord>,
     requests: Vec<(usize, usize, Epoch, TransferRequest)>,
     answers: Vec<(usize, usize, Epoch, TransferState)>,
     completions: Vec<u32>,
 }
 
-fn cell_id(cell: usize) -> CellId {
+fn host_cell_id(cell: usize) -> CellId {
     CellId::new(["b", "c"][cell], 1)
 }
 
-impl World {
-    fn new() -> World {
-        World {
-            home: vec![Home::Open; JOBS],
-            home_runs: vec![false; JOBS],
-            home_ran: vec![false; JOBS],
-            next: 1,
-            visited: vec![vec![VisitedJob::default(); JOBS]; CELLS],
-            watermarks: vec![WatermarkRecord { incarnation: 1, epoch: Epoch(0) }; CELLS],
+impl Model {
+    fn new() -> Model {
+        Model {
+            home_records: vec![HomeRecord::Open; JOBS],
+            home_running: vec![false; JOBS],
+            home_has_started: vec![false; JOBS],
+            next_epoch: 1,
+            host_jobs: vec![vec![HostJob::default(); JOBS]; HOST_CELLS],
+            watermarks: vec![WatermarkRecord { incarnation: 1, epoch: Epoch(0) }; HOST_CELLS],
             requests: Vec::new(),
             answers: Vec::new(),
             completions: vec![0; JOBS],
         }
     }
 
-    fn away(&self, job: usize) -> Option<(usize, AwayRecord)> {
-        let Home::Away(record) = &self.home[job] else { return None };
-        let cell = (0..CELLS).find(|cell| cell_id(*cell) == record.cell)?;
+    fn away_record(&self, job: usize) -> Option<(usize, AwayRecord)> {
+        let HomeRecord::Away(record) = &self.home_records[job] else { return None };
+        let cell = (0..HOST_CELLS).find(|cell| host_cell_id(*cell) == record.cell)?;
         Some((cell, record.clone()))
     }
 
-    fn happen(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         match *event {
             Event::Offer { job, cell } => {
-                if self.home[job] == Home::Open && !self.home_ran[job] {
-                    self.home[job] = Home::Away(AwayRecord::offered(cell_id(cell), Epoch(self.next)));
-                    self.next += 1;
+                if self.home_records[job] == HomeRecord::Open && !self.home_has_started[job] {
+                    self.home_records[job] =
+                        HomeRecord::Away(AwayRecord::for_offer(host_cell_id(cell), Epoch(self.next_epoch)));
+                    self.next_epoch += 1;
                 }
             }
-            Event::StartHere(job) => {
-                if self.home[job] == Home::Open {
-                    (self.home_runs[job], self.home_ran[job]) = (true, true);
+            Event::StartAtHome(job) => {
+                if self.home_records[job] == HomeRecord::Open {
+                    (self.home_running[job], self.home_has_started[job]) = (true, true);
                 }
             }
-            Event::EndHere(job) => {
-                if self.home_runs[job] {
-                    self.home_runs[job] = false;
+            Event::EndAtHome(job) => {
+                if self.home_running[job] {
+                    self.home_running[job] = false;
                     self.completions[job] += 1;
-                    self.home[job] = Home::Over(Outcome::Done);
+                    self.home_records[job] = HomeRecord::Ended(Outcome::Done);
                 }
             }
-            Event::Cancel(job) => match &self.home[job] {
-                Home::Open => {
-                    self.home_runs[job] = false;
-                    self.home[job] = Home::Over(Outcome::Withdrawn);
+            Event::Cancel(job) => match &self.home_records[job] {
+                HomeRecord::Open => {
+                    self.home_running[job] = false;
+                    self.home_records[job] = HomeRecord::Ended(Outcome::Cancelled);
                 }
-                Home::Away(record) => self.home[job] = Home::Away(record.cancelled()),
-                Home::Over(_) => {}
+                HomeRecord::Away(record) => {
+                    self.home_records[job] = HomeRecord::Away(record.with_cancellation_requested())
+                }
+                HomeRecord::Ended(_) => {}
             },
-            Event::Ask(job) => {
-                if let Some((cell, record)) = self.away(job) {
+            Event::SendRequests(job) => {
+                if let Some((cell, record)) = self.away_record(job) {
                     for unknown in [true, false] {
-                        self.requests.push((cell, job, record.epoch, record.request(unknown)));
+                        self.requests.push((cell, job, record.epoch, record.next_request(unknown)));
                     }
                 }
             }
-            Event::Request { pick, room } => {
+            Event::DeliverRequest { pick, can_accept } => {
                 if !self.requests.is_empty() {
                     let request = self.requests[pick % self.requests.len()];
-                    self.deliver(request, room);
+                    self.deliver_request(request, can_accept);
                 }
             }
-            Event::Answer(pick) => {
+            Event::DeliverAnswer(pick) => {
                 if !self.answers.is_empty() {
                     let (cell, job, epoch, state) = self.answers[pick % self.answers.len()];
-                    if let Some((_, record)) = self.away(job) {
-                        match record.on_answer(&cell_id(cell), epoch, state) {
+                    if let Some((_, record)) = self.away_record(job) {
+                        match record.on_answer(&host_cell_id(cell), epoch, state) {
                             HomeStep::Wait => {}
-                            HomeStep::Reopen => self.home[job] = Home::Open,
-                            HomeStep::End { outcome, .. } => self.home[job] = Home::Over(outcome),
+                            HomeStep::Reopen => self.home_records[job] = HomeRecord::Open,
+                            HomeStep::End { outcome, .. } => {
+                                self.home_records[job] = HomeRecord::Ended(outcome)
+                            }
                         }
                     }
                 }
             }
-            Event::Watermark(cell) => {
-                let all = (0..JOBS).filter_map(|job| self.away(job));
+            Event::RaiseWatermark(cell) => {
+                let all = (0..JOBS).filter_map(|job| self.away_record(job));
                 let away = all.filter(|(at, _)| *at == cell).map(|(_, record)| record.epoch);
-                let mark = watermark(away.collect::<Vec<_>>(), Epoch(self.next));
-                if let Some(raised) = self.watermarks[cell].raised(1, mark) {
-                    self.watermarks[cell] = raised;
+                let watermark = compute_watermark(away.collect::<Vec<_>>(), Epoch(self.next_epoch));
+                if let Some(advanced) = self.watermarks[cell].advanced_to(1, watermark) {
+                    self.watermarks[cell] = advanced;
                 }
             }
-            Event::Start { job, cell }
-            | Event::End { job, cell }
-            | Event::Return { job, cell }
-            | Event::Prune { job, cell } => self.happen_at_visitor(event, job, cell),
+            Event::StartAtHost { job, cell }
+            | Event::EndAtHost { job, cell }
+            | Event::ReturnFromHost { job, cell }
+            | Event::PruneAtHost { job, cell } => self.apply_at_host(event, job, cell),
         }
     }
 
     /// What a visited cell does by itself.
-    fn happen_at_visitor(&mut self, event: &Event, job: usize, cell: usize) {
-        let mark = self.watermarks[cell];
-        let visited = &mut self.visited[cell][job];
+    fn apply_at_host(&mut self, event: &Event, job: usize, cell: usize) {
+        let watermark = self.watermarks[cell];
+        let host_job = &mut self.host_jobs[cell][job];
         match event {
-            Event::Start { .. } => {
-                if matches!(visited.job, Some((_, TransferState::Accepted { .. }))) {
-                    (visited.runs, visited.ever_ran) = (true, true);
+            Event::StartAtHost { .. } => {
+                if matches!(host_job.job, Some((_, TransferState::Accepted { .. }))) {
+                    (host_job.running, host_job.has_started) = (true, true);
                 }
             }
-            Event::End { .. } if visited.runs => {
-                visited.runs = false;
-                visited.job = visited.job.map(|(epoch, _)| (epoch, TransferState::Done { done: 1 }));
+            Event::EndAtHost { .. } if host_job.running => {
+                host_job.running = false;
+                host_job.job = host_job.job.map(|(epoch, _)| (epoch, TransferState::Done { done: 1 }));
                 self.completions[job] += 1;
             }
-            Event::Return { .. } => {
-                if let Some((epoch, TransferState::Accepted { .. })) = visited.job
-                    && !visited.ever_ran
+            Event::ReturnFromHost { .. } => {
+                if let Some((epoch, TransferState::Accepted { .. })) = host_job.job
+                    && !host_job.has_started
                 {
-                    visited.job = None;
-                    visited.refused = Some(RefusalRecord { epoch });
+                    host_job.job = None;
+                    host_job.refusal = Some(RefusalRecord { epoch });
                 }
             }
-            Event::Prune { .. } => {
-                if visited.refused.is_some_and(|refusal| is_prunable(refusal.epoch, 1, &mark)) {
-                    visited.refused = None;
+            Event::PruneAtHost { .. } => {
+                if host_job.refusal.is_some_and(|refusal| is_prunable(refusal.epoch, 1, &watermark)) {
+                    host_job.refusal = None;
                 }
                 if let Some((epoch, TransferState::Done { .. } | TransferState::Withdrawn { .. })) =
-                    visited.job
-                    && is_prunable(epoch, 1, &mark)
+                    host_job.job
+                    && is_prunable(epoch, 1, &watermark)
                 {
-                    (visited.job, visited.ever_ran) = (None, false);
+                    (host_job.job, host_job.has_started) = (None, false);
                 }
             }
             _ => {}
         }
     }
 
-    fn deliver(&mut self, request: (usize, usize, Epoch, TransferRequest), room: bool) {
+    fn deliver_request(&mut self, request: (usize, usize, Epoch, TransferRequest), can_accept: bool) {
         let (cell, job, epoch, kind) = request;
         let home = CellId::new("a", 1);
-        let visited = &mut self.visited[cell][job];
+        let host_job = &mut self.host_jobs[cell][job];
         let origin = |epoch| Origin { cell: home.clone(), epoch };
-        let known = Known {
-            job: visited
-                .job
-                .map_or(Visit::Absent, |(epoch, state)| Visit::Present { origin: origin(epoch), state }),
-            refused: visited.refused,
+        let records = HostRecords {
+            job: host_job.job.map_or(HostedJob::Absent, |(epoch, state)| HostedJob::Present {
+                origin: origin(epoch),
+                state,
+            }),
+            refusal: host_job.refusal,
             watermark: self.watermarks[cell],
         };
-        let answer = match on_request(&known, &home, epoch, kind, room) {
-            VisitorStep::Answer(state) => state,
-            VisitorStep::OutdatedSender => return,
-            VisitorStep::Accept => {
-                visited.job = Some((epoch, TransferState::Accepted { done: 0, running: 0 }));
+        let answer = match on_request(&records, &home, epoch, kind, can_accept) {
+            HostStep::Answer(state) => state,
+            HostStep::OutdatedSender => return,
+            HostStep::Accept => {
+                host_job.job = Some((epoch, TransferState::Accepted { done: 0, running: 0 }));
                 TransferState::Accepted { done: 0, running: 0 }
             }
-            VisitorStep::Refuse => {
-                visited.refused = Some(RefusalRecord { epoch });
+            HostStep::Refuse => {
+                host_job.refusal = Some(RefusalRecord { epoch });
                 TransferState::Refused
             }
-            VisitorStep::Withdraw => {
-                visited.runs = false;
-                visited.job = Some((epoch, TransferState::Withdrawn { done: 0 }));
+            HostStep::Cancel => {
+                host_job.running = false;
+                host_job.job = Some((epoch, TransferState::Withdrawn { done: 0 }));
                 TransferState::Withdrawn { done: 0 }
             }
         };
         self.answers.push((cell, job, epoch, answer));
     }
 
-    fn broken(&self) -> Option<String> {
+    fn violated_rule(&self) -> Option<String> {
         for job in 0..JOBS {
-            let running =
-                usize::from(self.home_runs[job]) + self.visited.iter().filter(|cell| cell[job].runs).count();
-            let over = matches!(self.home[job], Home::Over(_));
-            if running > 1 || self.completions[job] > 1 || (over && running > 0) {
+            let running = usize::from(self.home_running[job])
+                + self.host_jobs.iter().filter(|cell| cell[job].running).count();
+            let ended = matches!(self.home_records[job], HomeRecord::Ended(_));
+            if running > 1 || self.completions[job] > 1 || (ended && running > 0) {
                 return Some(format!("job {job}: {running} running, {} completions", self.completions[job]));
             }
-            if self.home[job] == Home::Over(Outcome::Done) && self.completions[job] == 0 {
+            if self.home_records[job] == HomeRecord::Ended(Outcome::Done) && self.completions[job] == 0 {
                 return Some(format!("job {job} is told to be done"));
             }
-            if self.home[job] == Home::Open && self.completions[job] > 0 {
+            if self.home_records[job] == HomeRecord::Open && self.completions[job] > 0 {
                 return Some(format!("the end of job {job} is lost"));
             }
         }
@@ -282,15 +288,15 @@
     fn settle(&mut self) {
         for _ in 0..4 {
             for job in 0..JOBS {
-                for cell in 0..CELLS {
-                    self.happen(&Event::Start { job, cell });
-                    self.happen(&Event::End { job, cell });
+                for cell in 0..HOST_CELLS {
+                    self.apply(&Event::StartAtHost { job, cell });
+                    self.apply(&Event::EndAtHost { job, cell });
                 }
-                if let Some((cell, record)) = self.away(job) {
-                    let request = record.request(true);
-                    self.deliver((cell, job, record.epoch, request), true);
+                if let Some((cell, record)) = self.away_record(job) {
+                    let request = record.next_request(true);
+                    self.deliver_request((cell, job, record.epoch, request), true);
                     let last = self.answers.len().wrapping_sub(1);
-                    self.happen(&Event::Answer(last));
+                    self.apply(&Event::DeliverAnswer(last));
                 }
             }
         }
@@ -306,15 +312,15 @@
     })]
 
     #[test]
-    fn long_runs_break_no_rule_and_everything_comes_home(events in prop::collection::vec(event(), 1..400)) {
-        let mut world = World::new();
+    fn long_random_runs_violate_no_rule_and_leave_no_job_away(events in prop::collection::vec(any_event(), 1..400)) {
+        let mut model = Model::new();
         for event in &events {
-            world.happen(event);
-            prop_assert_eq!(world.broken(), None);
+            model.apply(event);
+            prop_assert_eq!(model.violated_rule(), None);
         }
-        world.settle();
-        prop_assert_eq!(world.broken(), None);
-        let away = world.home.iter().filter(|home| matches!(home, Home::Away(_))).count();
-        prop_assert_eq!(away, 0, "jobs that do not come home");
+        model.settle();
+        prop_assert_eq!(model.violated_rule(), None);
+        let still_away = model.home_records.iter().filter(|record| matches!(record, HomeRecord::Away(_))).count();
+        prop_assert_eq!(still_away, 0, "jobs that do not come home");
     }
 }
--- a/crates/dapplecroft/src/options/federation.rs
+++ b/crates/dapplecroft/src/options/federation.rs
@@ -1,12 +1,12 @@
 //! The part of the operators' settings that is about other cells.
 
 use super::message::{flag, float, messages, nested, number, text, texts};
-use dapplecroft_federation::Federation;
-use dapplecroft_federation::settings::{RawFederation, RawPeer, SettingsError};
+use dapplecroft_federation::FederationSettings;
+use dapplecroft_federation::settings::{RawFederationSettings, RawPeerSettings, SettingsError};
 use prost_reflect::DynamicMessage;
 
-fn peer(message: &DynamicMessage) -> RawPeer {
-    RawPeer {
+fn peer(message: &DynamicMessage) -> RawPeerSettings {
+    RawPeerSettings {
         name: text(message, "name"),
         endpoints: texts(message, "endpoints"),
         networks: texts(message, "networks"),
@@ -14,9 +14,9 @@
 }
 
 /// Reads and checks the federation, if there is one.
-pub(super) fn read(options: &DynamicMessage) -> Result<Option<Federation>, SettingsError> {
+pub(super) fn read(options: &DynamicMessage) -> Result<Option<FederationSettings>, SettingsError> {
     let Some(message) = nested(options, "federation") else { return Ok(None) };
-    let raw = RawFederation {
+    let raw = RawFederationSettings {
         cell: text(&message, "cell"),
         incarnation: number(&message, "incarnation").unwrap_or(0),
         listen: text(&message, "listen"),
@@ -28,5 +28,5 @@
         summary_fresh_s: float(&message, "summary_fresh_s"),
         visitors_share: float(&message, "visitors_share"),
     };
-    Federation::check(&raw).map(Some)
+    FederationSettings::validate(&raw).map(Some)
 }
--- a/crates/dapplecroft/src/options/tests.rs
+++ b/crates/dapplecroft/src/options/tests.rs
@@ -35,7 +35,7 @@
     let federation = options.federation.unwrap();
     assert_eq!(federation.cell.to_string(), "cell-a.example.org#1");
     assert_eq!((federation.peers.len(), federation.peers[1].endpoints.len()), (2, 3));
-    assert!(federation.offers);
+    assert!(federation.offers_jobs);
     assert_eq!(parse("").unwrap().federation, None);
 }
 
