--- a/crates/dapplecroft-federation/src/home.rs
+++ b/crates/dapplecroft-federation/src/home.rs
@@ -1,69 +1,74 @@
 //! The home cell's side of a hand-over.
 //!
-//! The home cell answers for a job for ever. Its record of the job is in its own state
-//! service and names the transfer that is under way, if any:
+//! The home cell is the cell that a job was submitted to, and it stays responsible for the
+//! job until the job ends. Its job record, in its own state service, names the transfer
+//! in progress, if there is one:
 //!
 //! ```text
-//!            offer (committed, then sent)
-//!   open ---------------------------------> away
-//!     ^                                    |  |  |
-//!     |   refused under this epoch         |  |  |  done, or withdrawn, there
-//!     +------------------------------------+  |  +-------------------------> over
-//!                                             |
-//!                      cancelled by its user: away, to be cancelled
+//!         offer (committed, then sent)
+//!   open -----------------------------> away
+//!     ^                                |  |  |
+//!     |  refused under this epoch      |  |  |  done or cancelled in the host cell
+//!     +--------------------------------+  |  +-----------------------------------> ended
+//!                                         |
+//!                  cancelled by its user: away, with cancellation requested
 //! ```
 //!
-//! - Nothing of a job starts here while it is away, and it is offered to nobody else.
-//! - It comes back only by a refusal that the other cell has *committed* under the very
-//!   epoch of the offer. Silence, a lost answer or a closed connection proves nothing.
-//! - It is over once the other cell's committed end is committed here.
+//! - While a job is away, the home cell starts none of its tasks and offers it to no other
+//!   cell.
+//! - A job becomes open again only by a refusal that the host cell has *committed* under
+//!   exactly the epoch of the offer. A timeout, a lost answer or a closed connection does
+//!   not show that the host cell has not accepted the job.
+//! - A job has ended once the home cell has committed the end that the host cell committed
+//!   before.
 
 use crate::messages::{CellId, Epoch, Outcome, TransferRequest, TransferState};
 use serde::{Deserialize, Serialize};
 
-/// The transfer under way of a job, as the home cell's record of it says.
+/// The transfer in progress of a job that is away, stored in the home cell's job record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AwayRecord {
-    /// The cell that it was offered to.
+    /// The host cell that the job was offered to.
     #[serde(flatten)]
     pub cell: CellId,
-    /// The number of the transfer.
+    /// Epoch of the transfer.
     #[serde(rename = "e")]
     pub epoch: Epoch,
-    /// Whether its user has asked to cancel it.
+    /// Whether the job's user has asked to cancel it.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelling: bool,
 }
 
-/// What the home cell commits next, on condition that its record is unchanged.
+/// The home cell's next step after an answer. What it commits is conditional on its job
+/// record being unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HomeStep {
-    /// Nothing: it goes on asking.
+    /// Commit nothing; send further requests to the host cell.
     Wait,
-    /// The job is open here again.
+    /// Make the job open again: it may run in the home cell or be offered again.
     Reopen,
-    /// The job is over.
+    /// End the job.
     End {
-        /// How.
+        /// How the job ended.
         outcome: Outcome,
-        /// Completed tasks.
+        /// Number of completed tasks.
         done: u32,
     },
 }
 
 impl AwayRecord {
-    /// The record of a job that is offered to a cell.
+    /// The record of a job that is about to be offered to `cell` under `epoch`.
     pub fn for_offer(cell: CellId, epoch: Epoch) -> AwayRecord {
         AwayRecord { cell, epoch, cancelling: false }
     }
 
-    /// The record once its user has asked to cancel the job.
+    /// A copy of this record that requests cancellation of the job.
     pub fn with_cancellation_requested(&self) -> AwayRecord {
         AwayRecord { cancelling: true, ..self.clone() }
     }
 
-    /// What to ask the other cell; `offer_unknown` says that it has answered that it has not
-    /// heard of the offer yet, or has not answered at all so far.
+    /// The request to send to the host cell next. `offer_unknown` says that the host cell
+    /// has not answered so far, or last answered [`TransferState::Unknown`].
     pub fn next_request(&self, offer_unknown: bool) -> TransferRequest {
         match (self.cancelling, offer_unknown) {
             (true, _) => TransferRequest::Cancel,
@@ -72,10 +77,11 @@
         }
     }
 
-    /// What follows from an answer of a cell about a transfer.
+    /// Decides what to commit after cell `from` answered `state` about transfer `epoch`.
     pub fn on_answer(&self, from: &CellId, epoch: Epoch, state: TransferState) -> HomeStep {
-        // An answer about an earlier transfer says nothing about this one, and an
-        // incarnation that never heard of it can't have refused it.
+        // An answer about an earlier transfer does not apply to this one. Nor does an
+        // answer of another incarnation: one that has no record of the offer cannot have
+        // refused it.
         if epoch != self.epoch || *from != self.cell {
             return HomeStep::Wait;
         }
@@ -91,11 +97,14 @@
     }
 }
 
-/// The watermark to tell a cell: every transfer to it with a lower epoch is over here,
-/// and none with a lower one will ever begin. `outstanding` are the epochs of all jobs
-/// that are away at that cell, by a copy of the records that has caught up with the
-/// leader's own term, and of all offers whose transaction may still be carried out; `next_epoch`
-/// is the lowest epoch that this leader may still use.
+/// Computes the watermark to send to a host cell: every transfer to that cell with a lower
+/// epoch has ended in the home cell's records, and no transfer with a lower epoch will
+/// start.
+///
+/// `outstanding` must hold the epochs of all jobs that are away at that cell, read from a
+/// record replica that has caught up with the start of this leader's term, and of all
+/// offers whose transaction may still commit. `next_epoch` is the lowest epoch that this
+/// leader may still assign.
 pub fn compute_watermark(outstanding: impl IntoIterator<Item = Epoch>, next_epoch: Epoch) -> Epoch {
     outstanding.into_iter().fold(next_epoch, Epoch::min)
 }
--- a/crates/dapplecroft-federation/src/host.rs
+++ b/crates/dapplecroft-federation/src/host.rs
@@ -1,107 +1,108 @@
-//! The visited cell's side of a hand-over.
+//! The host cell's side of a hand-over.
 //!
-//! It keeps three kinds of records in its own state service: the job itself with its
-//! [`Origin`], a [`RefusalRecord`] for each transfer that it has refused or returned, and
-//! one [`WatermarkRecord`] for each home cell. A request is answered from these, or
-//! changes one of them first. Each change is committed on condition that all three are
-//! as they were, so of two requests that meet only one takes effect.
+//! The host cell keeps three kinds of records in its own state service: the job record
+//! with its [`Origin`], a [`RefusalRecord`] for each transfer that it refused or returned,
+//! and one [`WatermarkRecord`] per home cell. It answers a request from these records, and
+//! where necessary commits a change to them first. Each change is conditional on all three
+//! being unchanged, so only one of two concurrent requests takes effect.
 //!
-//! *Refusals.* One that was committed outlaws its epoch and all earlier ones, also for a
-//! copy of the offer that arrives later. It may be dropped once the home cell's watermark
-//! has passed it: everything below the watermark is outlawed as a whole, and the watermark
-//! only grows. The same holds for the final records of jobs that were here.
+//! A committed refusal rejects its epoch and all earlier ones, also when a copy of the
+//! offer arrives later. It may be deleted once the home cell's watermark has passed its
+//! epoch: all epochs below the watermark are rejected anyway, and the watermark never
+//! decreases. The final records of hosted jobs may be deleted by the same rule.
 
 use crate::messages::{CellId, Epoch, TransferRequest, TransferState};
 use serde::{Deserialize, Serialize};
 
-/// Where a visiting job comes from, in its record.
+/// The transfer that brought a job to this cell, stored in the host cell's job record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// Its home cell.
+    /// The job's home cell.
     #[serde(flatten)]
     pub cell: CellId,
-    /// The transfer by which it came.
+    /// Epoch of the transfer.
     #[serde(rename = "e")]
     pub epoch: Epoch,
 }
 
-/// A transfer that was refused, or given back before anything of it had started.
+/// Record of a transfer that this cell refused, or of a job that it returned to the home
+/// cell before any task had started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RefusalRecord {
-    /// This epoch and all earlier ones of the same job are outlawed.
+    /// Transfers of the same job with this epoch or a lower one are rejected.
     #[serde(rename = "e")]
     pub epoch: Epoch,
 }
 
-/// What a home cell has finished.
+/// Watermark of a home cell: the transfers that the home cell has finished with.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WatermarkRecord {
-    /// Its incarnation.
+    /// Incarnation of the home cell.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// All transfers with a lower epoch are over and outlawed.
+    /// All transfers with a lower epoch have ended in the home cell and are rejected here.
     #[serde(rename = "e")]
     pub epoch: Epoch,
 }
 
 impl WatermarkRecord {
-    /// The record after a home cell has told of a watermark; `None` if it says nothing
-    /// new.
+    /// The record to store after the home cell sent a watermark. `None` if the watermark
+    /// is not higher than the stored one.
     pub fn advanced_to(&self, incarnation: u64, epoch: Epoch) -> Option<WatermarkRecord> {
         let newer = (incarnation, epoch) > (self.incarnation, self.epoch);
         newer.then_some(WatermarkRecord { incarnation, epoch })
     }
 
-    /// Whether a transfer is below it.
+    /// Whether a transfer is below the watermark.
     fn covers(&self, epoch: Epoch) -> bool {
         epoch < self.epoch
     }
 }
 
-/// A job's record here, as far as a hand-over goes.
+/// What this cell's job record says about a transferred job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum HostedJob {
-    /// There is none.
+    /// There is no job record with this id.
     Absent,
-    /// It is no visiting job, or another cell's.
+    /// The id belongs to a job of this cell's own users, or to one of another home cell.
     Unrelated,
-    /// It came by a transfer.
+    /// The job arrived by a transfer.
     Present {
-        /// Which.
+        /// The transfer by which the job arrived.
         origin: Origin,
-        /// How it stands, by committed records alone.
+        /// State of the job, from committed records only.
         state: TransferState,
     },
 }
 
-/// What is known here of a transfer, by committed records.
+/// The host cell's committed records that concern one transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct HostRecords {
-    /// The job's record.
+    /// The job record.
     pub job: HostedJob,
-    /// What was refused of the job.
+    /// The refusal of the job, if a transfer of it was refused or returned.
     pub refusal: Option<RefusalRecord>,
-    /// What its home cell has finished.
+    /// Watermark of the job's home cell.
     pub watermark: WatermarkRecord,
 }
 
-/// What follows from a request.
+/// The host cell's next step after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostStep {
-    /// It is answered.
+    /// Answer with this state.
     Answer(TransferState),
-    /// The job's record is committed, with its origin; then it is answered.
+    /// Commit a job record with its origin, then answer.
     Accept,
-    /// A refusal is committed; then it is answered.
+    /// Commit a refusal, then answer.
     Refuse,
-    /// The job's cancellation is committed; then it is answered.
+    /// Commit the cancellation of the job, then answer.
     Cancel,
-    /// The sender is an incarnation that has been replaced.
+    /// Reject the request: a higher incarnation has replaced the sender.
     OutdatedSender,
 }
 
-/// What to do about a request of a home cell. `can_accept` says whether this cell wants to
-/// take the job now.
+/// Decides what to do about `request` of home cell `from`. `can_accept` says whether this
+/// cell is willing to accept the job now.
 pub fn on_request(
     records: &HostRecords,
     from: &CellId,
@@ -126,8 +127,8 @@
                 _ => HostStep::Answer(*state),
             }
         }
-        // An id that is taken: by a user of this cell, by another cell's job, or by what
-        // is left of an earlier transfer.
+        // The job id is taken: by a job of this cell's users, by a job of another home
+        // cell, or by the record of another transfer of the same job.
         HostedJob::Present { .. } | HostedJob::Unrelated => HostStep::Refuse,
         HostedJob::Absent => match request {
             TransferRequest::Offer if can_accept => HostStep::Accept,
@@ -137,7 +138,8 @@
     }
 }
 
-/// Whether the record of a refusal, or of a visiting job that is over, may be dropped.
+/// Whether a refusal record, or the record of a hosted job that has ended, may be deleted
+/// under its home cell's `watermark`. `epoch` and `incarnation` are those of its transfer.
 pub fn is_prunable(epoch: Epoch, incarnation: u64, watermark: &WatermarkRecord) -> bool {
     let replaced = incarnation < watermark.incarnation;
     replaced || (incarnation == watermark.incarnation && watermark.covers(epoch))
--- a/crates/dapplecroft-federation/src/lib.rs
+++ b/crates/dapplecroft-federation/src/lib.rs
@@ -1,15 +1,17 @@
-//! Cells that pass whole jobs to each other: who may be offered a job, and the
-//! hand-over itself.
+//! The rules by which cells (clusters) hand whole jobs over to each other: which cell a
+//! job is offered to, and the protocol of the hand-over.
 //!
-//! Everything here is pure. Records, messages and the time are passed in, and what
-//! comes out is the next record, the answer to a message, or a choice. The controller
-//! commits records in its own state service and carries messages; it decides nothing
-//! about a hand-over by itself.
+//! This crate performs no I/O and reads no clock. Callers pass in records, messages and
+//! the time, and get back the next record, the answer to a message, or the chosen cell.
+//! The controller commits the records to its state service and transports the messages;
+//! every decision about a hand-over is made here.
 //!
-//! - [`home`]: the cell that answers for a job for ever.
-//! - [`host`]: the cell that runs a job for another one.
-//! - [`summary`]: what cells tell of their free room, and the choice among them.
-//! - [`settings`]: what operators set, checked.
+//! - [`home`]: the side of the home cell, which the job was submitted to and which stays
+//!   responsible for it.
+//! - [`host`]: the side of the host cell, which runs a job for its home cell.
+//! - [`messages`]: the requests and answers that the two sides exchange about a job.
+//! - [`summary`]: the cells' reports of free capacity, and the choice among the cells.
+//! - [`settings`]: validation of the federation's settings.
 
 pub mod home;
 pub mod host;
--- a/crates/dapplecroft-federation/src/messages.rs
+++ b/crates/dapplecroft-federation/src/messages.rs
@@ -1,22 +1,22 @@
-//! What two cells say to each other about one job.
+//! Requests and answers that a home cell and a host cell exchange about one job.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A cell, in one life of its state service. A cell whose records were lost comes back
-/// with a higher incarnation: it knows nothing of what the earlier one agreed to.
+/// A cell's name and the incarnation of its records. A cell that loses its records
+/// returns with a higher incarnation, because it no longer knows what it agreed to before.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId {
-    /// The name that all cells know it by.
+    /// Name of the cell, the same in the settings of all cells.
     #[serde(rename = "c")]
     pub name: String,
-    /// Which life of its records.
+    /// Incarnation of the cell's records: raised each time they were lost.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
 impl CellId {
-    /// A cell by name and incarnation.
+    /// Creates the id of a cell from its name and incarnation.
     pub fn new(name: &str, incarnation: u64) -> CellId {
         CellId { name: name.to_string(), incarnation }
     }
@@ -28,68 +28,71 @@
     }
 }
 
-/// Bits of an epoch that number the transfers of one leadership.
+/// Low bits of an epoch, which count the offers made in one leader's term.
 const OFFER_COUNTER_BITS: u32 = 20;
 
-/// The number of a transfer. The home cell uses each once and in rising order: the high
-/// part is the term of its leader, a revision of its state service, the low part counts
-/// that leader's offers.
+/// Identifies one transfer, that is, one offer of a job to a host cell. A home cell uses
+/// each epoch once and in increasing order. The high bits hold the term of the home cell's
+/// leader (a revision of its state service), the low bits count that leader's offers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The `counter`-th transfer of a leader's term; `None` if either is too large.
+    /// The epoch of offer number `counter` in the leader's term `term`. `None` if either
+    /// number does not fit into its bits.
     pub fn from_parts(term: u64, counter: u64) -> Option<Epoch> {
         let fits = counter < 1 << OFFER_COUNTER_BITS && term < 1 << (u64::BITS - OFFER_COUNTER_BITS);
         if fits { Some(Epoch(term << OFFER_COUNTER_BITS | counter)) } else { None }
     }
 }
 
-/// How a job ended, for good.
+/// How a job ended; final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// All its tasks completed.
+    /// All tasks of the job completed.
     Done,
-    /// Its user cancelled it.
+    /// The job's user cancelled it.
     Cancelled,
 }
 
-/// What the home cell asks about a transfer. Every request may be repeated, arrive
-/// twice, late, or out of order.
+/// Request of the home cell to the host cell about one transfer. A request may be sent
+/// repeatedly and may arrive more than once, late or out of order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TransferRequest {
-    /// Take the job: its specification comes along.
+    /// Asks the host cell to take the job. The job's specification is sent along.
     Offer,
-    /// How does it stand?
+    /// Asks for the state of the transfer.
     Poll,
-    /// Its user wants it cancelled.
+    /// Asks the host cell to cancel the job, because the job's user cancelled it.
     Cancel,
 }
 
-/// What the visited cell answers. All but `Unknown` tell of what it has committed.
+/// State of a transfer, as the host cell answers it. Every state but `Unknown` is read
+/// from records that the host cell has committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TransferState {
-    /// It has the job and answers for running it; so many tasks are complete and run.
+    /// The host cell has accepted the job and is responsible for running it.
     Accepted {
         /// Completed tasks.
         done: u32,
         /// Running tasks.
         running: u32,
     },
-    /// It has not, and will never take the job under this epoch or an earlier one.
+    /// The host cell does not have the job and will never accept it under this epoch or
+    /// an earlier one.
     Refused,
-    /// All tasks are complete.
+    /// The job is done: all its tasks completed.
     Done {
         /// Completed tasks.
         done: u32,
     },
-    /// The job is cancelled there: none of its tasks will start.
+    /// The job is cancelled in the host cell: none of its tasks will start any more.
     Withdrawn {
-        /// Tasks that were complete by then.
+        /// Tasks that had completed before the cancellation.
         done: u32,
     },
-    /// It has not heard of this transfer yet. That proves nothing: an offer may be on
-    /// its way.
+    /// The host cell has no record of this transfer. This is not a refusal: an offer may
+    /// still be in flight.
     Unknown,
 }
--- a/crates/dapplecroft-federation/src/settings.rs
+++ b/crates/dapplecroft-federation/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators set for a cell that belongs to a federation, checked.
+//! Settings of a cell that belongs to a federation, and their validation.
 
 use crate::messages::CellId;
 use ipnet::IpNet;
@@ -6,126 +6,131 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// The longest name of a cell: it is a part of keys.
+/// Longest accepted cell name. Names are limited because they are part of keys in the
+/// state service.
 pub const MAX_CELL_NAME_BYTES: usize = 63;
 
-/// Another cell.
+/// Validated settings for another cell of the federation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerCell {
-    /// Its name.
+    /// Name of the cell.
     pub name: String,
-    /// Where its controllers listen for other cells.
+    /// Addresses at which the cell's controllers accept requests of other cells.
     pub endpoints: Vec<SocketAddr>,
-    /// Networks that its controllers may connect from.
+    /// Networks from which the cell's controllers may connect.
     pub networks: Vec<IpNet>,
 }
 
-/// What a cell is, and whom it passes jobs to.
+/// Validated federation settings of this cell.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FederationSettings {
-    /// This cell.
+    /// Name and incarnation of this cell.
     pub cell: CellId,
-    /// Where this controller listens for other cells.
+    /// Address at which this controller accepts requests of other cells.
     pub listen: SocketAddr,
-    /// The others.
+    /// The other cells of the federation.
     pub peers: Vec<PeerCell>,
-    /// Whether jobs are offered. If not, what is away still comes home.
+    /// Whether this cell offers jobs to other cells. If not, jobs that are already away
+    /// are still followed until they end or are returned.
     pub offers_jobs: bool,
-    /// A job is offered only after it has waited for so long.
+    /// How long a job has to wait for capacity before it is offered to another cell.
     pub spill_after: Duration,
-    /// A job of another cell of which nothing has started is given back after so long.
+    /// How long a hosted job may wait without any of its tasks having started before it is
+    /// returned to its home cell.
     pub return_after: Duration,
-    /// A cell that has refused a job is not offered it again for so long.
+    /// How long a job is not offered again to a cell that refused it.
     pub refusal_pause: Duration,
-    /// A summary older than this is not used.
+    /// Age from which on another cell's summary is no longer used.
     pub summary_max_age: Duration,
-    /// The part of the processors of all machines that are up that other cells' jobs may
-    /// ask for together: the rest is kept for this cell's own work.
+    /// Largest share of the CPUs of all machines that are up which the hosted jobs together
+    /// may request. The rest is reserved for this cell's own jobs.
     pub hosted_jobs_share: f64,
 }
 
-/// Why settings are not accepted; each names the value.
+/// Reason for rejecting the settings. Each message names the offending value.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A name of a cell that can't be one.
+    /// A cell name is empty, too long or contains a character that is not allowed.
     #[error(
         "federation.{field}: {name:?} must be 1 to {MAX_CELL_NAME_BYTES} letters, digits, dots or hyphens"
     )]
     InvalidCellName {
-        /// The field.
+        /// Path of the setting below `federation`.
         field: &'static str,
-        /// The name.
+        /// The rejected name.
         name: String,
     },
-    /// There is no incarnation.
+    /// The incarnation is missing or 0.
     #[error("federation.incarnation: must be at least 1")]
     MissingIncarnation,
-    /// A cell is named twice.
+    /// Two peers have the same name.
     #[error("federation.peers: {0} is named twice")]
     DuplicatePeer(String),
-    /// A cell is its own peer.
+    /// This cell is listed as its own peer.
     #[error("federation.peers: {0} is this cell itself")]
     PeerIsThisCell(String),
-    /// Something is no address.
-    #[error("federation.{field}: {value:?} is no address with a port")]
+    /// A value is not an IP address with a port.
+    #[error("federation.{field}: {value:?} is not an IP address with a port")]
     InvalidAddress {
-        /// The field.
+        /// Path of the setting below `federation`.
         field: &'static str,
-        /// What was given.
+        /// The rejected value.
         value: String,
     },
-    /// A cell has no address.
+    /// A peer has no endpoints.
     #[error("federation.peers: {0} has no endpoints")]
     NoEndpoints(String),
-    /// Something is no network.
-    #[error("federation.peers.networks: {0:?} is no network")]
+    /// A value is not a network in CIDR notation.
+    #[error("federation.peers.networks: {0:?} is not a network such as 10.1.0.0/16")]
     InvalidNetwork(String),
-    /// A cell has no network to connect from.
+    /// A peer has no networks from which it may connect.
     #[error("federation.peers: {0} has no networks")]
     NoNetworks(String),
-    /// Two cells' networks overlap: a connection would not tell them apart.
+    /// The networks of two peers overlap, so the source address of a connection would not
+    /// tell which of them connects.
     #[error("federation.peers.networks: {0} of {1} and {2} of {3} overlap")]
     OverlappingNetworks(IpNet, String, IpNet, String),
-    /// An endpoint is in none of its cell's networks.
+    /// An endpoint of a peer lies outside that peer's networks.
     #[error("federation.peers: the endpoint {0} of {1} is in none of its networks")]
     EndpointOutsideNetworks(SocketAddr, String),
-    /// A number is out of range.
+    /// A number is outside its allowed range.
     #[error("federation.{field}: must be from {min} to {max}, is {value}")]
     OutOfRange {
-        /// The field.
+        /// Path of the setting below `federation`.
         field: &'static str,
-        /// The least value.
+        /// Lowest allowed value.
         min: f64,
-        /// The greatest value.
+        /// Highest allowed value.
         max: f64,
-        /// What was given.
+        /// The rejected value.
         value: f64,
     },
 }
 
-/// Another cell, as operators write it.
+/// Settings for another cell, before validation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawPeerSettings {
-    /// Its name.
+    /// See [`PeerCell::name`].
     pub name: String,
-    /// `host:port`, by IP number.
+    /// See [`PeerCell::endpoints`]. Each is an IP address with a port.
     pub endpoints: Vec<String>,
-    /// Networks, such as `10.1.0.0/16`.
+    /// See [`PeerCell::networks`]. Each is in CIDR notation, such as `10.1.0.0/16`.
     pub networks: Vec<String>,
 }
 
-/// The settings, as operators write them; times in seconds, unset ones have defaults.
+/// Federation settings before validation. Times are in seconds; fields that are `None` get
+/// defaults.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawFederationSettings {
-    /// This cell's name.
+    /// Name of this cell.
     pub cell: String,
-    /// Which life of its records.
+    /// Incarnation of this cell's records, at least 1. See [`CellId::incarnation`].
     pub incarnation: u64,
-    /// Where this controller listens for other cells.
+    /// See [`FederationSettings::listen`].
     pub listen: String,
-    /// The others.
+    /// See [`FederationSettings::peers`].
     pub peers: Vec<RawPeerSettings>,
-    /// Whether jobs are offered.
+    /// See [`FederationSettings::offers_jobs`].
     pub offers: Option<bool>,
     /// See [`FederationSettings::spill_after`].
     pub spill_after_s: Option<f64>,
@@ -141,8 +146,8 @@
 
 fn check_cell_name(field: &'static str, name: &str) -> Result<(), SettingsError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '.' || c == '-';
-    let good = (1..=MAX_CELL_NAME_BYTES).contains(&name.len()) && name.chars().all(allowed);
-    if good { Ok(()) } else { Err(SettingsError::InvalidCellName { field, name: name.to_string() }) }
+    let valid = (1..=MAX_CELL_NAME_BYTES).contains(&name.len()) && name.chars().all(allowed);
+    if valid { Ok(()) } else { Err(SettingsError::InvalidCellName { field, name: name.to_string() }) }
 }
 
 fn parse_address(field: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
@@ -193,7 +198,7 @@
         }
     }
 
-    /// Whether a controller of this cell may connect from an address.
+    /// Whether the cell's controllers may connect from the address `from`.
     pub fn may_connect(&self, from: IpAddr) -> bool {
         self.networks.iter().any(|network| network.contains(&from))
     }
@@ -220,7 +225,7 @@
 }
 
 impl FederationSettings {
-    /// Checks settings; the error names the value that is wrong.
+    /// Validates `raw` and fills in defaults.
     pub fn validate(raw: &RawFederationSettings) -> Result<FederationSettings, SettingsError> {
         check_cell_name("cell", &raw.cell)?;
         if raw.incarnation == 0 {
@@ -252,7 +257,7 @@
         })
     }
 
-    /// A peer by its name.
+    /// The peer with this name, if it is listed.
     pub fn peer(&self, name: &str) -> Option<&PeerCell> {
         self.peers.iter().find(|peer| peer.name == name)
     }
--- a/crates/dapplecroft-federation/src/summary.rs
+++ b/crates/dapplecroft-federation/src/summary.rs
@@ -1,7 +1,9 @@
-//! What cells tell of their free room, and the choice of a cell for a job.
+//! Summaries in which cells report their free capacity, and the choice of the cell that a
+//! job is offered to.
 //!
-//! A summary is a hint: nothing that must hold rests on it. A wrong one costs a refused
-//! offer, which costs each side a change of its state service.
+//! A summary is only a hint; correctness does not depend on it. A wrong summary leads at
+//! worst to a refused offer, which costs each of the two cells one write to its state
+//! service.
 
 use crate::messages::CellId;
 use dapplecroft_sched::{Resources, TaskRequirements};
@@ -9,44 +11,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Equal machines of a cell with equal room.
+/// Machines of a cell that are alike and have the same free resources.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachinePool {
-    /// Machine type.
+    /// Machine type, as named by the cloud.
     pub machine_type: String,
-    /// Zone.
+    /// Cloud zone of the machines.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether these are spot machines.
     pub spot: bool,
-    /// What is free on each.
+    /// Free resources of each machine.
     pub free: Resources,
-    /// What each has.
+    /// Total resources of each machine.
     pub capacity: Resources,
-    /// How many there are.
+    /// Number of machines.
     pub count: i64,
 }
 
-/// What a cell's leader tells of it.
+/// Capacity of a cell, as reported by the cell's leader.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
-    /// The cell.
+    /// The cell that the summary describes.
     pub cell: CellId,
-    /// Machines that are up and take work.
+    /// Machines that are up and accept tasks.
     pub up: Vec<MachinePool>,
-    /// Kinds of machine that could still be rented, as far as is known.
+    /// Kinds of machines that the cell can probably still rent.
     pub rentable: Vec<MachinePool>,
-    /// CPUs of tasks that wait there for room, in thousandths.
+    /// CPUs requested by tasks that wait in the cell for capacity, in thousandths of a CPU.
     pub backlog_cpus: i64,
-    /// CPUs that it would still take of other cells' jobs, in thousandths.
+    /// CPUs that further hosted jobs may request, in thousandths of a CPU.
     pub hosting_headroom_cpus: i64,
 }
 
-/// What a job asks for, as far as the choice of a cell goes.
+/// Resources that a job requests, as needed to choose a cell for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobDemand {
-    /// What each task needs.
+    /// Requirements of each task.
     pub requirements: TaskRequirements,
-    /// How many tasks there are.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
@@ -65,26 +67,30 @@
     }
 }
 
-/// How well a cell fits a job; the greatest is the best.
+/// How well a cell fits a job. The cell with the greatest value is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct CellFit {
-    /// Whether all tasks can begin at once.
+    /// Whether all tasks can start at once on machines that are up.
     starts_all_tasks: bool,
-    /// Best fit on the dominant share: how full the machines that are up and may be
-    /// used become. Where not all tasks begin at once, how many do.
+    /// If all tasks can start at once: the dominant share of the allowed up machines that
+    /// is used once the job is placed, so that the best-fitting cell wins. Otherwise: the
+    /// fraction of the tasks that can start at once.
     fraction: f64,
 }
 
-/// What is known of other cells.
+/// Latest summaries of the other cells, and their recent refusals.
 #[derive(Debug, Default)]
 pub struct PeerSummaries {
+    /// Latest summary and the time at which it was requested, by name of the cell.
     summaries: BTreeMap<String, (Summary, Instant)>,
-    /// When each cell last refused which job.
+    /// Time of the latest refusal, by job and name of the refusing cell.
     refusals: HashMap<(Arc<str>, String), Instant>,
 }
 
 impl PeerSummaries {
-    /// Takes note of a summary. It counts from when it was *asked* for.
+    /// Stores a summary. Its age counts from `asked`, the time at which it was *requested*.
+    /// It is ignored if the stored summary is of a higher incarnation, or of the same
+    /// incarnation and requested later.
     pub fn record_summary(&mut self, summary: Summary, asked: Instant) {
         let known = self.summaries.get(&summary.cell.name);
         let outdated =
@@ -94,24 +100,24 @@
         }
     }
 
-    /// A cell as it last told of itself, and how long ago it was asked for that.
+    /// Name and incarnation in the latest summary of `cell`, and the age of that summary.
     pub fn latest_cell_and_age(&self, cell: &str, now: Instant) -> Option<(&CellId, Duration)> {
         let (summary, asked) = self.summaries.get(cell)?;
         Some((&summary.cell, now.saturating_duration_since(*asked)))
     }
 
-    /// Takes note that a cell has refused a job.
+    /// Records that a cell refused a job.
     pub fn record_refusal(&mut self, job: &Arc<str>, cell: &str, now: Instant) {
         self.refusals.insert((job.clone(), cell.to_string()), now);
     }
 
-    /// Forgets refusals that count no more.
+    /// Removes refusals that are `refusal_pause` old or older.
     pub fn expire_refusals(&mut self, refusal_pause: Duration, now: Instant) {
         self.refusals.retain(|_, at| now.saturating_duration_since(*at) < refusal_pause);
     }
 
-    /// Takes off what has been offered to a cell since its summary: it does not know of
-    /// it yet.
+    /// Subtracts a job that is being offered to a cell from the cell's summary, which does
+    /// not include the job yet. Machines that the job's tasks would use count as full.
     pub fn deduct_offer(&mut self, cell: &str, demand: &JobDemand) {
         let Some((summary, _)) = self.summaries.get_mut(cell) else { return };
         summary.hosting_headroom_cpus -= demand.total_resources().cpus;
@@ -130,9 +136,10 @@
         summary.up.extend(occupied);
     }
 
-    /// The cell that a job is best offered to, if any: among those that have told of
-    /// themselves within `max_age` and have not refused it within `refusal_pause`, the one that can
-    /// begin all of it and becomes the fullest by it; else the one that can begin most.
+    /// Chooses the cell to offer a job to, if any. Candidates are cells whose summary is
+    /// younger than `max_age` and which have not refused the job within `refusal_pause`.
+    /// Among those that can start all tasks at once, the cell that the job fills up most is
+    /// chosen; if there is none, the cell that can start the most tasks.
     pub fn choose_cell(
         &self,
         job: &Arc<str>,
@@ -156,7 +163,9 @@
     }
 }
 
-/// How well a cell fits a job; `None`: it has no room, or work of its own that waits.
+/// Evaluates how well a cell fits a job. `None` if the cell must not be offered the job:
+/// its own tasks wait for capacity, it does not take as many CPUs of hosted jobs, or no
+/// machine that is up or can be rented has room for a task.
 fn evaluate_fit(summary: &Summary, demand: &JobDemand) -> Option<CellFit> {
     if summary.backlog_cpus > 0 || summary.hosting_headroom_cpus < demand.total_resources().cpus {
         return None;
--- a/crates/dapplecroft-federation/tests/hand_over.rs
+++ b/crates/dapplecroft-federation/tests/hand_over.rs
@@ -1,13 +1,19 @@
-//! The hand-over of one job among three cells, explored exhaustively.
+//! Exhaustive state exploration of the hand-over of one job among three cells: a home cell
+//! and two host cells.
 //!
-//! Every order of events is tried, up to a bounded number of offers: messages are lost,
-//! repeated, late and out of order (whatever was ever sent may arrive at any later time,
-//! any number of times), transactions are carried out late, and leaders end and are
-//! replaced at every step (a leader keeps nothing but its records, so a new one is the
-//! same as an old one that goes on). The rules are checked in every state, and that from
-//! every state the job can still come to its end.
+//! The exploration tries every order of events, up to a bounded number of offers:
 //!
-//! Known faults are put in one at a time: the exploration has to find each.
+//! - Messages are lost, repeated, delayed and reordered: each message ever sent may arrive
+//!   at any later time and any number of times.
+//! - Transactions commit late or never.
+//! - Leaders fail and are replaced at every step. A leader keeps no state but its committed
+//!   records, so a new leader behaves like the old one would.
+//!
+//! In every state the rules of [`Model::violated_rule`] must hold, and the job must still
+//! be able to end.
+//!
+//! To show that the exploration is able to find faults, a second test injects known faults
+//! one at a time; the exploration has to detect each of them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,30 +25,32 @@
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Cells that the job may be offered to.
+/// Number of cells that the job may be offered to.
 const HOST_CELLS: usize = 2;
-/// Offers that are made at most, in all. With three there are 882,786 states, none of which
-/// breaks a rule; that takes too long for every run.
+/// Largest number of offers in one sequence of events. With three offers there are 882,786
+/// states, none of which violates a rule, but exploring them takes too long for every test
+/// run.
 const MAX_OFFERS: u64 = 2;
-/// More states than this are too many to explore.
+/// The exploration fails if it reaches more states than this.
 const MAX_STATES: usize = 3_000_000;
 
-/// A fault put into the hand-over.
+/// A fault that is injected into the hand-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum InjectedFault {
     None,
-    /// The home cell takes the job back after a timeout.
+    /// The home cell makes the job open again after a timeout, without a refusal.
     ReopenAfterTimeout,
-    /// The visited cell refuses without a record of it.
+    /// The host cell answers a refusal without committing a refusal record.
     RefusalNotCommitted,
-    /// Refusals are dropped before the home cell has finished.
+    /// The host cell deletes refusal records before the watermark has passed them.
     RefusalPrunedEarly,
-    /// A cancellation is confirmed before the visited cell has committed it.
+    /// The home cell ends a cancelled job before the host cell has committed the
+    /// cancellation.
     CancellationConfirmedWithoutCommit,
-    /// The watermark passes an offer whose transaction may still be carried out. (The
-    /// first draft of the hand-over had this fault; this exploration found it.)
+    /// The watermark passes an offer whose transaction may still commit. This exploration
+    /// found the fault in the first draft of the hand-over.
     WatermarkPassesInFlightOffer,
-    /// Final records are dropped as soon as the home cell has asked.
+    /// The host cell deletes final job records before the watermark has passed them.
     FinalRecordPrunedEarly,
 }
 
@@ -74,8 +82,9 @@
     Cancel,
 }
 
-/// A visited cell: its records, what its machines do, and transactions on their way.
-/// These are bound to its records as they are, so any commit voids the others.
+/// A host cell: its records, whether the job runs on its machines, and its transactions in
+/// flight. Those are conditional on the records being unchanged, so any commit makes the
+/// others fail.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct HostCell {
     job: Option<(u64, HostJobState)>,
@@ -94,10 +103,13 @@
     home_in_flight: BTreeSet<HomeTransaction>,
     next_epoch: u64,
     hosts: [HostCell; HOST_CELLS],
+    /// All requests that were ever sent, with host cell and epoch.
     requests: BTreeSet<(usize, u64, TransferRequest)>,
+    /// All answers that were ever sent, with host cell and epoch.
     answers: BTreeSet<(usize, u64, TransferState)>,
+    /// All watermarks that were ever sent, with host cell.
     watermarks: BTreeSet<(usize, u64)>,
-    /// How often the job was run to its end, anywhere.
+    /// How often the job completed, in any cell.
     completions: u8,
 }
 
@@ -146,7 +158,8 @@
         self.in_flight.clear();
     }
 
-    /// What it may do by itself.
+    /// The states that the host cell can reach without a message: commits, starts and ends
+    /// of the job, returns, and deletions of records.
     fn host_transitions(&self, fault: InjectedFault) -> Vec<HostCell> {
         let mut next = Vec::new();
         for transaction in &self.in_flight {
@@ -164,8 +177,8 @@
             } else {
                 let mut after = self.clone();
                 (after.running, after.has_started) = (true, true);
-                // The first start rests on an allocation, which is committed on the job's
-                // record, as a return is.
+                // Before the first start the cell commits an allocation of machines on the
+                // job record, which makes a concurrent return fail.
                 after.in_flight.clear();
                 next.push(after);
             }
@@ -286,8 +299,8 @@
 
     fn message_transitions(&self, fault: InjectedFault, next: &mut Vec<Model>) {
         if let Some((cell, record)) = self.away_record() {
-            // A poll is left out: it changes nothing, and an offer gets any answer that
-            // it gets.
+            // Polls are left out: a poll changes no records, and an offer gets every
+            // answer that a poll would get.
             next.push(self.with(|model| {
                 model.requests.insert((cell, record.epoch.0, record.next_request(true)));
             }));
@@ -342,7 +355,7 @@
     ) {
         let records = self.hosts[cell].records();
         let transaction = match on_request(&records, &home_cell_id(), Epoch(epoch), request, can_accept) {
-            // The home cell only waits on these.
+            // The home cell does nothing on these answers, so they are not sent.
             HostStep::Answer(TransferState::Accepted { .. } | TransferState::Unknown) => return,
             HostStep::Answer(state) => {
                 self.answers.insert((cell, epoch, state));
@@ -360,8 +373,8 @@
         self.hosts[cell].in_flight.insert(transaction);
     }
 
-    /// The same world with the cells in the other order: nothing tells them apart, so
-    /// only one of both has to be explored.
+    /// The smaller of this state and the same state with the two host cells swapped. The
+    /// host cells behave alike, so only one of the two states needs to be explored.
     fn canonical(self) -> Model {
         let other = |cell: usize| 1 - cell;
         let mut swapped = self.clone();
@@ -407,21 +420,25 @@
         next.into_iter().map(Model::canonical).collect()
     }
 
-    /// Which rule is broken here, if any.
+    /// The rule that this state violates, if any.
     fn violated_rule(&self) -> Option<&'static str> {
         let running = usize::from(self.home_running) + self.hosts.iter().filter(|host| host.running).count();
         if running > 1 {
-            return Some("it runs in two cells at once");
+            return Some("the job runs in two cells at once");
         }
         if self.completions > 1 {
-            return Some("it was run to its end twice");
+            return Some("the job completed twice");
         }
         match self.home {
-            HomeRecord::Ended { .. } if running > 0 => Some("it runs after its end was told"),
+            HomeRecord::Ended { .. } if running > 0 => {
+                Some("the job still runs after the home cell recorded its end")
+            }
             HomeRecord::Ended { done: true } if self.completions == 0 => {
-                Some("it is told to be done and is not")
+                Some("the home cell recorded the job as done, but it has not completed")
+            }
+            HomeRecord::Open if self.completions > 0 => {
+                Some("the job completed, but the home cell has it open")
             }
-            HomeRecord::Open if self.completions > 0 => Some("its end is lost"),
             _ => None,
         }
     }
@@ -430,13 +447,14 @@
 struct Exploration {
     states: usize,
     violations: BTreeSet<&'static str>,
-    /// States from which the job can't come to its end any more.
+    /// Number of states from which the job can no longer end.
     stuck: usize,
-    /// The shortest way to the first broken rule.
+    /// The states on a shortest path to the first violation.
     trace: Vec<Model>,
 }
 
-/// The shortest way to a state, from which the others were first reached.
+/// A shortest path from the initial state to state number `to`. The first predecessor of
+/// each state is the one from which the breadth-first search reached it.
 fn shortest_path(state_numbers: &HashMap<Model, usize>, predecessors: &[Vec<u32>], to: usize) -> Vec<Model> {
     let mut path = vec![to];
     while let Some(first) = path.last().and_then(|n| predecessors[*n].first()) {
@@ -464,7 +482,7 @@
                 first_violation = Some(number);
             }
             violations.insert(rule);
-            // What follows from a broken rule says nothing.
+            // States after a violation are not explored: they show no further faults.
             continue;
         }
         if matches!(model.home, HomeRecord::Ended { .. }) {
@@ -502,7 +520,7 @@
     let explored = explore(InjectedFault::None);
     println!("{} states", explored.states);
     assert_eq!(explored.violations, BTreeSet::new(), "{:#?}", explored.trace);
-    assert_eq!(explored.stuck, 0, "states from which there is no way to the end");
+    assert_eq!(explored.stuck, 0, "states from which the job can no longer end");
 }
 
 #[test]
@@ -517,6 +535,6 @@
     ] {
         let explored = explore(fault);
         println!("{fault:?}: {:?} after {} states", explored.violations, explored.states);
-        assert!(!explored.violations.is_empty(), "{fault:?} is not found");
+        assert!(!explored.violations.is_empty(), "{fault:?} is not detected");
     }
 }
--- a/crates/dapplecroft-federation/tests/random.rs
+++ b/crates/dapplecroft-federation/tests/random.rs
@@ -1,6 +1,7 @@
-//! Hand-overs of a few jobs in long random runs: many more offers than can be explored
-//! exhaustively, with messages that are lost, repeated, late and out of order, and cells
-//! that prune what they may.
+//! Hand-overs of several jobs under long random sequences of events, with many more offers
+//! than `hand_over.rs` can explore exhaustively. Messages are lost, repeated, delayed and
+//! reordered, and host cells delete the records that the watermark allows them to delete.
+//! Guards against a job that runs twice, whose end is lost, or that stays away for ever.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,13 +26,17 @@
     StartAtHome(usize),
     EndAtHome(usize),
     Cancel(usize),
+    /// The home cell sends the host cell of a job all requests that it could send now.
     SendRequests(usize),
-    /// One of the messages that were ever sent arrives, again or for the first time.
+    /// One of all requests that were ever sent arrives, possibly not for the first time:
+    /// request number `pick` modulo their count.
     DeliverRequest {
         pick: usize,
         can_accept: bool,
     },
+    /// One of all answers that were ever sent arrives, chosen in the same way.
     DeliverAnswer(usize),
+    /// The home cell's current watermark reaches a host cell.
     RaiseWatermark(usize),
     StartAtHost {
         job: usize,
@@ -59,7 +64,9 @@
         1 => job.clone().prop_map(Event::EndAtHome),
         1 => job.clone().prop_map(Event::Cancel),
         4 => job.clone().prop_map(Event::SendRequests),
-        8 => (any::<usize>(), any::<bool>()).prop_map(|(pick, can_accept)| Event::DeliverRequest { pick, can_accept }),
+        8 => (any::<usize>(), any::<bool>()).prop_map(|(pick, can_accept)| {
+            Event::DeliverRequest { pick, can_accept }
+        }),
         8 => any::<usize>().prop_map(Event::DeliverAnswer),
         2 => cell.clone().prop_map(Event::RaiseWatermark),
         2 => (job.clone(), cell.clone()).prop_map(|(job, cell)| Event::StartAtHost { job, cell }),
@@ -70,7 +77,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum HomeRecord {
+enum HomeJob {
     Open,
     Away(AwayRecord),
     Ended(Outcome),
@@ -86,13 +93,16 @@
 
 #[derive(Debug)]
 struct Model {
-    home_records: Vec<HomeRecord>,
+    home: Vec<HomeJob>,
     home_running: Vec<bool>,
     home_has_started: Vec<bool>,
     next_epoch: u64,
+    /// State of each job in each host cell, by host cell and job.
     host_jobs: Vec<Vec<HostJob>>,
     watermarks: Vec<WatermarkRecord>,
+    /// All requests that were ever sent, with host cell and job.
     requests: Vec<(usize, usize, Epoch, TransferRequest)>,
+    /// All answers that were ever sent, with host cell and job.
     answers: Vec<(usize, usize, Epoch, TransferState)>,
     completions: Vec<u32>,
 }
@@ -104,7 +114,7 @@
 impl Model {
     fn new() -> Model {
         Model {
-            home_records: vec![HomeRecord::Open; JOBS],
+            home: vec![HomeJob::Open; JOBS],
             home_running: vec![false; JOBS],
             home_has_started: vec![false; JOBS],
             next_epoch: 1,
@@ -117,7 +127,7 @@
     }
 
     fn away_record(&self, job: usize) -> Option<(usize, AwayRecord)> {
-        let HomeRecord::Away(record) = &self.home_records[job] else { return None };
+        let HomeJob::Away(record) = &self.home[job] else { return None };
         let cell = (0..HOST_CELLS).find(|cell| host_cell_id(*cell) == record.cell)?;
         Some((cell, record.clone()))
     }
@@ -125,14 +135,14 @@
     fn apply(&mut self, event: &Event) {
         match *event {
             Event::Offer { job, cell } => {
-                if self.home_records[job] == HomeRecord::Open && !self.home_has_started[job] {
-                    self.home_records[job] =
-                        HomeRecord::Away(AwayRecord::for_offer(host_cell_id(cell), Epoch(self.next_epoch)));
+                if self.home[job] == HomeJob::Open && !self.home_has_started[job] {
+                    self.home[job] =
+                        HomeJob::Away(AwayRecord::for_offer(host_cell_id(cell), Epoch(self.next_epoch)));
                     self.next_epoch += 1;
                 }
             }
             Event::StartAtHome(job) => {
-                if self.home_records[job] == HomeRecord::Open {
+                if self.home[job] == HomeJob::Open {
                     (self.home_running[job], self.home_has_started[job]) = (true, true);
                 }
             }
@@ -140,18 +150,16 @@
                 if self.home_running[job] {
                     self.home_running[job] = false;
                     self.completions[job] += 1;
-                    self.home_records[job] = HomeRecord::Ended(Outcome::Done);
+                    self.home[job] = HomeJob::Ended(Outcome::Done);
                 }
             }
-            Event::Cancel(job) => match &self.home_records[job] {
-                HomeRecord::Open => {
+            Event::Cancel(job) => match &self.home[job] {
+                HomeJob::Open => {
                     self.home_running[job] = false;
-                    self.home_records[job] = HomeRecord::Ended(Outcome::Cancelled);
+                    self.home[job] = HomeJob::Ended(Outcome::Cancelled);
                 }
-                HomeRecord::Away(record) => {
-                    self.home_records[job] = HomeRecord::Away(record.with_cancellation_requested())
-                }
-                HomeRecord::Ended(_) => {}
+                HomeJob::Away(away) => self.home[job] = HomeJob::Away(away.with_cancellation_requested()),
+                HomeJob::Ended(_) => {}
             },
             Event::SendRequests(job) => {
                 if let Some((cell, record)) = self.away_record(job) {
@@ -172,10 +180,8 @@
                     if let Some((_, record)) = self.away_record(job) {
                         match record.on_answer(&host_cell_id(cell), epoch, state) {
                             HomeStep::Wait => {}
-                            HomeStep::Reopen => self.home_records[job] = HomeRecord::Open,
-                            HomeStep::End { outcome, .. } => {
-                                self.home_records[job] = HomeRecord::Ended(outcome)
-                            }
+                            HomeStep::Reopen => self.home[job] = HomeJob::Open,
+                            HomeStep::End { outcome, .. } => self.home[job] = HomeJob::Ended(outcome),
                         }
                     }
                 }
@@ -195,7 +201,7 @@
         }
     }
 
-    /// What a visited cell does by itself.
+    /// Applies an event of a host cell that needs no message.
     fn apply_at_host(&mut self, event: &Event, job: usize, cell: usize) {
         let watermark = self.watermarks[cell];
         let host_job = &mut self.host_jobs[cell][job];
@@ -270,21 +276,22 @@
         for job in 0..JOBS {
             let running = usize::from(self.home_running[job])
                 + self.host_jobs.iter().filter(|cell| cell[job].running).count();
-            let ended = matches!(self.home_records[job], HomeRecord::Ended(_));
+            let ended = matches!(self.home[job], HomeJob::Ended(_));
             if running > 1 || self.completions[job] > 1 || (ended && running > 0) {
                 return Some(format!("job {job}: {running} running, {} completions", self.completions[job]));
             }
-            if self.home_records[job] == HomeRecord::Ended(Outcome::Done) && self.completions[job] == 0 {
-                return Some(format!("job {job} is told to be done"));
+            if self.home[job] == HomeJob::Ended(Outcome::Done) && self.completions[job] == 0 {
+                return Some(format!("job {job} is recorded as done, but has not completed"));
             }
-            if self.home_records[job] == HomeRecord::Open && self.completions[job] > 0 {
-                return Some(format!("the end of job {job} is lost"));
+            if self.home[job] == HomeJob::Open && self.completions[job] > 0 {
+                return Some(format!("job {job} has completed, but the home cell has it open"));
             }
         }
         None
     }
 
-    /// All troubles are over: whatever is away is asked about until it has come home.
+    /// Lets all faults end: jobs that are away run to their end, and the home cell asks the
+    /// host cells about them until none should be away.
     fn settle(&mut self) {
         for _ in 0..4 {
             for job in 0..JOBS {
@@ -312,7 +319,9 @@
     })]
 
     #[test]
-    fn long_random_runs_violate_no_rule_and_leave_no_job_away(events in prop::collection::vec(any_event(), 1..400)) {
+    fn long_random_runs_violate_no_rule_and_leave_no_job_away(
+        events in prop::collection::vec(any_event(), 1..400),
+    ) {
         let mut model = Model::new();
         for event in &events {
             model.apply(event);
@@ -320,7 +329,7 @@
         }
         model.settle();
         prop_assert_eq!(model.violated_rule(), None);
-        let still_away = model.home_records.iter().filter(|record| matches!(record, HomeRecord::Away(_))).count();
-        prop_assert_eq!(still_away, 0, "jobs that do not come home");
+        let still_away = model.home.iter().filter(|record| matches!(record, HomeJob::Away(_))).count();
+        prop_assert_eq!(still_away, 0, "jobs are still away after the cells settled");
     }
 }
--- a/crates/dapplecroft-federation/tests/settings.rs
+++ b/crates/dapplecroft-federation/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings that can't be meant are refused with one line that names the value.
+//! Validation of the federation settings: each invalid setting must be rejected with an
+//! error message that names the setting or its value.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/dapplecroft-federation/tests/summaries.rs
+++ b/crates/dapplecroft-federation/tests/summaries.rs
@@ -1,4 +1,4 @@
-//! Whom a job is offered to.
+//! Choice of the cell that a job is offered to, and the order of epochs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -67,13 +67,15 @@
     }
 }
 
+// The cell whose machines become the fullest is chosen. A cell that cannot start all tasks
+// at once is chosen only if no cell can.
 #[test]
 fn the_best_fitting_cell_is_chosen_or_else_the_one_that_starts_most_tasks() {
     let fixture =
         Fixture::of(&[summary("idle", 1, 16, 10), summary("fuller", 1, 8, 10), summary("tiny", 1, 8, 1)]);
     assert_eq!(fixture.choose(&demand(10, 8), 0).unwrap(), "fuller");
     assert_eq!(fixture.choose(&demand(20, 8), 0).unwrap(), "idle");
-    assert_eq!(fixture.choose(&demand(100, 8), 0).unwrap(), "idle", "it begins most of it");
+    assert_eq!(fixture.choose(&demand(100, 8), 0).unwrap(), "idle", "idle can start the most tasks");
     assert_eq!(fixture.choose(&demand(1, 32), 0), None, "no machine is that large");
 }
 
@@ -106,11 +108,17 @@
     fixture.summaries.expire_refusals(REFUSAL_PAUSE, after_pause);
 }
 
+// A reply of an earlier incarnation can arrive late. It must not replace the summary of the
+// cell's current incarnation, even if it was requested later.
 #[test]
 fn a_summary_of_an_earlier_incarnation_does_not_replace_a_later_one() {
     let mut fixture = Fixture::of(&[summary("b", 2, 16, 1)]);
     fixture.summaries.record_summary(summary("b", 1, 16, 9), fixture.now + Duration::from_secs(1));
-    assert_eq!(fixture.choose(&demand(9, 16), 1).as_deref(), Some("b"), "it begins one of nine");
+    assert_eq!(
+        fixture.choose(&demand(9, 16), 1).as_deref(),
+        Some("b"),
+        "the cell can start one of nine tasks"
+    );
     let chosen = fixture
         .summaries
         .choose_cell(&fixture.job, &demand(1, 1), SUMMARY_MAX_AGE, REFUSAL_PAUSE, fixture.now)
@@ -118,6 +126,8 @@
     assert_eq!(chosen, CellId::new("b", 2));
 }
 
+// Without deducting offers, all jobs that wait at the same time would be offered to the
+// same cell, on the same free machines, until its next summary arrives.
 #[test]
 fn capacity_that_was_already_offered_is_not_counted_again() {
     let mut fixture = Fixture::of(&[summary("b", 1, 16, 2), summary("c", 1, 16, 3)]);
@@ -128,7 +138,7 @@
         chosen.push(cell);
         assert!(chosen.len() < 9);
     }
-    assert_eq!(chosen, ["b", "c", "c"], "the last one begins one of two");
+    assert_eq!(chosen, ["b", "c", "c"], "for the last offer, the cell can start one of two tasks");
 }
 
 #[test]
