--- a/crates/dapplecroft-federation/tests/hand_over.rs
+++ b/crates/dapplecroft-federation/tests/hand_over.rs
@@ -54,6 +54,7 @@
     FinalRecordPrunedEarly,
 }
 
+/// The home cell's record of the job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum HomeRecord {
     Open,
@@ -61,6 +62,7 @@
     Ended { done: bool },
 }
 
+/// A transaction of the home cell that may still commit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum HomeTransaction {
     StartJob,
@@ -74,6 +76,7 @@
     Done,
 }
 
+/// A transaction of a host cell that may still commit; with the epoch of the transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum HostTransaction {
     Accept(u64),
@@ -95,6 +98,8 @@
     in_flight: BTreeSet<HostTransaction>,
 }
 
+/// One state of the exploration: the records and running jobs of all cells, their
+/// transactions in flight, and all messages that were ever sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Model {
     home: HomeRecord,
--- a/crates/dapplecroft-federation/tests/random.rs
+++ b/crates/dapplecroft-federation/tests/random.rs
@@ -91,6 +91,7 @@
     has_started: bool,
 }
 
+/// Records and running jobs of all cells, and all messages that were ever sent.
 #[derive(Debug)]
 struct Model {
     home: Vec<HomeJob>,
