--- a/crates/dapplecroft-controller/src/cells/convert.rs
+++ b/crates/dapplecroft-controller/src/cells/convert.rs
@@ -1,8 +1,8 @@
-//! Messages between cells as typed values.
+//! Conversion between the messages of the exchange protocol and typed values.
 
-use super::{ExchangeError, PROTOCOL};
-use crate::core::AwayRequest;
-use dapplecroft_federation::summary::{Room, Summary};
+use super::{ExchangeError, PROTOCOL_VERSION};
+use crate::core::OutgoingTransfer;
+use dapplecroft_federation::summary::{MachinePool, Summary};
 use dapplecroft_federation::{CellId, Epoch, TransferRequest, TransferState};
 use dapplecroft_sched::Resources;
 use dapplecroft_wire::cells::{
@@ -11,24 +11,24 @@
 };
 use dapplecroft_wire::users::{JobSpec, valid_id};
 
-/// What of a message can't be understood.
+/// Why a message of another cell is invalid. The texts are sent to the other cell.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// No cell is named.
+    /// The message does not name its cell, or comes from another cell than the one that was asked.
     #[error("no cell")]
-    NoCell,
-    /// A transfer is of no known kind.
+    MissingCell,
+    /// The kind of a transfer is unknown.
     #[error("unknown kind of transfer")]
-    Kind,
-    /// An id is none.
+    UnknownTransferKind,
+    /// A job id is invalid, or differs from the id in the job's specification.
     #[error("no job id")]
-    Id,
-    /// An offered job can't be read.
+    InvalidJobId,
+    /// The specification of an offered job can't be parsed.
     #[error("unreadable job: {0}")]
-    Spec(String),
-    /// An answer is of no known kind.
+    UnreadableSpec(String),
+    /// The state in an answer is unknown.
     #[error("unknown state of a transfer")]
-    State,
+    UnknownTransferState,
 }
 
 impl From<MalformedMessage> for ExchangeError {
@@ -37,39 +37,41 @@
     }
 }
 
-/// A request about one transfer, as it was received.
+/// One transfer of a received request, decoded and checked.
 #[derive(Debug, Clone)]
-pub struct ReceivedTransfer {
-    /// The job.
+pub struct DecodedTransfer {
+    /// Job id.
     pub job: String,
-    /// The transfer.
+    /// Epoch of the transfer.
     pub epoch: Epoch,
-    /// What is asked.
+    /// Kind of the request.
     pub request: TransferRequest,
-    /// The specification, with an offer.
+    /// Job specification; only present with an offer.
     pub spec: Option<JobSpec>,
-    /// Seconds since 1970 at its submission.
-    pub submitted: f64,
+    /// Time at which the user submitted the job, in seconds since the Unix epoch; 0 if the
+    /// received value is not finite.
+    pub submitted_s: f64,
 }
 
 pub(super) fn to_cell(cell: &CellId) -> Cell {
     Cell { name: cell.name.clone(), incarnation: cell.incarnation }
 }
 
-/// The cell that a message names.
+/// Decodes the cell named in a message.
 pub fn from_cell(cell: Option<&Cell>) -> Result<CellId, MalformedMessage> {
-    let cell = cell.ok_or(MalformedMessage::NoCell)?;
+    let cell = cell.ok_or(MalformedMessage::MissingCell)?;
     Ok(CellId::new(&cell.name, cell.incarnation))
 }
 
-/// A request to another cell; without a known incarnation only its summary is asked for.
-pub fn to_transfers(
+/// Encodes a request to another cell. Without `to`, while the other cell's incarnation is not
+/// known, the request asks only for that cell's summary.
+pub fn to_exchange_request(
     from: &CellId,
     to: Option<&CellId>,
     watermark: Epoch,
-    requests: Vec<AwayRequest>,
+    requests: Vec<OutgoingTransfer>,
 ) -> ExchangeRequest {
-    let transfer = |request: AwayRequest| Transfer {
+    let transfer = |request: OutgoingTransfer| Transfer {
         job: request.job.to_string(),
         epoch: request.epoch.0,
         kind: match request.request {
@@ -78,10 +80,10 @@
             TransferRequest::Cancel => TransferKind::Cancel,
         } as i32,
         spec: request.spec.and_then(|spec| serde_json::to_vec(&spec).ok()).unwrap_or_default(),
-        submitted_s: request.submitted,
+        submitted_s: request.submitted_s,
     };
     ExchangeRequest {
-        version: PROTOCOL,
+        version: PROTOCOL_VERSION,
         from: Some(to_cell(from)),
         to: to.map(to_cell),
         watermark: watermark.0,
@@ -89,29 +91,35 @@
     }
 }
 
-/// One transfer of a request.
-pub(super) fn from_transfer(transfer: &Transfer) -> Result<ReceivedTransfer, MalformedMessage> {
+/// Decodes and checks one transfer of a request.
+pub(super) fn from_transfer(transfer: &Transfer) -> Result<DecodedTransfer, MalformedMessage> {
     if !valid_id(&transfer.job) {
-        return Err(MalformedMessage::Id);
+        return Err(MalformedMessage::InvalidJobId);
     }
     let request = match TransferKind::try_from(transfer.kind) {
         Ok(TransferKind::Offer) => TransferRequest::Offer,
         Ok(TransferKind::Poll) => TransferRequest::Poll,
         Ok(TransferKind::Cancel) => TransferRequest::Cancel,
-        Ok(TransferKind::Unspecified) | Err(_) => return Err(MalformedMessage::Kind),
+        Ok(TransferKind::Unspecified) | Err(_) => return Err(MalformedMessage::UnknownTransferKind),
     };
     let spec = match request {
         TransferRequest::Offer => {
-            let spec = JobSpec::parse(&transfer.spec).map_err(MalformedMessage::Spec)?;
+            let spec = JobSpec::parse(&transfer.spec).map_err(MalformedMessage::UnreadableSpec)?;
             if spec.id != transfer.job {
-                return Err(MalformedMessage::Id);
+                return Err(MalformedMessage::InvalidJobId);
             }
             Some(spec)
         }
         TransferRequest::Poll | TransferRequest::Cancel => None,
     };
-    let submitted = if transfer.submitted_s.is_finite() { transfer.submitted_s } else { 0.0 };
-    Ok(ReceivedTransfer { job: transfer.job.clone(), epoch: Epoch(transfer.epoch), request, spec, submitted })
+    let submitted_s = if transfer.submitted_s.is_finite() { transfer.submitted_s } else { 0.0 };
+    Ok(DecodedTransfer {
+        job: transfer.job.clone(),
+        epoch: Epoch(transfer.epoch),
+        request,
+        spec,
+        submitted_s,
+    })
 }
 
 pub(super) fn to_answer(job: &str, epoch: Epoch, state: TransferState) -> TransferAnswer {
@@ -125,7 +133,7 @@
     TransferAnswer { job: job.to_string(), epoch: epoch.0, state: kind as i32, done, running }
 }
 
-/// What a cell has answered about a transfer.
+/// Decodes another cell's answer about a transfer.
 pub fn from_answer(answer: &TransferAnswer) -> Result<(Epoch, TransferState), MalformedMessage> {
     let (done, running) = (answer.done, answer.running);
     let state = match TransferStateKind::try_from(answer.state) {
@@ -134,12 +142,12 @@
         Ok(TransferStateKind::Done) => TransferState::Done { done },
         Ok(TransferStateKind::Withdrawn) => TransferState::Withdrawn { done },
         Ok(TransferStateKind::Unknown) => TransferState::Unknown,
-        Ok(TransferStateKind::Unspecified) | Err(_) => return Err(MalformedMessage::State),
+        Ok(TransferStateKind::Unspecified) | Err(_) => return Err(MalformedMessage::UnknownTransferState),
     };
     Ok((Epoch(answer.epoch), state))
 }
 
-fn to_room(room: &Room) -> MachineRoom {
+fn to_room(room: &MachinePool) -> MachineRoom {
     MachineRoom {
         machine_type: room.machine_type.clone(),
         zone: room.zone.clone(),
@@ -154,8 +162,8 @@
     }
 }
 
-fn from_room(room: &MachineRoom) -> Room {
-    Room {
+fn from_room(room: &MachineRoom) -> MachinePool {
+    MachinePool {
         machine_type: room.machine_type.clone(),
         zone: room.zone.clone(),
         spot: room.spot,
@@ -165,25 +173,25 @@
     }
 }
 
-/// A reply with a cell's summary.
-pub fn to_reply(summary: &Summary, answers: Vec<TransferAnswer>) -> ExchangeReply {
+/// Encodes a reply: the summary of this cell and the answers to the request's transfers.
+pub fn to_exchange_reply(summary: &Summary, answers: Vec<TransferAnswer>) -> ExchangeReply {
     ExchangeReply {
         cell: Some(to_cell(&summary.cell)),
         answers,
         up: summary.up.iter().map(to_room).collect(),
         rentable: summary.rentable.iter().map(to_room).collect(),
         backlog_cpus: summary.backlog_cpus,
-        welcome_cpus: summary.welcome_cpus,
+        welcome_cpus: summary.hosting_headroom_cpus,
     }
 }
 
-/// The summary of a reply.
-pub fn from_reply(reply: &ExchangeReply) -> Result<Summary, MalformedMessage> {
+/// Decodes the summary in another cell's reply.
+pub fn summary_from_reply(reply: &ExchangeReply) -> Result<Summary, MalformedMessage> {
     Ok(Summary {
         cell: from_cell(reply.cell.as_ref())?,
         up: reply.up.iter().map(from_room).collect(),
         rentable: reply.rentable.iter().map(from_room).collect(),
         backlog_cpus: reply.backlog_cpus,
-        welcome_cpus: reply.welcome_cpus,
+        hosting_headroom_cpus: reply.welcome_cpus,
     })
 }
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -1,5 +1,6 @@
-//! The leader's part: what it commits of admission, and what any controller commits when
-//! another one knows nothing of it.
+//! Updates of credit records: grants, which the leader commits, and the suspension of the
+//! requirement for credit, which any controller commits while another one does not support
+//! admission control.
 
 use crate::core::Core;
 use crate::records;
@@ -12,13 +13,14 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-fn set<T: Serialize>(key: String, record: &T) -> Change {
+/// A change that writes a record.
+fn set_record<T: Serialize>(key: String, record: &T) -> Change {
     let value = serde_json::to_value(record).unwrap_or_default();
     Change::Set { key, value, lease: None }
 }
 
 fn to_wants(bucket: &str, demand: &BucketDemand) -> BucketWants {
-    let (hashes, charges, cut) = demand.sketch.parts();
+    let (hashes, charges, cut) = demand.sketch.to_parts();
     BucketWants {
         bucket: bucket.to_string(),
         hashes,
@@ -38,26 +40,28 @@
 }
 
 impl Core {
-    /// What this controller refused lately, for the leader.
+    /// The demand that this controller recently refused, for the leader.
     pub fn own_demand(&mut self, now: Instant) -> DemandReply {
         let identity = self.identity.clone();
         let Some(credit) = &mut self.credit else { return DemandReply::default() };
-        let buckets = credit.demand.demand(now);
+        let buckets = credit.demand.current_demand(now);
         DemandReply {
             identity,
             buckets: buckets.iter().map(|(bucket, demand)| to_wants(bucket.name(), demand)).collect(),
-            stuck: credit.spender.stuck(),
+            stuck: credit.spender.unsettled_credit(),
             accepted: credit.accepted,
             refused: credit.refused,
         }
     }
 
-    /// Whether this process grants credit.
+    /// Whether this process grants credit: it is the leader, admission control is enabled, and
+    /// the legacy record layout is no longer in use.
     pub fn grants_credit(&self, now: Instant) -> bool {
         self.credit.is_some() && !self.uses_legacy_layout() && self.leads(now)
     }
 
-    /// What the leader has to commit, given what the controllers that answered wanted.
+    /// The update of credit records that the leader should commit, given the demand of the
+    /// controllers that replied; `None` if nothing changes.
     pub fn credit_update(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
@@ -70,11 +74,11 @@
             admission: &admission,
             controllers: self.controller_views(replies),
             term: leader.version,
-            all_know: self.live_controllers.values().all(|live| live.admission),
+            all_support_admission: self.live_controllers.values().all(|live| live.admission),
             cpus_up: self.cpus_up(),
             now,
-            wall,
-            max_value: self.limits().value,
+            unix_time_s: wall,
+            max_value_bytes: self.limits().value,
             max_changes: self.limits().changes,
         };
         let credit = self.credit.as_mut()?;
@@ -82,55 +86,60 @@
         (!plan.is_empty()).then(|| self.plan_update(leader, plan))
     }
 
+    /// The update that carries out a plan, conditional on leadership and on unchanged records.
     fn plan_update(&self, leader: dapplecroft_wire::state::Condition, plan: Plan) -> AtomicUpdate {
         let mut changes = Vec::new();
-        changes.extend(plan.policy.map(|policy| set(records::ADMISSION_POLICY_KEY.into(), &policy)));
+        changes.extend(plan.policy.map(|policy| set_record(records::ADMISSION_POLICY_KEY.into(), &policy)));
+        changes.extend(
+            plan.epochs.iter().map(|(host, epoch)| set_record(records::admission_epoch_key(host), epoch)),
+        );
         changes
-            .extend(plan.epochs.iter().map(|(host, epoch)| set(records::admission_epoch_key(host), epoch)));
-        changes.extend(plan.pages.iter().map(|(page, grants)| set(records::grants_key(*page), grants)));
-        changes.extend(plan.reservations.map(|kept| set(records::RESERVATIONS_KEY.into(), &kept)));
+            .extend(plan.pages.iter().map(|(page, grants)| set_record(records::grants_key(*page), grants)));
+        changes.extend(plan.reservations.map(|kept| set_record(records::RESERVATIONS_KEY.into(), &kept)));
         let mut conditions = vec![leader];
-        conditions.extend(changes.iter().map(|change| self.unchanged(change.key().to_string())));
+        conditions.extend(changes.iter().map(|change| self.unchanged_condition(change.key().to_string())));
         AtomicUpdate { conditions, changes }
     }
 
+    /// The live controllers with their demand, as input for the planner.
     fn controller_views(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerView> {
         let view = |(host, live): (&String, &records::LivenessRecord)| {
-            // An answer of an earlier process says nothing of this one.
+            // A reply from an earlier process on the host does not describe the current one.
             let reply = replies.get(host).filter(|reply| reply.identity == live.identity);
             let wants = reply.map(|reply| reply.buckets.as_slice()).unwrap_or_default();
             ControllerView {
                 host: host.clone(),
                 identity: live.identity.clone(),
                 demand: wants.iter().map(|w| (w.bucket.as_str().into(), from_wants(w))).collect(),
-                stuck: reply.map_or(0, |reply| reply.stuck),
+                unsettled_credit: reply.map_or(0, |reply| reply.stuck),
             }
         };
         self.live_controllers.iter().map(view).collect()
     }
 
+    /// Total CPUs of the machines that accept tasks.
     fn cpus_up(&self) -> f64 {
-        let up = self.machines.values().filter(|machine| machine.likely_accepts_tasks());
-        up.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
+        let open_machines = self.machines.values().filter(|machine| machine.likely_accepts_tasks());
+        open_machines.map(|machine| machine.capacity.cpus).sum::<i64>() as f64 / 1000.0
     }
 
-    /// Forgets what an earlier term of this process had planned.
-    pub(in crate::core) fn begin_granting(&mut self) {
+    /// Resets the planner at the start of a term: discards plans of this process's earlier terms.
+    pub(in crate::core) fn reset_credit_planner(&mut self) {
         self.with_credit(|credit| credit.planner.reset());
     }
 
-    /// The unit by which any controller lifts the demand for credit while a live one
-    /// knows nothing of it: that one would take everything the others refuse, or, as
-    /// leader, would never grant any.
-    pub fn lift_update(&self) -> Option<AtomicUpdate> {
-        let stranger =
+    /// The update by which any controller suspends the requirement for credit while a live
+    /// controller does not support admission control. Such a controller would accept everything
+    /// that the others refuse or, as leader, would never grant credit.
+    pub fn suspension_update(&self) -> Option<AtomicUpdate> {
+        let unaware_host =
             self.live_controllers.iter().find(|(_, live)| !live.admission).map(|(host, _)| host)?;
         let (policy, _) = self.credit.as_ref()?.ledger.policy().filter(|(policy, _)| policy.in_force)?;
-        let lifted = PolicyRecord { in_force: false, ..policy.clone() };
-        let change = set(records::ADMISSION_POLICY_KEY.into(), &lifted);
+        let suspended = PolicyRecord { in_force: false, ..policy.clone() };
+        let change = set_record(records::ADMISSION_POLICY_KEY.into(), &suspended);
         let conditions = vec![
-            self.unchanged(records::ADMISSION_POLICY_KEY.into()),
-            self.unchanged(records::liveness_key(stranger)),
+            self.unchanged_condition(records::ADMISSION_POLICY_KEY.into()),
+            self.unchanged_condition(records::liveness_key(unaware_host)),
         ];
         Some(AtomicUpdate { conditions, changes: vec![change] })
     }
--- a/crates/dapplecroft-controller/src/core/credit/status.rs
+++ b/crates/dapplecroft-controller/src/core/credit/status.rs
@@ -1,4 +1,4 @@
-//! How admission stands, for operators.
+//! Status of admission control, for operators.
 
 use crate::core::Core;
 use dapplecroft_wire::peer::{AdmissionReply, ControllerCredit, DemandReply, TeamAdmission};
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 impl Core {
-    /// How admission stands, with what the controllers that answered have told.
+    /// Status of admission control, including the demand of the controllers that replied.
     pub fn admission_status(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
@@ -23,30 +23,33 @@
             in_force,
             leads,
             limit: policy.map_or(0, |policy| policy.limit),
-            outstanding: ledger.outstanding(),
+            outstanding: ledger.outstanding_work(),
             jobs: ledger.outstanding_jobs(),
-            max_jobs: policy.map_or(0, |policy| policy.jobs),
-            credit: ledger.credit(),
+            max_jobs: policy.map_or(0, |policy| policy.max_jobs),
+            credit: ledger.outstanding_credit(),
             controllers: self.controller_credit(replies),
             teams: self.team_admission(replies),
             unreadable,
         }
     }
 
+    /// Credit and submission counters of each controller.
     fn controller_credit(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<ControllerCredit> {
         let Some(credit) = &self.credit else { return Vec::new() };
-        let of = |(host, epoch): (&String, &dapplecroft_admission::EpochRecord)| ControllerCredit {
-            host: host.clone(),
-            epoch: epoch.epoch,
-            live: self.live_controllers.get(host).is_some_and(|live| live.identity == epoch.identity),
-            credit: credit.ledger.unspent(host).values().sum(),
-            stuck: replies.get(host).map_or(0, |reply| reply.stuck),
-            accepted: replies.get(host).map_or(0, |reply| reply.accepted),
-            refused: replies.get(host).map_or(0, |reply| reply.refused),
-        };
-        credit.ledger.epochs().map(of).collect()
+        let to_controller_credit =
+            |(host, epoch): (&String, &dapplecroft_admission::EpochRecord)| ControllerCredit {
+                host: host.clone(),
+                epoch: epoch.epoch,
+                live: self.live_controllers.get(host).is_some_and(|live| live.identity == epoch.identity),
+                credit: credit.ledger.unspent(host).values().sum(),
+                stuck: replies.get(host).map_or(0, |reply| reply.stuck),
+                accepted: replies.get(host).map_or(0, |reply| reply.accepted),
+                refused: replies.get(host).map_or(0, |reply| reply.refused),
+            };
+        credit.ledger.epochs().map(to_controller_credit).collect()
     }
 
+    /// Weight, outstanding work and waiting work of each team.
     fn team_admission(&self, replies: &BTreeMap<String, DemandReply>) -> Vec<TeamAdmission> {
         let Some(credit) = &self.credit else { return Vec::new() };
         let mut teams: BTreeMap<&str, TeamAdmission> = BTreeMap::new();
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -266,18 +266,18 @@
     fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
         let Some(leadership) = self.role.leader_key_version else { return };
         let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
-        if (self.unplaced_demand.is_empty() && self.standby() == 0)
+        if (self.unplaced_demand.is_empty() && self.standby_target() == 0)
             || self.fleet.pending_rentals.len() >= max_requests
         {
             return;
         }
         let thrift = self.options.prefer_cheapest_machines;
-        let offers = self.offers(now);
+        let offers = self.rental_offers(now);
         let machines = MAX_RENT * (max_requests - self.fleet.pending_rentals.len()) as u32;
         let mut plan =
             plan_scale_out(&self.unplaced_demand, self.pending_capacity(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
-            plan.extend(self.standby_rental(&offers));
+            plan.extend(self.standby_scale_out(&offers));
         }
         let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
         for (request, shard) in self.fleet.pending_rentals.values() {
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -61,7 +61,7 @@
         self.applied_revision = self.applied_revision.max(revision);
         let applied_revision = self.applied_revision;
         self.deleted_versions.retain(|_, at| *at > applied_revision);
-        self.note_applied_revision(applied_revision);
+        self.set_credit_revision(applied_revision);
         while let Some(&(sent, at)) = self.role.unapplied_confirmations.front() {
             if at > applied_revision {
                 break;
@@ -352,17 +352,17 @@
         let id: Arc<str> = id.into();
         self.forget_job(&id);
         self.jobs.remove(&id);
-        self.federation.visits.remove(&id);
-        self.note_dropped_job(&id);
+        self.federation.hosted_jobs.remove(&id);
+        self.remove_job_charge(&id);
     }
 
     fn apply_job(&mut self, id: &str, record: JobRecord, version: u64, now: Instant) {
         let id: Arc<str> = id.into();
         match &record.origin {
-            Some(origin) => self.federation.visits.insert(id.clone(), origin.clone()),
-            None => self.federation.visits.remove(&id),
+            Some(origin) => self.federation.hosted_jobs.insert(id.clone(), origin.clone()),
+            None => self.federation.hosted_jobs.remove(&id),
         };
-        self.note_job_charge(&id, &record);
+        self.apply_job_charge(&id, &record);
         if record.spec.is_none() {
             // The job is final for good. Only its stage and its number of completed tasks are
             // kept.
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -78,7 +78,7 @@
         let ready = self.role.leader_key_version.is_some_and(|l| l <= self.applied_revision);
         if ready && !self.fleet.has_started() {
             self.fleet.start(now);
-            self.begin_granting();
+            self.reset_credit_planner();
             let open: Vec<Arc<str>> = self.open_jobs.iter().cloned().collect();
             for id in open {
                 self.commit_if_finished(&id);
--- a/crates/dapplecroft-controller/src/loops.rs
+++ b/crates/dapplecroft-controller/src/loops.rs
@@ -1,33 +1,33 @@
-//! The loops of a controller: each works out the difference between what is
-//! wanted and what is, and carries it out.
+//! The background loops of a controller. Each loop is a reconciler: it compares the desired
+//! state with the actual state and acts on the difference.
 
 mod admission;
 mod election;
 mod federation;
 mod fleet;
-mod follow;
-mod work;
+mod placement;
+mod record_watch;
 
 use crate::node::Node;
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
 impl Node {
-    /// Sets all loops going and returns only if this process must end
-    /// ([`Node::ended`] says why); no loop ends by itself.
+    /// Starts all loops. Returns only if this process must exit ([`Node::ended`] gives the
+    /// reason); no loop returns by itself.
     pub async fn run(self: &Arc<Self>) {
         let mut loops = JoinSet::new();
-        loops.spawn(self.clone().follow_loop());
-        loops.spawn(self.clone().beat_loop());
+        loops.spawn(self.clone().watch_loop());
+        loops.spawn(self.clone().lease_renewal_loop());
         loops.spawn(self.clone().role_loop());
-        loops.spawn(self.clone().question_loop());
-        loops.spawn(self.clone().place_loop());
+        loops.spawn(self.clone().version_check_loop());
+        loops.spawn(self.clone().placement_loop());
         loops.spawn(self.clone().flush_loop());
         loops.spawn(self.clone().command_loop());
         loops.spawn(self.clone().fleet_loop());
         loops.spawn(self.clone().cloud_loop());
-        loops.spawn(self.clone().health_loop());
-        loops.spawn(self.clone().summary_loop());
+        loops.spawn(self.clone().state_health_loop());
+        loops.spawn(self.clone().status_log_loop());
         loops.spawn(self.clone().freed_room_loop());
         if self.options.admission.is_some() {
             loops.spawn(self.clone().admission_loop());
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -1,12 +1,13 @@
-//! The loops of a cell's leader towards other cells: one for each cell, so that a slow one
-//! holds up no other, and one that offers jobs and gives back those of others.
+//! The federation loops of a cell's leader: one loop per peer cell, so that a slow cell does not
+//! delay the exchange with the others, and one loop that offers jobs to peer cells and returns
+//! jobs to their home cells.
 
-use crate::cells::convert::{from_answer, from_reply};
-use crate::cells::{ExchangeError, MAX_TRANSFERS, MalformedMessage, to_transfers};
+use crate::cells::convert::{from_answer, summary_from_reply};
+use crate::cells::{ExchangeError, MAX_TRANSFERS_PER_REQUEST, MalformedMessage, to_exchange_request};
 use crate::jobs::Job;
 use crate::node::{Node, Reply, lock, now};
 use crate::records;
-use dapplecroft_federation::{CellId, Epoch, Federation, PeerCell, TransferState};
+use dapplecroft_federation::{CellId, Epoch, FederationSettings, PeerCell, TransferState};
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::cells::ExchangeReply;
 use std::sync::Arc;
@@ -14,37 +15,40 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How often another cell is asked while jobs are away there.
-const ASK_EVERY: Duration = Duration::from_secs(1);
-/// How often it is asked for its summary alone.
-const SUMMARY_EVERY: Duration = Duration::from_secs(2);
-/// How long an answer of another cell may take.
+/// Time between two exchanges with a peer cell that hosts jobs of this cell.
+const AWAY_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two exchanges with a peer cell that hosts no job of this cell: only its
+/// summary is needed.
+const SUMMARY_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout for a peer cell's reply.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often jobs that wait are looked at.
-const OFFER_EVERY: Duration = Duration::from_secs(1);
-/// The most jobs that are offered, and given back, at a time: each costs a change.
-const MAX_OFFERS: usize = 4;
-/// The most keys of finished hand-overs that are dropped at a time.
-const MAX_PRUNED: usize = 4;
-/// Finished hand-overs are dropped while at least this part of a burst of changes is left.
-const PRUNE_ABOVE: f64 = 0.7;
-/// How long a user's cancellation waits for the other cell before the user is asked to
-/// come back, and how often it is looked at.
-const CANCEL_WAIT: Duration = Duration::from_millis(3500);
-const CANCEL_CHECK: Duration = Duration::from_millis(100);
+/// Time between two rounds of offering waiting jobs and returning hosted ones.
+const OFFER_INTERVAL: Duration = Duration::from_secs(1);
+/// Limit on jobs offered, and on jobs returned, per round: each costs a record change.
+const MAX_OFFERS_PER_ROUND: usize = 4;
+/// Limit on records of finished hand-overs that are deleted per round.
+const MAX_PRUNED_PER_ROUND: usize = 4;
+/// Records of finished hand-overs are deleted only while more than this fraction of the write
+/// budget's burst is unused.
+const PRUNE_MIN_WRITE_ROOM: f64 = 0.7;
+/// How long a user's cancellation waits for the host cell before the user is asked to retry.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(3500);
+/// How often a waiting cancellation is checked.
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a cell's loop stands.
+/// State of the loop for one peer cell.
 #[derive(Default)]
-struct PeerLoop {
-    /// The cell, as it last told of itself.
+struct PeerCellProgress {
+    /// Name and incarnation of the cell from its last summary; `None` while unknown.
     cell: Option<CellId>,
-    /// The last job that was asked about.
-    last: Option<Arc<str>>,
-    /// Whether the last exchange failed, so that only changes are logged.
-    failing: bool,
+    /// The last job that the previous exchange asked about; the next one continues after it.
+    last_polled_job: Option<Arc<str>>,
+    /// Whether the last exchange failed. Only changes are logged.
+    exchange_failing: bool,
 }
 
 impl Node {
+    /// Starts the federation loops if peer cells are configured.
     pub(crate) fn spawn_federation_loops(self: &Arc<Self>, loops: &mut JoinSet<()>) {
         let Some(federation) = &self.options.federation else { return };
         if federation.peers.is_empty() {
@@ -56,126 +60,149 @@
         loops.spawn(self.clone().offer_loop(federation.clone()));
     }
 
+    /// As leader, exchanges messages with one peer cell periodically.
     async fn peer_cell_loop(self: Arc<Self>, peer: PeerCell) {
-        let mut state = PeerLoop::default();
+        let mut state = PeerCellProgress::default();
         loop {
-            let away = self.with(|core| core.away_at(&peer.name));
-            let pause = if away > 0 { ASK_EVERY } else { SUMMARY_EVERY };
+            let away = self.with(|core| core.away_job_count(&peer.name));
+            let pause = if away > 0 { AWAY_POLL_INTERVAL } else { SUMMARY_POLL_INTERVAL };
             let _ = timeout(pause, self.wake_federation.notified()).await;
-            if self.with(|core| core.leads_federation(now())) {
-                self.ask_cell(&peer, &mut state).await;
+            if self.with(|core| core.may_act_for_cell(now())) {
+                self.poll_cell(&peer, &mut state).await;
             }
         }
     }
 
-    async fn ask_cell(&self, peer: &PeerCell, state: &mut PeerLoop) {
+    /// Sends the peer cell this cell's requests about jobs that it hosts, and applies its reply.
+    async fn poll_cell(&self, peer: &PeerCell, state: &mut PeerCellProgress) {
         let Some(federation) = &self.options.federation else { return };
-        let asked = now();
+        let asked_at = now();
         let prepared = self.with(|core| {
-            // Not more than what was agreed with the incarnation that answers now: what
-            // is away at an earlier one stays away.
-            let mut requests = core.away_requests(&peer.name, state.last.as_deref(), MAX_TRANSFERS);
-            let meant = |request: &crate::core::AwayRequest| core.away_cell(&request.job) == state.cell;
-            requests.retain(meant);
+            // Sends only requests about jobs that the cell's current incarnation hosts. Jobs at
+            // an earlier incarnation stay marked as away.
+            let mut requests = core.outgoing_transfers(
+                &peer.name,
+                state.last_polled_job.as_deref(),
+                MAX_TRANSFERS_PER_REQUEST,
+            );
+            let for_current_cell =
+                |request: &crate::core::OutgoingTransfer| core.host_cell_of(&request.job) == state.cell;
+            requests.retain(for_current_cell);
             Some((core.watermark_for(&peer.name)?, requests))
         });
         let Some((watermark, requests)) = prepared else { return };
         if let Some(last) = requests.last() {
-            state.last = Some(last.job.clone());
+            state.last_polled_job = Some(last.job.clone());
         }
-        let request = to_transfers(&federation.cell, state.cell.as_ref(), watermark, requests);
+        let request = to_exchange_request(&federation.cell, state.cell.as_ref(), watermark, requests);
         let exchange = self.cells.exchange(peer, request);
         let reply = timeout(EXCHANGE_TIMEOUT, exchange).await.unwrap_or(Err(ExchangeError::Unreachable));
-        let taken = match reply {
-            Ok(reply) => self.take_reply(peer, state, reply, asked).await.map_err(ExchangeError::from),
+        let result = match reply {
+            Ok(reply) => self.apply_reply(peer, state, reply, asked_at).await.map_err(ExchangeError::from),
             Err(error) => Err(error),
         };
-        self.note_exchange(peer, state, taken);
+        self.handle_exchange_result(peer, state, result);
     }
 
-    fn note_exchange(&self, peer: &PeerCell, state: &mut PeerLoop, taken: Result<(), ExchangeError>) {
-        match taken {
-            Ok(()) if state.failing => {
-                tracing::info!(cell = peer.name, "a cell answers again");
-                state.failing = false;
+    /// Logs when exchanges with a cell start to fail or succeed again, and forgets the cell's
+    /// incarnation if another one has replaced it.
+    fn handle_exchange_result(
+        &self,
+        peer: &PeerCell,
+        state: &mut PeerCellProgress,
+        result: Result<(), ExchangeError>,
+    ) {
+        match result {
+            Ok(()) if state.exchange_failing => {
+                tracing::info!(cell = peer.name, "exchanges with a peer cell succeed again");
+                state.exchange_failing = false;
             }
             Ok(()) => {}
             Err(error) => {
-                if error == ExchangeError::OtherCell {
-                    // It has another incarnation now: its summary says which.
+                if error == ExchangeError::WrongReceiver {
+                    // Another incarnation answers now; its next summary names it.
                     state.cell = None;
                 }
-                if !state.failing {
-                    tracing::info!(cell = peer.name, %error, "a cell does not answer");
-                    state.failing = true;
+                if !state.exchange_failing {
+                    tracing::info!(cell = peer.name, %error, "the exchange with a peer cell failed");
+                    state.exchange_failing = true;
                 }
             }
         }
     }
 
-    async fn take_reply(
+    /// Stores the peer cell's summary and applies its answers about single jobs.
+    async fn apply_reply(
         &self,
         peer: &PeerCell,
-        state: &mut PeerLoop,
+        state: &mut PeerCellProgress,
         reply: ExchangeReply,
-        asked: Instant,
+        asked_at: Instant,
     ) -> Result<(), MalformedMessage> {
-        let summary = from_reply(&reply)?;
+        let summary = summary_from_reply(&reply)?;
         if summary.cell.name != peer.name {
-            return Err(MalformedMessage::NoCell);
+            return Err(MalformedMessage::MissingCell);
         }
         let cell = summary.cell.clone();
         state.cell = Some(cell.clone());
-        lock(&self.summaries).note(summary, asked);
+        lock(&self.summaries).record_summary(summary, asked_at);
         for answer in &reply.answers {
             let (epoch, transfer) = from_answer(answer)?;
-            self.take_answer(&answer.job, &cell, epoch, transfer).await;
+            self.apply_answer(&answer.job, &cell, epoch, transfer).await;
         }
         Ok(())
     }
 
-    async fn take_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
+    /// Applies a peer cell's answer about one job. If the answer ends the hand-over, commits the
+    /// resulting change of the job's record.
+    async fn apply_answer(&self, job: &str, cell: &CellId, epoch: Epoch, state: TransferState) {
         if state == TransferState::Refused {
-            lock(&self.summaries).note_refusal(&job.into(), &cell.name, now());
+            lock(&self.summaries).record_refusal(&job.into(), &cell.name, now());
         }
-        let update = self.with(|core| core.away_answer(job, cell, epoch, state));
+        let update = self.with(|core| core.apply_transfer_answer(job, cell, epoch, state));
         if let Some(update) = update {
-            let committed = self.commit_for_cells(update).await;
-            tracing::info!(job, %cell, epoch = epoch.0, ?state, committed, "a job comes home");
+            let committed = self.try_commit_handover_update(update).await;
+            tracing::info!(
+                job, %cell, epoch = epoch.0, ?state, committed,
+                "a hand-over of a job to a peer cell has ended"
+            );
         }
     }
 
-    async fn offer_loop(self: Arc<Self>, federation: Federation) {
+    /// As leader, offers waiting jobs to peer cells, returns hosted jobs to their home cells, and
+    /// deletes records of finished hand-overs.
+    async fn offer_loop(self: Arc<Self>, federation: FederationSettings) {
         loop {
-            sleep(OFFER_EVERY).await;
-            if !self.with(|core| core.leads_federation(now())) {
+            sleep(OFFER_INTERVAL).await;
+            if !self.with(|core| core.may_act_for_cell(now())) {
                 continue;
             }
             self.offer_jobs(&federation).await;
-            self.with(|core| core.prepare_returns(now()));
-            for update in self.with(|core| core.return_updates(MAX_OFFERS, now())) {
+            self.with(|core| core.revoke_allocations_for_returns(now()));
+            for update in self.with(|core| core.job_return_updates(MAX_OFFERS_PER_ROUND, now())) {
                 let key = update.changes.last().map(|change| change.key().to_string());
-                let committed = self.commit_for_cells(update).await;
-                tracing::info!(key, committed, "a job of another cell is given back");
+                let committed = self.try_commit_handover_update(update).await;
+                tracing::info!(key, committed, "a hosted job is returned to its home cell");
             }
-            if self.state.write_room() > PRUNE_ABOVE {
-                for update in self.with(|core| core.prune_updates(MAX_PRUNED)) {
-                    self.commit_for_cells(update).await;
+            if self.state.write_room() > PRUNE_MIN_WRITE_ROOM {
+                for update in self.with(|core| core.prune_updates(MAX_PRUNED_PER_ROUND)) {
+                    self.try_commit_handover_update(update).await;
                 }
             }
         }
     }
 
-    async fn offer_jobs(&self, federation: &Federation) {
-        let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS, now()));
-        lock(&self.summaries).forget_refusals(federation.refusal_pause, now());
-        for (job, wish) in candidates {
+    /// Offers each candidate job to the peer cell that fits it best, if any does.
+    async fn offer_jobs(&self, federation: &FederationSettings) {
+        let candidates = self.with(|core| core.spill_candidates(MAX_OFFERS_PER_ROUND, now()));
+        lock(&self.summaries).expire_refusals(federation.refusal_pause, now());
+        for (job, requirements) in candidates {
             let chosen = {
-                let mut book = lock(&self.summaries);
-                let (fresh, pause) = (federation.summary_fresh, federation.refusal_pause);
-                let chosen = book.choose(&job, &wish, fresh, pause, now());
+                let mut summaries = lock(&self.summaries);
+                let (fresh, pause) = (federation.summary_max_age, federation.refusal_pause);
+                let chosen = summaries.choose_cell(&job, &requirements, fresh, pause, now());
                 if let Some(cell) = &chosen {
-                    book.note_offer(&cell.name, &wish);
+                    summaries.deduct_offer(&cell.name, &requirements);
                 }
                 chosen
             };
@@ -184,44 +211,45 @@
         }
     }
 
-    /// Commits that a job is offered. Only the loop of the other cell sends the offer,
-    /// from the record.
+    /// Commits the offer of a job to the job's record. The loop for that peer cell then sends
+    /// the offer from the committed record.
     async fn offer_job(&self, job: &Arc<str>, cell: CellId) {
         let Some(offer) = self.with(|core| core.offer_update(job, cell.clone())) else { return };
         let result = self.committer.commit_soon(offer.update.clone()).await;
-        tracing::info!(%job, %cell, ?result, "a job is offered to another cell");
+        tracing::info!(%job, %cell, ?result, "a job is offered to a peer cell");
         match result {
             UpdateResult::Committed(revision) => {
                 self.with(|core| {
                     core.apply_changes(&offer.update.changes, revision, now());
-                    core.offer_settled(job);
+                    core.remove_pending_offer(job);
                 });
             }
             UpdateResult::Conflict(keys) => {
-                self.with(|core| core.offer_settled(job));
+                self.with(|core| core.remove_pending_offer(job));
                 for key in keys {
                     self.refresh(&key, || true).await;
                 }
             }
-            UpdateResult::Refused(_) => self.with(|core| core.offer_settled(job)),
-            // It may yet be carried out: its epoch counts as used until the record that
-            // it is bound to has changed.
+            UpdateResult::Refused(_) => self.with(|core| core.remove_pending_offer(job)),
+            // The update may still be committed. Its epoch counts as used until the job's
+            // record, on whose version the update is conditional, has changed.
             UpdateResult::Unknown(_) => {
                 self.refresh(&records::job_key(job), || true).await;
             }
         }
     }
 
-    /// Cancels a job that is away: its user is told so only once the other cell has
-    /// committed that nothing of it starts any more, and this cell has committed that.
-    pub(crate) async fn withdraw_away(&self, id: &str) -> Reply {
-        let deadline = tokio::time::Instant::now() + CANCEL_WAIT;
+    /// Cancels a job that another cell hosts. The user gets the confirmation only after the host
+    /// cell has committed that no task of the job starts any more, and this cell has committed
+    /// that result. Otherwise the user is asked to retry.
+    pub(crate) async fn cancel_away_job(&self, id: &str) -> Reply {
+        let deadline = tokio::time::Instant::now() + CANCEL_TIMEOUT;
         loop {
-            match self.with(|core| core.away_cancellation(id)) {
+            match self.with(|core| core.cancel_away_job_update(id)) {
                 Ok(Some(update)) => {
-                    self.commit_for_cells(update).await;
+                    self.try_commit_handover_update(update).await;
                 }
-                Ok(None) => sleep(CANCEL_CHECK).await,
+                Ok(None) => sleep(CANCEL_POLL_INTERVAL).await,
                 Err(_) => break,
             }
             if tokio::time::Instant::now() >= deadline {
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -217,7 +217,7 @@
         // The catalog is stored so that a controller that restarts during a cloud outage
         // still has it.
         let updates = self.with(|core| {
-            let behind = core.take_catalog(catalog.clone());
+            let behind = core.set_catalog(catalog.clone());
             if behind { core.catalog_updates(&catalog) } else { Vec::new() }
         });
         let mut all = true;
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -1,13 +1,13 @@
 //! One controller: its scheduling core behind a lock, its clients of other systems, and its request
 //! handling.
 
-use crate::cells::Cells;
+use crate::cells::CellClient;
 use crate::core::{Core, HeartbeatOutcome, Wakeups};
 use crate::options::Options;
 use crate::peers::Peers;
 use bytes::Bytes;
 use dapplecroft_cloud::CloudClient;
-use dapplecroft_federation::SummaryBook;
+use dapplecroft_federation::PeerSummaries;
 use dapplecroft_net::Transport;
 use dapplecroft_state::{Committer, StateClient};
 use dapplecroft_wire::settings::Settings;
@@ -38,7 +38,7 @@
     /// Client of the other controllers of this cell.
     pub peers: Arc<dyn Peers>,
     /// Client of the other cells of the federation.
-    pub cells: Arc<dyn Cells>,
+    pub cells: Arc<dyn CellClient>,
     /// Source of the time of day.
     pub wall_clock: fn() -> SystemTime,
     /// Seed of the random numbers, such as the delay before standing for election.
@@ -94,7 +94,7 @@
     pub(crate) options: Options,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) peers: Arc<dyn Peers>,
-    pub(crate) cells: Arc<dyn Cells>,
+    pub(crate) cells: Arc<dyn CellClient>,
     pub(crate) state: Arc<StateClient>,
     pub(crate) cloud: CloudClient,
     pub(crate) committer: Committer,
@@ -129,7 +129,7 @@
     /// next.
     pub(crate) peer_probe_count: AtomicUsize,
     /// Summaries that other cells have sent of their state.
-    pub(crate) summaries: Mutex<SummaryBook>,
+    pub(crate) summaries: Mutex<PeerSummaries>,
     /// Number of requests from other cells that are being handled.
     pub(crate) active_cell_requests: AtomicUsize,
     /// When the last lease renewal that the state service answered was sent.
@@ -291,8 +291,8 @@
     /// stays in service: users would wait longer for its return to service than the refusals cost them
     /// meanwhile.
     fn health_reply(&self) -> Reply {
-        let ready =
-            self.with(|core| core.loaded && core.may_accept()) || self.shared_outage.load(Ordering::Relaxed);
+        let ready = self.with(|core| core.loaded && core.can_accept_submissions())
+            || self.shared_outage.load(Ordering::Relaxed);
         if ready {
             Reply::json(200, &serde_json::json!({"up": true}))
         } else {
--- a/crates/dapplecroft-controller/src/options.rs
+++ b/crates/dapplecroft-controller/src/options.rs
@@ -1,7 +1,7 @@
 //! The operators' settings and their defaults.
 
-use dapplecroft_admission::RawAdmission;
-use dapplecroft_federation::Federation;
+use dapplecroft_admission::RawAdmissionConfig;
+use dapplecroft_federation::FederationSettings;
 use std::time::Duration;
 
 /// What operators may tune, in addition to the platform's settings.
@@ -41,9 +41,9 @@
     /// Maximum number of users' requests handled at the same time; further ones get status 503.
     pub max_requests: usize,
     /// The federation that this cell belongs to, if any.
-    pub federation: Option<Federation>,
+    pub federation: Option<FederationSettings>,
     /// Admission control; if unset, every submission that can run is accepted.
-    pub admission: Option<RawAdmission>,
+    pub admission: Option<RawAdmissionConfig>,
 }
 
 impl Default for Options {
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -1,7 +1,7 @@
 //! The HTTP API for users: submitting, showing and cancelling jobs.
 
-use crate::admission::OpenSpending;
-use crate::core::{Ruling, SubmissionPlan};
+use crate::admission::PendingSpending;
+use crate::core::{AdmissionDecision, SubmissionPlan};
 use crate::jobs::Job;
 use crate::node::{Node, Reply, VersionCheck, VersionCheckResult, lock, now};
 use crate::records::{self, JobRecord, JobStage, stored_size};
@@ -109,7 +109,7 @@
     async fn look_up_job(self: &Arc<Self>, id: &str) -> JobLookup {
         let key = records::job_key(id);
         let version = self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => Err(JobLookup::OtherCell),
+            _ if core.is_hosted(id) => Err(JobLookup::OtherCell),
             Some(Job::Open(job)) if job.is_open() => Ok(job.version),
             Some(Job::Away(job)) => Ok(job.version),
             Some(job) => Err(JobLookup::Job(job.status(id))),
@@ -123,7 +123,7 @@
             return JobLookup::Unavailable;
         }
         self.with(|core| match core.jobs.get(id) {
-            _ if core.is_visiting(id) => JobLookup::OtherCell,
+            _ if core.is_hosted(id) => JobLookup::OtherCell,
             Some(job) => JobLookup::Job(job.status(id)),
             None => JobLookup::NotFound,
         })
@@ -201,8 +201,8 @@
         // A conflict on a credit record means that the leader has granted or revoked credit meanwhile.
         for _ in 0..MAX_SUBMISSION_ATTEMPTS {
             let plan = match self.decide_admission(&spec) {
-                Ruling::Admitted(plan) => plan,
-                Ruling::Refused(pause) => return self.reply_without_credit(&id, pause).await,
+                AdmissionDecision::Admitted(plan) => plan,
+                AdmissionDecision::Refused(pause) => return self.reply_without_credit(&id, pause).await,
             };
             record.credit.clone_from(&plan.tag);
             match self.commit_submission(&id, &record, plan).await {
@@ -232,10 +232,10 @@
         if self.options.admission.is_some() { CREDIT_TAG_NUMBERS_BYTES + names } else { 0 }
     }
 
-    fn decide_admission(&self, spec: &JobSpec) -> Ruling {
+    fn decide_admission(&self, spec: &JobSpec) -> AdmissionDecision {
         let random = lock(&self.rng).random();
         let wall = self.wall_seconds();
-        self.with(|core| core.rule(spec, random, wall, now()))
+        self.with(|core| core.decide_admission(spec, random, wall, now()))
     }
 
     async fn commit_submission(
@@ -249,7 +249,7 @@
         let mut conditions = vec![Condition { key: key.clone(), version: 0 }];
         conditions.extend(plan.conditions);
         let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
-        let spending = plan.spending.map(|spending| OpenSpending::new(self, id, spending));
+        let spending = plan.spending.map(|spending| PendingSpending::new(self, id, spending));
         let result = self.committer.commit_first(update.clone()).await;
         if let UpdateResult::Committed(revision) = &result {
             self.with(|core| core.apply_changes(&update.changes, *revision, now()));
@@ -263,7 +263,7 @@
     /// Refuses a submission for lack of credit, with a time to retry. If the job was accepted before, its
     /// status is returned instead, whatever the load.
     async fn reply_without_credit(self: &Arc<Self>, id: &str, pause: Duration) -> Reply {
-        if !self.catch_up().await {
+        if !self.catch_up_replica().await {
             return Reply::unavailable("overloaded", retry_after_seconds(pause));
         }
         if self.with(|core| core.jobs.contains_key(id)) {
@@ -336,8 +336,8 @@
             if matches!(status.stage, Stage::Done | Stage::Withdrawn) {
                 return Reply::json(200, &status);
             }
-            if self.with(|core| core.away_cell(id).is_some()) {
-                return self.withdraw_away(id).await;
+            if self.with(|core| core.host_cell_of(id).is_some()) {
+                return self.cancel_away_job(id).await;
             }
             let key = records::job_key(id);
             let Some((record, version)) = self.with(|core| core.cancelled_job_record(id)) else {
