--- a/crates/dapplecroft-cloud/src/lib.rs
+++ b/crates/dapplecroft-cloud/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the cloud, with a rate budget and three-valued outcomes.
 
-use dapplecroft_net::{Budget, Outcome, Request, Response, Transport};
+use dapplecroft_net::{Outcome, Request, Response, TokenBucket, Transport};
 use dapplecroft_wire::cloud::{Catalog, ListedMachine, MachineList, MachineNames, RentRequest};
 use http::Method;
 use serde::de::DeserializeOwned;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 /// Most machines of one rental request.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Most names of one release.
-pub const MAX_RELEASE: usize = 100;
+pub const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-const PAGE: usize = 500;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const LIST_PAGE_SIZE: usize = 500;
 
 /// What the cloud said to a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Rented {
+pub enum RentOutcome {
     /// These machines were rented, perhaps fewer than asked for.
     Machines(Vec<String>),
     /// None of this type, zone and kind is to be had.
@@ -28,24 +28,24 @@
 pub struct CloudClient {
     transport: Arc<dyn Transport>,
     address: String,
-    budget: Budget,
+    request_budget: TokenBucket,
 }
 
 impl CloudClient {
     /// A client that keeps to `rps` requests a second.
     pub fn new(transport: Arc<dyn Transport>, address: String, rps: f64) -> Self {
-        CloudClient { transport, address, budget: Budget::new(rps) }
+        CloudClient { transport, address, request_budget: TokenBucket::new(rps) }
     }
 
     async fn call(&self, method: Method, path: String, body: Vec<u8>) -> Outcome<Response> {
-        self.budget.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         let request = Request {
             address: self.address.clone(),
             method,
             path,
             body: body.into(),
-            timeout: TIMEOUT,
-            one_of_many: false,
+            timeout: REQUEST_TIMEOUT,
+            to_worker: false,
         };
         match self.transport.send(request).await {
             Ok(response) => Outcome::Done(response),
@@ -56,23 +56,23 @@
     /// The machine types.
     pub async fn catalog(&self) -> Outcome<Catalog> {
         match self.call(Method::GET, "/catalog".into(), Vec::new()).await {
-            Outcome::Done(r) => read(&r),
+            Outcome::Done(r) => decode_ok(&r),
             Outcome::Refused(e) => Outcome::Refused(e),
             Outcome::Unknown(e) => Outcome::Unknown(e),
         }
     }
 
     /// Rents machines. The same request may be repeated under its name.
-    pub async fn rent(&self, request: &RentRequest) -> Outcome<Rented> {
+    pub async fn rent(&self, request: &RentRequest) -> Outcome<RentOutcome> {
         let body = match serde_json::to_vec(request) {
             Ok(body) => body,
             Err(e) => return Outcome::Refused(e.to_string()),
         };
         match self.call(Method::POST, "/rentals".into(), body).await {
-            Outcome::Done(r) if r.status == 503 && mentions(&r, "no capacity") => {
-                Outcome::Done(Rented::NoCapacity)
+            Outcome::Done(r) if r.status == 503 && body_contains(&r, "no capacity") => {
+                Outcome::Done(RentOutcome::NoCapacity)
             }
-            Outcome::Done(r) => read::<MachineNames>(&r).map(|n| Rented::Machines(n.machines)),
+            Outcome::Done(r) => decode_ok::<MachineNames>(&r).map(|n| RentOutcome::Machines(n.machines)),
             Outcome::Refused(e) => Outcome::Refused(e),
             Outcome::Unknown(e) => Outcome::Unknown(e),
         }
@@ -80,27 +80,28 @@
 
     /// Releases machines. Done means that they and all that was on them are gone.
     pub async fn release(&self, machines: &[String]) -> Outcome<()> {
-        let names = MachineNames { machines: machines.iter().take(MAX_RELEASE).cloned().collect() };
+        let names =
+            MachineNames { machines: machines.iter().take(MAX_MACHINES_PER_RELEASE).cloned().collect() };
         let body = match serde_json::to_vec(&names) {
             Ok(body) => body,
             Err(e) => return Outcome::Refused(e.to_string()),
         };
         match self.call(Method::POST, "/rentals/release".into(), body).await {
             Outcome::Done(r) if r.status == 200 => Outcome::Done(()),
-            Outcome::Done(r) => refusal(&r),
+            Outcome::Done(r) => outcome_of_error_status(&r),
             Outcome::Refused(e) => Outcome::Refused(e),
             Outcome::Unknown(e) => Outcome::Unknown(e),
         }
     }
 
     /// All machines that the cloud lists; the list lags and may go backwards.
-    pub async fn machines(&self) -> Outcome<Vec<ListedMachine>> {
+    pub async fn list_machines(&self) -> Outcome<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let from = all.last().map(|m| format!("from={}&", m.id)).unwrap_or_default();
-            let path = format!("/rentals?{from}limit={PAGE}");
+            let path = format!("/rentals?{from}limit={LIST_PAGE_SIZE}");
             let page: MachineList = match self.call(Method::GET, path, Vec::new()).await {
-                Outcome::Done(r) => match read(&r) {
+                Outcome::Done(r) => match decode_ok(&r) {
                     Outcome::Done(page) => page,
                     Outcome::Refused(e) => return Outcome::Refused(e),
                     Outcome::Unknown(e) => return Outcome::Unknown(e),
@@ -108,20 +109,20 @@
                 Outcome::Refused(e) => return Outcome::Refused(e),
                 Outcome::Unknown(e) => return Outcome::Unknown(e),
             };
-            let more = page.truncated && !page.machines.is_empty();
+            let has_more = page.truncated && !page.machines.is_empty();
             all.extend(page.machines);
-            if !more {
+            if !has_more {
                 return Outcome::Done(all);
             }
         }
     }
 }
 
-fn mentions(response: &Response, text: &str) -> bool {
+fn body_contains(response: &Response, text: &str) -> bool {
     String::from_utf8_lossy(&response.body).contains(text)
 }
 
-fn refusal<T>(response: &Response) -> Outcome<T> {
+fn outcome_of_error_status<T>(response: &Response) -> Outcome<T> {
     let text = format!("status {}", response.status);
     match response.status {
         429 | 503 | 400 => Outcome::Refused(text),
@@ -130,9 +131,9 @@
 }
 
 /// Reads a body; a bad answer of the cloud is an unknown outcome.
-fn read<T: DeserializeOwned>(response: &Response) -> Outcome<T> {
+fn decode_ok<T: DeserializeOwned>(response: &Response) -> Outcome<T> {
     if response.status != 200 {
-        return refusal(response);
+        return outcome_of_error_status(response);
     }
     match serde_json::from_slice(&response.body) {
         Ok(value) => Outcome::Done(value),
--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -161,7 +161,7 @@
     }
 
     async fn commit_update_for_cells(&self, update: AtomicUpdate) -> UpdateResult {
-        let result = self.committer.commit_soon(update.clone()).await;
+        let result = self.committer.commit_urgent(update.clone()).await;
         match &result {
             UpdateResult::Committed(revision) => {
                 self.with(|core| core.apply_changes(&update.changes, *revision, now()));
--- a/crates/dapplecroft-controller/src/core/federation/visitor.rs
+++ b/crates/dapplecroft-controller/src/core/federation/visitor.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use dapplecroft_admission::Spending;
-use dapplecroft_cloud::MAX_RENT;
+use dapplecroft_cloud::MAX_MACHINES_PER_RENTAL;
 use dapplecroft_federation::summary::{Room, Summary};
 use dapplecroft_federation::visitor::{Known, is_prunable, on_request};
 use dapplecroft_federation::{
@@ -193,7 +193,7 @@
         let up: i64 =
             self.machines.values().filter(|m| m.likely_accepts_tasks()).map(|m| m.capacity.cpus).sum();
         let rentable = self.offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
-        let all = up + rentable * i64::from(MAX_RENT);
+        let all = up + rentable * i64::from(MAX_MACHINES_PER_RENTAL);
         (all as f64 * share) as i64 - self.visiting_cpus()
     }
 
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -4,7 +4,7 @@
 use super::{Core, GroupUpdate};
 use crate::machines::{Machine, MachinePhase};
 use crate::records::{GroupRecord, MachineRecord};
-use dapplecroft_cloud::MAX_RENT;
+use dapplecroft_cloud::MAX_MACHINES_PER_RENTAL;
 use dapplecroft_sched::{PendingCapacity, Resources, plan_scale_out};
 use dapplecroft_wire::cloud::{ListedMachine, RentRequest};
 use dapplecroft_wire::workers::Heartbeat;
@@ -273,7 +273,7 @@
         }
         let thrift = self.options.thrift;
         let offers = self.offers(now);
-        let machines = MAX_RENT * (max_requests - self.fleet.pending_rentals.len()) as u32;
+        let machines = MAX_MACHINES_PER_RENTAL * (max_requests - self.fleet.pending_rentals.len()) as u32;
         let mut plan =
             plan_scale_out(&self.unplaced_demand, self.pending_capacity(), &offers, thrift, machines);
         if !plan.iter().any(|r| !offers[r.offer].spot) {
@@ -288,7 +288,7 @@
             let mut left = rental.count;
             while left > 0 && self.fleet.pending_rentals.len() < max_requests {
                 let (shard, space) = self.shard_with_room(&taken);
-                let count = left.min(MAX_RENT).min(space.max(1) as u32);
+                let count = left.min(MAX_MACHINES_PER_RENTAL).min(space.max(1) as u32);
                 left -= count;
                 *taken.entry(shard).or_default() += count as usize;
                 // The name is unique without a write to the state service: the version
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -31,7 +31,7 @@
     /// not announce when those will apply.
     pub fn limits(&self) -> SizeLimits {
         let state = &self.settings.params.state;
-        if self.uses_legacy_layout() { state.present() } else { state.lasting() }
+        if self.uses_legacy_layout() { state.current_limits() } else { state.lowest_limits() }
     }
 
     /// Encodes a job's record in the layout in force.
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -8,7 +8,7 @@
     SegmentRecord, ShardRecord,
 };
 use dapplecroft_wire::cloud::{Catalog, MachineType};
-use dapplecroft_wire::state::{Followed, Item};
+use dapplecroft_wire::state::{Item, WatchResponse};
 use dapplecroft_wire::users::Priority;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -100,7 +100,7 @@
     }
 
     /// Applies the changes that a watch returned and advances the applied revision.
-    pub fn apply_watch(&mut self, followed: Followed, now: Instant) {
+    pub fn apply_watch(&mut self, followed: WatchResponse, now: Instant) {
         // The changes are in no particular order and may include only the last one of each key.
         // Records that others refer to are applied first, so that no record refers to a job or a
         // machine that is not known yet.
--- a/crates/dapplecroft-controller/src/core/roles/tests.rs
+++ b/crates/dapplecroft-controller/src/core/roles/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::testing::core;
-use dapplecroft_wire::state::Followed;
+use dapplecroft_wire::state::WatchResponse;
 
 // After a cut, a replaced leader found its own key in its copy, which had
 // not caught up, and took its role up again for a moment.
@@ -46,12 +46,12 @@
     let now = Instant::now();
     let limit = core().contact_limit();
     let mut core = core();
-    core.apply_watch(Followed { revision: 5, log: Vec::new() }, now);
+    core.apply_watch(WatchResponse { revision: 5, log: Vec::new() }, now);
     core.confirmed(now, 9);
     assert!(!core.in_contact(now), "a withdrawal at 9 may not be known yet");
-    core.apply_watch(Followed { revision: 8, log: Vec::new() }, now + limit / 2);
+    core.apply_watch(WatchResponse { revision: 8, log: Vec::new() }, now + limit / 2);
     assert!(!core.in_contact(now + limit / 2));
-    core.apply_watch(Followed { revision: 9, log: Vec::new() }, now + limit / 2);
+    core.apply_watch(WatchResponse { revision: 9, log: Vec::new() }, now + limit / 2);
     assert!(core.in_contact(now + limit) && !core.in_contact(now + limit + Duration::from_millis(1)));
     // An older one that is answered later does not make it older, nor younger.
     core.confirmed(now - Duration::from_secs(1), 9);
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::node::{Node, lock, now};
 use dapplecroft_net::Outcome;
-use dapplecroft_state::{AtomicUpdate, Verdicts};
+use dapplecroft_state::{AtomicUpdate, TransactionResult};
 use dapplecroft_wire::peer::DemandReply;
 use dapplecroft_wire::state::Transaction;
 use std::collections::BTreeMap;
@@ -65,11 +65,11 @@
         let mut unknown = false;
         loop {
             match self.state.transact(&transaction, true).await {
-                Outcome::Done(Verdicts::Committed(revision)) => {
+                Outcome::Done(TransactionResult::Committed(revision)) => {
                     self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                     return;
                 }
-                Outcome::Done(Verdicts::Conflict(failed)) => {
+                Outcome::Done(TransactionResult::Conflict(failed)) => {
                     for key in failed {
                         self.refresh(&key, || true).await;
                     }
@@ -106,8 +106,8 @@
         let conditions = self.with(|core| core.credit_conditions());
         let transaction = Transaction { conditions, changes: Vec::new() };
         let revision = match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(revision)) => revision,
-            Outcome::Done(Verdicts::Conflict(failed)) => {
+            Outcome::Done(TransactionResult::Committed(revision)) => revision,
+            Outcome::Done(TransactionResult::Conflict(failed)) => {
                 for key in failed {
                     self.refresh(&key, || true).await;
                 }
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -4,7 +4,7 @@
 use crate::node::{Node, lock, now};
 use crate::records::{self, LeaderRecord, LivenessRecord};
 use dapplecroft_net::Outcome;
-use dapplecroft_state::Verdicts;
+use dapplecroft_state::TransactionResult;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -58,7 +58,7 @@
         let Some(lease) = self.with(|core| core.role.lease_id) else {
             return self.enter().await;
         };
-        let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm());
+        let (touched, ()) = tokio::join!(self.state.renew_lease(lease), self.confirm());
         match touched {
             Outcome::Done(true) => {
                 *lock(&self.touched) = Some(sent);
@@ -99,13 +99,15 @@
         });
         if let Some(lease) = before {
             tracing::info!("ending the lease of this node's earlier process");
-            let _ = self.state.revoke(lease).await;
+            let _ = self.state.revoke_lease(lease).await;
         }
-        let Outcome::Done(lease) = self.state.grant(self.options.node_lease).await else { return false };
+        let Outcome::Done(lease) = self.state.grant_lease(self.options.node_lease).await else {
+            return false;
+        };
         if self.announce(lease).await {
             return true;
         }
-        let _ = self.state.revoke(lease).await;
+        let _ = self.state.revoke_lease(lease).await;
         false
     }
 
@@ -118,7 +120,7 @@
         let change = Change::Set { key, value: value(&record), lease: Some(lease) };
         let transaction = Transaction { conditions: Vec::new(), changes: vec![change] };
         let outcome = self.state.transact(&transaction, true).await;
-        let Outcome::Done(Verdicts::Committed(revision)) = outcome else { return false };
+        let Outcome::Done(TransactionResult::Committed(revision)) = outcome else { return false };
         *lock(&self.touched) = Some(now());
         self.with(|core| {
             core.role.lease_id = Some(lease);
@@ -135,11 +137,11 @@
             let ready = |core: &mut Core| core.role.lease_id.and_then(|_| step(core));
             let Some(transaction) = self.with(ready) else { continue };
             match self.state.transact(&transaction, true).await {
-                Outcome::Done(Verdicts::Committed(revision)) => {
+                Outcome::Done(TransactionResult::Committed(revision)) => {
                     self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                     self.set_rates();
                 }
-                Outcome::Done(Verdicts::Conflict(failed)) => {
+                Outcome::Done(TransactionResult::Conflict(failed)) => {
                     for key in failed {
                         self.refresh(&key, || true).await;
                     }
@@ -183,7 +185,7 @@
             }],
         };
         match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(revision)) => {
+            Outcome::Done(TransactionResult::Committed(revision)) => {
                 tracing::info!(term = revision, "elected leader");
                 self.with(|core| {
                     core.apply_changes(&transaction.changes, revision, now());
@@ -191,7 +193,7 @@
                 });
                 self.set_rates();
             }
-            Outcome::Done(Verdicts::Conflict(_)) => {
+            Outcome::Done(TransactionResult::Conflict(_)) => {
                 self.refresh(records::LEADER_KEY, || true).await;
             }
             // If it is carried out all the same, now or late, the key shows up
@@ -227,14 +229,14 @@
         });
         let Some(transaction) = transaction else { return };
         match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(revision)) => {
+            Outcome::Done(TransactionResult::Committed(revision)) => {
                 let given: Vec<(u32, &str)> =
                     leases.iter().map(|l| (l.shard, l.record.host.as_str())).collect();
                 tracing::info!(?given, "blocks leased");
                 self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                 self.wake_role.notify_one();
             }
-            Outcome::Done(Verdicts::Conflict(failed)) => {
+            Outcome::Done(TransactionResult::Conflict(failed)) => {
                 for key in failed {
                     self.refresh(&key, || true).await;
                 }
@@ -253,8 +255,10 @@
         for part in conditions.chunks(most) {
             let transaction = Transaction { conditions: part.to_vec(), changes: Vec::new() };
             match self.state.transact(&transaction, true).await {
-                Outcome::Done(Verdicts::Committed(revision)) => confirmed = confirmed.max(Some(revision)),
-                Outcome::Done(Verdicts::Conflict(failed)) => {
+                Outcome::Done(TransactionResult::Committed(revision)) => {
+                    confirmed = confirmed.max(Some(revision))
+                }
+                Outcome::Done(TransactionResult::Conflict(failed)) => {
                     tracing::info!(?failed, "not this process's any more");
                     self.with(|core| failed.iter().for_each(|key| core.role_lost(key, now())));
                     for key in failed {
@@ -281,8 +285,8 @@
             self.with(|core| (core.write_share(), core.uses_legacy_layout(), core.limits()));
         self.committer.set_max_changes(limits.changes);
         // The next limits come without notice: the first refusal tells of them.
-        self.state.expect_less(!mixed && params.state.next.is_some());
-        let (rps, writes) = params.state.rates(self.state.has_less());
+        self.state.set_expect_lower_limits(!mixed && params.state.next.is_some());
+        let (rps, writes) = params.state.rates(self.state.lower_limits_detected());
         let rps = rps / f64::from(params.nodes.max(1));
         let (lent, borrowed) = self.loans();
         self.state.set_rates(rps, (writes * share * 0.94 - lent).max(2.0) + borrowed);
@@ -290,7 +294,7 @@
 
     /// Changes a second that are this node's own.
     pub(crate) fn own_write_rate(&self) -> f64 {
-        let (_, writes) = self.settings.params.state.rates(self.state.has_less());
+        let (_, writes) = self.settings.params.state.rates(self.state.lower_limits_detected());
         writes * self.with(|core| core.write_share()) * 0.94
     }
 
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -158,7 +158,7 @@
                 let committed = self.commit_for_cells(update).await;
                 tracing::info!(key, committed, "a job of another cell is given back");
             }
-            if self.state.write_room() > PRUNE_ABOVE {
+            if self.state.write_burst_left() > PRUNE_ABOVE {
                 for update in self.with(|core| core.prune_updates(MAX_PRUNED)) {
                     self.commit_for_cells(update).await;
                 }
@@ -188,7 +188,7 @@
     /// from the record.
     async fn offer_job(&self, job: &Arc<str>, cell: CellId) {
         let Some(offer) = self.with(|core| core.offer_update(job, cell.clone())) else { return };
-        let result = self.committer.commit_soon(offer.update.clone()).await;
+        let result = self.committer.commit_urgent(offer.update.clone()).await;
         tracing::info!(%job, %cell, ?result, "a job is offered to another cell");
         match result {
             UpdateResult::Committed(revision) => {
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{GroupUpdate, MAX_CONSULTED_MACHINES};
 use crate::node::{Node, now};
-use dapplecroft_cloud::{MAX_RELEASE, Rented};
+use dapplecroft_cloud::{MAX_MACHINES_PER_RELEASE, RentOutcome};
 use dapplecroft_net::Outcome;
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::cloud::{Catalog, RentRequest};
@@ -32,7 +32,7 @@
                 let node = self.clone();
                 self.spawn(async move { node.rent(request).await });
             }
-            for ids in actions.release.chunks(MAX_RELEASE) {
+            for ids in actions.release.chunks(MAX_MACHINES_PER_RELEASE) {
                 let (node, ids) = (self.clone(), ids.to_vec());
                 self.spawn(async move { node.release(ids).await });
             }
@@ -66,10 +66,10 @@
     async fn rent(&self, request: RentRequest) {
         while self.leads() {
             match self.cloud.rent(&request).await {
-                Outcome::Done(Rented::Machines(machines)) => {
+                Outcome::Done(RentOutcome::Machines(machines)) => {
                     return self.with(|core| core.rent_completed(&request, &machines, now()));
                 }
-                Outcome::Done(Rented::NoCapacity) => {
+                Outcome::Done(RentOutcome::NoCapacity) => {
                     return self.with(|core| core.rent_completed(&request, &[], now()));
                 }
                 Outcome::Refused(error) | Outcome::Unknown(error) => {
@@ -168,7 +168,7 @@
                 core.role.lease_id.take()
             });
             if let Some(lease) = lease {
-                let _ = self.state.revoke(lease).await;
+                let _ = self.state.revoke_lease(lease).await;
             }
             return;
         }
@@ -198,7 +198,7 @@
                 catalog_at = now() + if ok { CATALOG_REFRESH_INTERVAL } else { RETRY_DELAY * 2 };
             }
             if self.leads() && now() >= list_at {
-                if let Outcome::Done(list) = self.cloud.machines().await {
+                if let Outcome::Done(list) = self.cloud.list_machines().await {
                     self.with(|core| core.apply_machine_list(&list, now()));
                 }
                 list_at = now() + LIST_REFRESH_INTERVAL;
--- a/crates/dapplecroft-controller/src/loops/follow.rs
+++ b/crates/dapplecroft-controller/src/loops/follow.rs
@@ -3,7 +3,7 @@
 use crate::node::{Answered, Node, Question, lock, now};
 use crate::records::KEY_PREFIX;
 use dapplecroft_net::Outcome;
-use dapplecroft_state::{Verdicts, Watched};
+use dapplecroft_state::{TransactionResult, WatchResult};
 use dapplecroft_wire::state::{Condition, Transaction};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,15 +23,15 @@
             }
             loop {
                 let from = self.with(|core| core.applied_revision);
-                match self.state.follow(KEY_PREFIX, from, WATCH).await {
-                    Outcome::Done(Watched::Changes(followed)) => {
+                match self.state.watch(KEY_PREFIX, from, WATCH).await {
+                    Outcome::Done(WatchResult::Changes(followed)) => {
                         let some = !followed.log.is_empty();
                         self.with(|core| core.apply_watch(followed, now()));
                         if some {
                             sleep(self.follow_gap()).await;
                         }
                     }
-                    Outcome::Done(Watched::TooOld) => break,
+                    Outcome::Done(WatchResult::RelistRequired) => break,
                     Outcome::Refused(_) | Outcome::Unknown(_) => sleep(PAUSE).await,
                 }
             }
@@ -94,7 +94,7 @@
             }
             self.answer(batch).await;
             // Requests are scarce: the next questions share one.
-            if self.state.request_room() < 0.5 {
+            if self.state.request_burst_left() < 0.5 {
                 sleep(PAUSE / 2).await;
             }
         }
@@ -112,8 +112,8 @@
             versions.iter().map(|(key, version)| Condition { key: key.to_string(), version: *version });
         let transaction = Transaction { conditions: conditions.collect(), changes: Vec::new() };
         let failed = match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(_)) => Some(Vec::new()),
-            Outcome::Done(Verdicts::Conflict(failed)) => Some(failed),
+            Outcome::Done(TransactionResult::Committed(_)) => Some(Vec::new()),
+            Outcome::Done(TransactionResult::Conflict(failed)) => Some(failed),
             Outcome::Refused(_) | Outcome::Unknown(_) => None,
         };
         let Some(failed) = failed else {
--- a/crates/dapplecroft-controller/src/loops/work.rs
+++ b/crates/dapplecroft-controller/src/loops/work.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{CommandEnd, CommitOutcome, PendingCommit};
 use crate::node::{Node, lock, now};
-use dapplecroft_net::{Failure, Request};
+use dapplecroft_net::{Request, TransportError};
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::workers::{DirectCommands, Heartbeat};
 use std::sync::Arc;
@@ -40,9 +40,12 @@
             // While decisions wait to be recorded, the next round waits too, and
             // decides more at a time; but not for ever, since what waits may be
             // this node's alone, and other holders have nothing to do.
-            let scarce = self.state.write_room() < 0.3;
+            let scarce = self.state.write_burst_left() < 0.3;
             let recent = began.saturating_duration_since(last) < LONGEST_WAIT;
-            if scarce && recent && self.with(|core| core.commit_backlog()) > 4 * self.committer.enough() {
+            if scarce
+                && recent
+                && self.with(|core| core.commit_backlog()) > 4 * self.committer.backlog_target()
+            {
                 sleep(LONGEST_ROUND / 4).await;
                 self.wake_place.notify_one();
                 continue;
@@ -70,16 +73,16 @@
     /// Starts a commit for each job that has something to commit.
     pub(crate) async fn flush_loop(self: Arc<Self>) {
         loop {
-            let relaxed = self.state.write_room() > 0.5;
+            let relaxed = self.state.write_burst_left() > 0.5;
             // Units are put together when they can go, so that each has all that
             // its job has to commit by then.
             // Records of machines wait there as well; they must not keep these out.
             let others = self.with(|core| core.group_writes_in_flight());
-            let enough = self.committer.enough();
+            let enough = self.committer.backlog_target();
             loop {
                 // What can wait leaves room for what can't, in the queue as well.
-                let full = self.committer.waiting() >= enough + others;
-                if full && self.committer.waiting_soon() >= enough {
+                let full = self.committer.queued() >= enough + others;
+                if full && self.committer.queued_urgent() >= enough {
                     break;
                 }
                 let Some(update) = self.with(|core| core.next_commit(relaxed, full, now())) else { break };
@@ -96,7 +99,7 @@
             let pause = if lazy { LAZY_TICK } else { TICK };
             tokio::select! {
                 () = self.wake_flush.notified() => {}
-                () = self.committer.taken() => {}
+                () = self.committer.group_taken() => {}
                 () = sleep(pause) => {}
             }
         }
@@ -109,7 +112,7 @@
         let mut pause = Duration::from_millis(100);
         loop {
             let result = if update.urgent {
-                self.committer.commit_soon(update.update.clone()).await
+                self.committer.commit_urgent(update.update.clone()).await
             } else {
                 self.committer.commit(update.update.clone()).await
             };
@@ -161,9 +164,9 @@
                 segments = s.segments,
                 bytes = s.segment_bytes,
                 layout = s.layout,
-                changes_waiting = self.committer.waiting(),
-                write_room = format!("{:.2}", self.state.write_room()),
-                request_room = format!("{:.2}", self.state.request_room()),
+                changes_waiting = self.committer.queued(),
+                write_room = format!("{:.2}", self.state.write_burst_left()),
+                request_room = format!("{:.2}", self.state.request_burst_left()),
                 users = self.requests.load(std::sync::atomic::Ordering::Relaxed),
                 "how things stand"
             );
@@ -196,7 +199,7 @@
             path: "/do".into(),
             body: body.into(),
             timeout: COMMAND_TIMEOUT,
-            one_of_many: true,
+            to_worker: true,
         };
         let answer = self.transport.send(request).await;
         let report: Option<Heartbeat> = match &answer {
@@ -208,7 +211,7 @@
         }
         let end = match (&answer, &report) {
             (Ok(_), Some(report)) => CommandEnd::Answered(report),
-            (Err(Failure::NotSent(_)), _) => CommandEnd::NotDelivered,
+            (Err(TransportError::NotSent(_)), _) => CommandEnd::NotDelivered,
             (Ok(r), None) if r.status == 400 => CommandEnd::NotDelivered,
             _ => CommandEnd::Unknown,
         };
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -10,7 +10,7 @@
 use dapplecroft_net::Transport;
 use dapplecroft_state::{Committer, StateClient};
 use dapplecroft_wire::settings::Settings;
-use dapplecroft_wire::users::Problem;
+use dapplecroft_wire::users::ErrorBody;
 use dapplecroft_wire::workers::{Heartbeat, HeartbeatHead, Redirect};
 use http::Method;
 use rand::SeedableRng;
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn problem(status: u16, error: &str) -> Reply {
-        Reply::json(status, &Problem { error: error.to_string() })
+        Reply::json(status, &ErrorBody { error: error.to_string() })
     }
 
     pub(crate) fn busy(error: &str, retry_after: u32) -> Reply {
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -195,7 +195,7 @@
     /// Leaves most of this node's changes to the asking one if nothing here waits
     /// for any; returns how many a second.
     fn lend(&self) -> f64 {
-        let idle = self.state.write_room() > 0.9 && self.committer.waiting() == 0;
+        let idle = self.state.write_burst_left() > 0.9 && self.committer.queued() == 0;
         let share = if idle { self.own_write_rate() * LEAVES } else { 0.0 };
         let mut lent = lock(&self.lent);
         if share > 0.0 {
@@ -227,7 +227,7 @@
             path: "/status".into(),
             body: Default::default(),
             timeout: PROBE_TIMEOUT,
-            one_of_many: true,
+            to_worker: true,
         };
         let response = self.transport.send(request).await.ok().filter(|r| r.status == 200)?;
         serde_json::from_slice(&response.body).ok()
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use dapplecroft_sched::Resources;
 use dapplecroft_state::{AtomicUpdate, UpdateResult};
-use dapplecroft_wire::MAX_BODY;
+use dapplecroft_wire::MAX_BODY_BYTES;
 use dapplecroft_wire::peer::ForwardRequest;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::{JobSpec, JobStatus, Stage, valid_id};
@@ -72,7 +72,7 @@
             return Reply::problem(404, "no such path");
         };
         let parts: Vec<&str> = rest.split('/').skip(1).collect();
-        if body.len() > MAX_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return Reply::problem(400, "over 64 KiB");
         }
         // A bounded number of requests at a time: what is more is told to come
@@ -185,7 +185,7 @@
         };
         let value = self.with(|core| core.job_value(&record));
         let notes = NOTES + self.tag_size(&spec);
-        if stored_size(&value) + notes > self.settings.params.state.lasting().value {
+        if stored_size(&value) + notes > self.settings.params.state.lowest_limits().value {
             return self.unless_known(&id, 400, "too long to be stored").await;
         }
         // A conflict about credit means that the leader has granted or taken back some.
@@ -238,7 +238,7 @@
         conditions.extend(plan.conditions);
         let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
         let spending = plan.spending.map(|spending| OpenSpending::new(self, id, spending));
-        let result = self.committer.commit_first(update.clone()).await;
+        let result = self.committer.commit_for_user(update.clone()).await;
         if let UpdateResult::Committed(revision) = &result {
             self.with(|core| core.apply_changes(&update.changes, *revision, now()));
         }
@@ -331,7 +331,7 @@
                 conditions: vec![Condition { key: key.clone(), version }],
                 changes: vec![Change::Set { key, value, lease: None }],
             };
-            match self.committer.commit_first(update.clone()).await {
+            match self.committer.commit_for_user(update.clone()).await {
                 UpdateResult::Committed(revision) => {
                     let status = self.with(|core| {
                         core.apply_changes(&update.changes, revision, now());
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -243,7 +243,7 @@
         path: "/multi".into(),
         body: json!({"when": [], "then": then}).to_string().into_bytes().into(),
         timeout: Duration::from_secs(2),
-        one_of_many: false,
+        to_worker: false,
     };
     assert_eq!(c.net.port("setup").send(request).await.unwrap().status, 200);
     for n in 0..3 {
--- a/crates/dapplecroft-controller/tests/stories/upgrade.rs
+++ b/crates/dapplecroft-controller/tests/stories/upgrade.rs
@@ -272,7 +272,7 @@
                 path: path.into(),
                 body: body.to_string().into_bytes().into(),
                 timeout: Duration::from_secs(2),
-                one_of_many: false,
+                to_worker: false,
             };
             let answer = port.send(request).await.unwrap();
             (answer.status, serde_json::from_slice::<Value>(&answer.body).unwrap())
@@ -309,7 +309,7 @@
         path: "/do".into(),
         body: orders.to_string().into_bytes().into(),
         timeout: Duration::from_secs(2),
-        one_of_many: true,
+        to_worker: true,
     };
     c.net.port("crofter-old").send(late.clone()).await.unwrap();
     c.until_running(3).await;
--- a/crates/dapplecroft-fakes/src/net.rs
+++ b/crates/dapplecroft-fakes/src/net.rs
@@ -2,7 +2,7 @@
 //! they match.
 
 use async_trait::async_trait;
-use dapplecroft_net::{Failure, Request, Response, Transport};
+use dapplecroft_net::{Request, Response, Transport, TransportError};
 use http::Method;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -212,28 +212,28 @@
 
 #[async_trait]
 impl Transport for Port {
-    async fn send(&self, request: Request) -> Result<Response, Failure> {
+    async fn send(&self, request: Request) -> Result<Response, TransportError> {
         sleep(Duration::from_millis(1)).await;
         let action = self.net.matching(&self.host, &request);
         let silence = || async {
             sleep(request.timeout).await;
-            Err(Failure::Unknown("silence".into()))
+            Err(TransportError::Unknown("silence".into()))
         };
         match action {
             Some(Action::Hold | Action::Drop) => return silence().await,
-            Some(Action::NoConnection) => return Err(Failure::NotSent("refused".into())),
+            Some(Action::NoConnection) => return Err(TransportError::NotSent("refused".into())),
             Some(Action::Refuse) => return Ok(Response { status: 503, body: Default::default() }),
             Some(Action::LoseAnswer | Action::Copy) | None => {}
         }
         let handler = self.net.inner.lock().unwrap().handlers.get(&request.address).cloned();
-        let Some(handler) = handler else { return Err(Failure::NotSent("nobody there".into())) };
+        let Some(handler) = handler else { return Err(TransportError::NotSent("nobody there".into())) };
         let work = handler.handle(&self.host, request.method.clone(), &request.path, &request.body);
         let answer = timeout(request.timeout, work).await;
         sleep(Duration::from_millis(1)).await;
         match answer {
             Ok(_) if action == Some(Action::LoseAnswer) => silence().await,
             Ok(answer) => Ok(answer),
-            Err(_) => Err(Failure::Unknown("no answer in time".into())),
+            Err(_) => Err(TransportError::Unknown("no answer in time".into())),
         }
     }
 }
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -62,7 +62,7 @@
                 path: "/hello".into(),
                 body: serde_json::to_vec(&report).unwrap().into(),
                 timeout: HEARTBEAT_TIMEOUT,
-                one_of_many: false,
+                to_worker: false,
             };
             let answer = self.port.send(request).await;
             self.wait_while_hung().await;
--- a/crates/dapplecroft-net/src/lib.rs
+++ b/crates/dapplecroft-net/src/lib.rs
@@ -1,13 +1,13 @@
 //! HTTP towards outside systems: a [`Transport`] that tests replace by an
 //! in-memory network, its real form over TCP, and rate budgets.
 
-mod budget;
-mod sockets;
+mod socket_limiter;
 mod tcp;
+mod token_bucket;
 
-pub use budget::Budget;
-pub use sockets::{Socket, Sockets};
+pub use socket_limiter::{SocketLimiter, SocketPermit};
 pub use tcp::TcpTransport;
+pub use token_bucket::TokenBucket;
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     pub timeout: Duration,
     /// Whether it goes to one of very many hosts, to which connections are kept
     /// only while sockets are plenty.
-    pub one_of_many: bool,
+    pub to_worker: bool,
 }
 
 /// An answer.
@@ -41,17 +41,17 @@
 }
 
 /// What is told of an answer that is larger than this process takes.
-const TOO_LARGE_ANSWER: &str = "the answer is too large";
+const RESPONSE_TOO_LARGE: &str = "the answer is too large";
 
 /// Why there is no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
+pub enum TransportError {
     /// The request certainly never left this process.
     NotSent(String),
     /// The request may have been executed, or may yet be.
     Unknown(String),
     /// The request was executed; its answer is larger than this process takes.
-    TooLarge,
+    ResponseTooLarge,
 }
 
 /// What came of a request: done, refused (certainly not executed), or unknown
@@ -70,7 +70,7 @@
     /// Changes what a done request brought.
     pub fn map<U>(self, f: impl FnOnce(T) -> U) -> Outcome<U> {
         match self {
-            Outcome::Done(t) => Outcome::Done(f(t)),
+            Outcome::Done(value) => Outcome::Done(f(value)),
             Outcome::Refused(e) => Outcome::Refused(e),
             Outcome::Unknown(e) => Outcome::Unknown(e),
         }
@@ -79,18 +79,18 @@
     /// What a done request brought.
     pub fn done(self) -> Option<T> {
         match self {
-            Outcome::Done(t) => Some(t),
+            Outcome::Done(value) => Some(value),
             _ => None,
         }
     }
 }
 
-impl<T> From<Failure> for Outcome<T> {
-    fn from(failure: Failure) -> Self {
+impl<T> From<TransportError> for Outcome<T> {
+    fn from(failure: TransportError) -> Self {
         match failure {
-            Failure::NotSent(e) => Outcome::Refused(e),
-            Failure::Unknown(e) => Outcome::Unknown(e),
-            Failure::TooLarge => Outcome::Unknown(TOO_LARGE_ANSWER.into()),
+            TransportError::NotSent(e) => Outcome::Refused(e),
+            TransportError::Unknown(e) => Outcome::Unknown(e),
+            TransportError::ResponseTooLarge => Outcome::Unknown(RESPONSE_TOO_LARGE.into()),
         }
     }
 }
@@ -99,5 +99,5 @@
 #[async_trait]
 pub trait Transport: Send + Sync {
     /// Sends a request and waits for its answer.
-    async fn send(&self, request: Request) -> Result<Response, Failure>;
+    async fn send(&self, request: Request) -> Result<Response, TransportError>;
 }
--- a/crates/dapplecroft-net/src/tcp.rs
+++ b/crates/dapplecroft-net/src/tcp.rs
@@ -1,6 +1,6 @@
 //! The real transport: HTTP/1.1 with kept-alive connections.
 
-use crate::{Failure, Request, Response, Sockets, Transport};
+use crate::{Request, Response, SocketLimiter, Transport, TransportError};
 use async_trait::async_trait;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -12,21 +12,21 @@
 
 /// The largest answer that is read. Watches have no limit of their own, but a
 /// process with little memory has.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// HTTP/1.1 over TCP.
 #[derive(Debug, Clone)]
 pub struct TcpTransport {
     client: Client<HttpConnector, Full<Bytes>>,
-    sockets: Arc<Sockets>,
+    sockets: Arc<SocketLimiter>,
     /// Requests to workers that may be on their way.
-    many: Arc<Semaphore>,
+    worker_request_slots: Arc<Semaphore>,
 }
 
 impl TcpTransport {
     /// A transport with its own pool of connections, in a process with these
     /// sockets.
-    pub fn new(sockets: Arc<Sockets>) -> Self {
+    pub fn new(sockets: Arc<SocketLimiter>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(2)));
@@ -37,20 +37,20 @@
             .pool_idle_timeout(Duration::from_secs(8))
             .pool_max_idle_per_host(1)
             .build(connector);
-        let many = Arc::new(Semaphore::new(sockets.most_out()));
-        TcpTransport { client, sockets, many }
+        let worker_request_slots = Arc::new(Semaphore::new(sockets.max_worker_requests()));
+        TcpTransport { client, sockets, worker_request_slots }
     }
 }
 
 #[async_trait]
 impl Transport for TcpTransport {
-    async fn send(&self, request: Request) -> Result<Response, Failure> {
-        let not_sent = |e: String| Failure::NotSent(e);
-        let slot = match request.one_of_many {
-            true => Some(tokio::time::timeout(request.timeout, self.many.acquire()).await),
+    async fn send(&self, request: Request) -> Result<Response, TransportError> {
+        let not_sent = |e: String| TransportError::NotSent(e);
+        let worker_slot = match request.to_worker {
+            true => Some(tokio::time::timeout(request.timeout, self.worker_request_slots.acquire()).await),
             false => None,
         };
-        if slot.as_ref().is_some_and(Result::is_err) {
+        if worker_slot.as_ref().is_some_and(Result::is_err) {
             return Err(not_sent("no socket left".into()));
         }
         let mut builder = http::Request::builder()
@@ -59,29 +59,29 @@
         if !request.body.is_empty() {
             builder = builder.header(http::header::CONTENT_TYPE, "application/json");
         }
-        if request.one_of_many && self.sockets.scarce_out() {
+        if request.to_worker && self.sockets.outbound_scarce() {
             builder = builder.header(http::header::CONNECTION, "close");
         }
-        let built = builder.body(Full::new(request.body)).map_err(|e| not_sent(e.to_string()))?;
+        let http_request = builder.body(Full::new(request.body)).map_err(|e| not_sent(e.to_string()))?;
         let exchange = async {
-            let answer = self.client.request(built).await.map_err(|e| {
+            let response = self.client.request(http_request).await.map_err(|e| {
                 // A connection that never came about never completes later.
-                if e.is_connect() { not_sent(e.to_string()) } else { Failure::Unknown(e.to_string()) }
+                if e.is_connect() { not_sent(e.to_string()) } else { TransportError::Unknown(e.to_string()) }
             })?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER)
+            let status = response.status().as_u16();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|e| match e.downcast_ref::<LengthLimitError>() {
-                    Some(_) => Failure::TooLarge,
-                    None => Failure::Unknown(e.to_string()),
+                    Some(_) => TransportError::ResponseTooLarge,
+                    None => TransportError::Unknown(e.to_string()),
                 })?
                 .to_bytes();
             Ok(Response { status, body })
         };
         match tokio::time::timeout(request.timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(Failure::Unknown("no answer in time".into())),
+            Err(_) => Err(TransportError::Unknown("no answer in time".into())),
         }
     }
 }
--- a/crates/dapplecroft-wire/src/lib.rs
+++ b/crates/dapplecroft-wire/src/lib.rs
@@ -24,4 +24,4 @@
 }
 
 /// The largest request body that any interface accepts.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/dapplecroft-wire/src/settings.rs
+++ b/crates/dapplecroft-wire/src/settings.rs
@@ -126,12 +126,12 @@
     pub txn_ops: usize,
     /// What it will be some day, without notice; what is not named stays.
     #[serde(default)]
-    pub next: Option<NextState>,
+    pub next: Option<FutureStateLimits>,
 }
 
 /// Limits that the state service will have from some moment on.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
-pub struct NextState {
+pub struct FutureStateLimits {
     /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -157,13 +157,13 @@
 
 impl StateParams {
     /// What it takes now.
-    pub fn present(&self) -> SizeLimits {
+    pub fn current_limits(&self) -> SizeLimits {
         SizeLimits { value: (self.value_kb * 1024.0) as usize, changes: self.txn_ops }
     }
 
     /// What it takes now and will take later on: the smaller of both.
-    pub fn lasting(&self) -> SizeLimits {
-        let (now, next) = (self.present(), self.next.clone().unwrap_or_default());
+    pub fn lowest_limits(&self) -> SizeLimits {
+        let (now, next) = (self.current_limits(), self.next.clone().unwrap_or_default());
         let value = next.value_kb.map_or(now.value, |kb| (kb * 1024.0) as usize);
         SizeLimits {
             value: value.min(now.value),
@@ -173,10 +173,10 @@
 
     /// Requests and changes a second, now and (`next`) some day.
     pub fn rates(&self, next: bool) -> (f64, f64) {
-        let later = self.next.clone().filter(|_| next).unwrap_or_default();
+        let future = self.next.clone().filter(|_| next).unwrap_or_default();
         (
-            later.rps.map_or(self.rps, |r| r.min(self.rps)),
-            later.write_rps.map_or(self.write_rps, |r| r.min(self.write_rps)),
+            future.rps.map_or(self.rps, |r| r.min(self.rps)),
+            future.write_rps.map_or(self.write_rps, |r| r.min(self.write_rps)),
         )
     }
 }
@@ -209,12 +209,12 @@
 /// still taken, with room for what is noted of it.
 const MIN_VALUE_KB: f64 = 1.0;
 /// The least number of changes that a transaction must take.
-const MIN_CHANGES: f64 = 2.0;
+const MIN_TRANSACTION_CHANGES: f64 = 2.0;
 
 /// Time by which a holder stops before workers' leases would reach past a
 /// cancellation's limit: the drift of two steady clocks over the limit, the
 /// state service's tolerance and a generous step of a starved process.
-const CONTACT_MARGIN: Duration = Duration::from_millis(1500);
+const STATE_CONTACT_MARGIN: Duration = Duration::from_millis(1500);
 
 impl Settings {
     /// Reads and checks a settings file; the error is one line naming the field.
@@ -255,16 +255,16 @@
             return Err("facts.state.txn_ops: must be at least 4".into());
         }
         let next = p.state.next.clone().unwrap_or_default();
-        for (name, value, least) in [
+        for (name, value, minimum) in [
             ("facts.state.next.rps", next.rps, 1.0),
             ("facts.state.next.write_rps", next.write_rps, 1.0),
             ("facts.state.next.value_kb", next.value_kb, MIN_VALUE_KB),
-            ("facts.state.next.txn_ops", next.txn_ops.map(|n| n as f64), MIN_CHANGES),
+            ("facts.state.next.txn_ops", next.txn_ops.map(|n| n as f64), MIN_TRANSACTION_CHANGES),
         ] {
             if let Some(value) = value
-                && !(value.is_finite() && value >= least && value < 1e9)
+                && !(value.is_finite() && value >= minimum && value < 1e9)
             {
-                return Err(format!("{name}: must be at least {least}, is {value}"));
+                return Err(format!("{name}: must be at least {minimum}, is {value}"));
             }
         }
         if self.contact_limit() < Duration::from_secs(1) {
@@ -294,7 +294,7 @@
         let drift = w.cancel_s * 0.002;
         Duration::try_from_secs_f64(w.cancel_s - w.lease_s - drift)
             .unwrap_or(Duration::ZERO)
-            .saturating_sub(CONTACT_MARGIN)
+            .saturating_sub(STATE_CONTACT_MARGIN)
     }
 
     /// The workers' reporting interval.
@@ -309,8 +309,9 @@
 
     /// The strictest time within which jobs of `class` should be finished.
     pub fn finished_within(&self, class: &str) -> Option<f64> {
-        let aims = self.params.objectives.iter();
-        aims.filter(|o| o.kind == "finished" && o.class.as_deref() == Some(class))
+        let objectives = self.params.objectives.iter();
+        objectives
+            .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(class))
             .filter_map(|o| o.within_s)
             .min_by(f64::total_cmp)
     }
--- a/crates/dapplecroft-wire/src/settings/tests.rs
+++ b/crates/dapplecroft-wire/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({"host_name": "c-0", "listen": "10.0.0.1:1", "back": "10.0.0.1:2", "members": [],
         "external": {"cloud": "10.0.0.2:1", "state": "10.0.0.2:2"}, "later": 1,
         "facts": {"nodes": 1, "teams": [{"name": "t"}],
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn settings_are_read_and_the_contact_limit_follows_from_them() {
-    let settings = Settings::parse(&good().to_string()).unwrap();
+fn settings_are_parsed_and_the_contact_limit_is_derived() {
+    let settings = Settings::parse(&valid_settings().to_string()).unwrap();
     assert_eq!(settings.finished_within("a"), Some(70.0));
     assert_eq!(settings.finished_within("b"), None);
     let limit = settings.contact_limit();
@@ -22,11 +22,12 @@
 }
 
 #[test]
-fn next_limits_may_be_absent_or_partial_and_only_the_smaller_ones_count() {
+fn only_lower_future_limits_take_effect() {
     let limits = |next: Value| {
-        let mut settings = good();
+        let mut settings = valid_settings();
         settings["facts"]["state"]["next"] = next;
-        Settings::parse(&settings.to_string()).map(|s| (s.params.state.lasting(), s.params.state.rates(true)))
+        Settings::parse(&settings.to_string())
+            .map(|s| (s.params.state.lowest_limits(), s.params.state.rates(true)))
     };
     let unchanged = (SizeLimits { value: 8192, changes: 12 }, (100.0, 20.0));
     assert_eq!(limits(Value::Null), Ok(unchanged));
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn a_missing_or_impossible_value_is_named() {
+fn the_error_names_the_missing_or_invalid_setting() {
     for (path, value, named) in [
         ("/facts/workers/lease_s", json!(-1.0), "facts.workers.lease_s"),
         ("/facts/workers/cancel_s", json!(27.0), "facts.workers.cancel_s"),
@@ -52,7 +53,7 @@
         ("/host_name", json!(""), "host_name"),
         ("/facts/teams/0/cpus_max", json!(-2.0), "facts.teams.t.cpus_max"),
     ] {
-        let mut settings = good();
+        let mut settings = valid_settings();
         *settings.pointer_mut(path).unwrap_or(&mut json!(null)) = value.clone();
         if settings.pointer(path).is_none() {
             settings["facts"]["teams"][0]["cpus_max"] = value;
@@ -60,7 +61,7 @@
         let error = Settings::parse(&settings.to_string()).unwrap_err();
         assert!(error.starts_with(named), "{path}: {error}");
     }
-    let mut settings = good();
+    let mut settings = valid_settings();
     settings.as_object_mut().unwrap().remove("listen");
     assert!(Settings::parse(&settings.to_string()).unwrap_err().contains("listen"));
 }
--- a/crates/dapplecroft-wire/src/state.rs
+++ b/crates/dapplecroft-wire/src/state.rs
@@ -87,7 +87,7 @@
 
 /// Answer to a transaction, and to reading a key that does not exist.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct TransactionResponse {
     /// The keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -98,7 +98,7 @@
 
 /// Answer to a new lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct GrantResponse {
     /// The lease's number.
     #[serde(rename = "tenancy")]
     pub lease: u64,
@@ -106,18 +106,18 @@
 
 /// Answer to a watch.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Followed {
+pub struct WatchResponse {
     /// Revision up to which every change is in the answer.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// The changes.
     #[serde(default)]
-    pub log: Vec<Logged>,
+    pub log: Vec<WatchEvent>,
 }
 
 /// One change seen by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Logged {
+pub struct WatchEvent {
     /// The key, if it was written.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub set: Option<String>,
--- a/crates/dapplecroft-wire/src/users.rs
+++ b/crates/dapplecroft-wire/src/users.rs
@@ -109,7 +109,7 @@
 
 /// Body of an answer that is not a success.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorBody {
     /// What was wrong, in a few words.
     pub error: String,
 }
--- a/crates/dapplecroft-wire/src/users/tests.rs
+++ b/crates/dapplecroft-wire/src/users/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn good() -> Value {
+fn valid_submission() -> Value {
     json!({"id":"run-000412","lane":"train","crew":"vision","form":"sweep","rank":"urgent","shares":16,
         "cpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,"hulls":["g8"],"yard":null,
         "same_place":true,"apart":false,"loaners":true,"reckon_s":240.0,"mark_s":30.0,"stow_s":4.0,
@@ -9,8 +9,8 @@
 }
 
 #[test]
-fn a_good_submission_is_read_and_survives_a_round_trip() {
-    let spec = JobSpec::parse(good().to_string().as_bytes()).unwrap();
+fn a_valid_submission_survives_a_round_trip() {
+    let spec = JobSpec::parse(valid_submission().to_string().as_bytes()).unwrap();
     assert_eq!(spec.tasks, 16);
     assert_eq!(spec.types.as_deref(), Some(&["g8".to_string()][..]));
     let again: JobSpec = serde_json::from_value(serde_json::to_value(&spec).unwrap()).unwrap();
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn a_service_has_neither_an_end_nor_a_deadline() {
-    let mut body = good();
+fn a_service_needs_no_run_time_estimate_and_no_deadline() {
+    let mut body = valid_submission();
     body["form"] = json!("service");
     body["reckon_s"] = json!(0);
     body["due_s"] = json!(null);
     let spec = JobSpec::parse(body.to_string().as_bytes()).unwrap();
     assert!(spec.is_service() && spec.estimate_s == 0.0 && spec.deadline_s.is_none());
-    assert!(!JobSpec::parse(good().to_string().as_bytes()).unwrap().is_service());
+    assert!(!JobSpec::parse(valid_submission().to_string().as_bytes()).unwrap().is_service());
 }
 
 #[test]
-fn each_bad_field_is_named() {
+fn the_error_names_the_invalid_field() {
     for (field, value) in [
         ("id", json!("job-1")),
         ("id", json!("run-")),
@@ -47,7 +47,7 @@
         ("hulls", json!("g8")),
         ("crew", json!("")),
     ] {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = value;
         let error = JobSpec::parse(body.to_string().as_bytes()).unwrap_err();
         assert!(error.starts_with(field), "{field}: {error}");
@@ -59,8 +59,8 @@
 // Some fields were taken for false or 0 when they were missing: a job was accepted
 // that its user had not described.
 #[test]
-fn only_what_may_be_null_may_be_missing() {
-    let all = good();
+fn only_nullable_fields_may_be_missing() {
+    let all = valid_submission();
     for field in all.as_object().unwrap().keys().filter(|f| *f != "later") {
         let mut body = all.clone();
         body.as_object_mut().unwrap().remove(field);
--- a/crates/dapplecroft/src/front.rs
+++ b/crates/dapplecroft/src/front.rs
@@ -6,7 +6,7 @@
 //! at every step, for seconds. So only a few connections are read at a time;
 //! whatever else is ready goes before the next few.
 
-use dapplecroft_net::{Socket, Sockets};
+use dapplecroft_net::{SocketLimiter, SocketPermit};
 use poem::listener::{Acceptor, TcpAcceptor};
 use poem::web::{LocalAddr, RemoteAddr};
 use std::collections::VecDeque;
@@ -121,13 +121,13 @@
 pub struct FrontAcceptor {
     inner: TcpAcceptor,
     gate: Arc<Gate>,
-    sockets: Arc<Sockets>,
+    sockets: Arc<SocketLimiter>,
     told: Option<Instant>,
 }
 
 impl FrontAcceptor {
     /// Accepts from a listener.
-    pub fn new(inner: TcpAcceptor, gate: Arc<Gate>, sockets: Arc<Sockets>) -> Self {
+    pub fn new(inner: TcpAcceptor, gate: Arc<Gate>, sockets: Arc<SocketLimiter>) -> Self {
         FrontAcceptor { inner, gate, sockets, told: None }
     }
 
@@ -135,11 +135,11 @@
     fn tell_shed(&mut self) {
         if self.told.is_none_or(|at| at.elapsed() > TELL_EVERY) {
             self.told = Some(Instant::now());
-            let shed = self.sockets.take_shed();
+            let shed = self.sockets.take_shed_count();
             if shed > 0 {
                 tracing::warn!(
                     shed,
-                    open = self.sockets.count(),
+                    open = self.sockets.open_count(),
                     "connections found no room and were closed"
                 );
             }
@@ -167,7 +167,7 @@
             // One that there is no room for is closed at once: whoever made it
             // tries another node.
             self.tell_shed();
-            if let Some(socket) = self.sockets.open() {
+            if let Some(socket) = self.sockets.try_accept() {
                 let (gate, turn) = (self.gate.clone(), Arc::default());
                 let stream = FrontStream { io, gate, turn, _socket: socket };
                 return Ok((stream, local, remote, scheme));
@@ -181,7 +181,7 @@
     io: TcpStream,
     gate: Arc<Gate>,
     turn: Arc<Turn>,
-    _socket: Socket,
+    _socket: SocketPermit,
 }
 
 impl AsyncRead for FrontStream {
--- a/crates/dapplecroft/src/http.rs
+++ b/crates/dapplecroft/src/http.rs
@@ -2,8 +2,8 @@
 
 use crate::front::{FrontAcceptor, Gate};
 use dapplecroft_controller::{Node, Reply};
-use dapplecroft_net::Sockets;
-use dapplecroft_wire::MAX_BODY;
+use dapplecroft_net::SocketLimiter;
+use dapplecroft_wire::MAX_BODY_BYTES;
 use poem::http::{StatusCode, header};
 use poem::listener::{Listener, TcpListener};
 use poem::{Endpoint, Request, Response, Server};
@@ -12,7 +12,7 @@
 
 struct Front {
     node: Arc<Node>,
-    sockets: Arc<Sockets>,
+    sockets: Arc<SocketLimiter>,
 }
 
 impl Endpoint for Front {
@@ -23,7 +23,7 @@
         let path = request.uri().path().to_string();
         let reply = match self.node.refuse_unread(&path) {
             Some(reply) => reply,
-            None => match request.take_body().into_bytes_limit(MAX_BODY).await {
+            None => match request.take_body().into_bytes_limit(MAX_BODY_BYTES).await {
                 Ok(body) => self.node.handle(&method, &path, body).await,
                 Err(_) => Reply {
                     status: 400,
@@ -36,7 +36,7 @@
         let leaves = path == "/hello" && reply.status != 200;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut builder = Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
-        if leaves || self.sockets.scarce() {
+        if leaves || self.sockets.inbound_scarce() {
             builder = builder.header(header::CONNECTION, "close");
         }
         if let Some(seconds) = reply.retry_after {
@@ -47,7 +47,7 @@
 }
 
 /// Serves until the process ends.
-pub async fn serve(node: Arc<Node>, sockets: Arc<Sockets>, address: SocketAddr) -> std::io::Result<()> {
+pub async fn serve(node: Arc<Node>, sockets: Arc<SocketLimiter>, address: SocketAddr) -> std::io::Result<()> {
     let gate = Arc::new(Gate::default());
     let listener = TcpListener::bind(address).into_acceptor().await?;
     let acceptor = FrontAcceptor::new(listener, gate.clone(), sockets.clone());
--- a/crates/dapplecroft/src/main.rs
+++ b/crates/dapplecroft/src/main.rs
@@ -11,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 use dapplecroft_controller::{Node, Options, Parts, PeerService, resolve_admission};
-use dapplecroft_net::{Sockets, TcpTransport};
+use dapplecroft_net::{SocketLimiter, TcpTransport};
 use dapplecroft_wire::settings::Settings;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -156,7 +156,7 @@
     let mut random = rand::rng();
     let (listen, back) = (settings.listen, settings.peer_listen);
     let cells_listen = options.federation.as_ref().map(|federation| federation.listen);
-    let sockets = Sockets::new(settings.params.quota.max_connections.max(MIN_SOCKETS));
+    let sockets = SocketLimiter::new(settings.params.quota.max_connections.max(MIN_SOCKETS));
     let node = Node::new(Parts {
         settings: Arc::new(settings),
         options,
