--- a/crates/dapplecroft-cloud/src/lib.rs
+++ b/crates/dapplecroft-cloud/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of the cloud, with a rate budget and three-valued outcomes.
+//! Client of the cloud that rents machines. It keeps to a request rate, and each request is reported as
+//! executed, refused or unknown (see [`Outcome`]).
 
 use dapplecroft_net::{Outcome, Request, Response, TokenBucket, Transport};
 use dapplecroft_wire::cloud::{Catalog, ListedMachine, MachineList, MachineNames, RentRequest};
@@ -7,20 +8,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most machines of one rental request.
+/// Maximum number of machines in one rental request.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Most names of one release.
+/// Maximum number of machine names in one release request.
 pub const MAX_MACHINES_PER_RELEASE: usize = 100;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const LIST_PAGE_SIZE: usize = 500;
 
-/// What the cloud said to a rental request.
+/// The cloud's response to a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RentOutcome {
-    /// These machines were rented, perhaps fewer than asked for.
+    /// These machines were rented, possibly fewer than requested.
     Machines(Vec<String>),
-    /// None of this type, zone and kind is to be had.
+    /// The cloud has no machine left of the requested type, in the requested zone, of the requested kind
+    /// (spot or ordinary).
     NoCapacity,
 }
 
@@ -32,7 +34,7 @@
 }
 
 impl CloudClient {
-    /// A client that keeps to `rps` requests a second.
+    /// Creates a client that makes at most `rps` requests per second.
     pub fn new(transport: Arc<dyn Transport>, address: String, rps: f64) -> Self {
         CloudClient { transport, address, request_budget: TokenBucket::new(rps) }
     }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The machine types.
+    /// Fetches the machine types on offer.
     pub async fn catalog(&self) -> Outcome<Catalog> {
         match self.call(Method::GET, "/catalog".into(), Vec::new()).await {
             Outcome::Done(r) => decode_ok(&r),
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Rents machines. The same request may be repeated under its name.
+    /// Rents machines. The call is idempotent: a request may be repeated under the same request name.
     pub async fn rent(&self, request: &RentRequest) -> Outcome<RentOutcome> {
         let body = match serde_json::to_vec(request) {
             Ok(body) => body,
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Releases machines. Done means that they and all that was on them are gone.
+    /// Releases up to [`MAX_MACHINES_PER_RELEASE`] machines; further names are ignored. When the outcome is
+    /// `Done`, the machines and everything on them no longer exist.
     pub async fn release(&self, machines: &[String]) -> Outcome<()> {
         let names =
             MachineNames { machines: machines.iter().take(MAX_MACHINES_PER_RELEASE).cloned().collect() };
@@ -94,7 +97,8 @@
         }
     }
 
-    /// All machines that the cloud lists; the list lags and may go backwards.
+    /// Lists all rented machines. The list lags behind the cloud's actual state and may be older than one
+    /// that was returned before.
     pub async fn list_machines(&self) -> Outcome<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -122,6 +126,7 @@
     String::from_utf8_lossy(&response.body).contains(text)
 }
 
+/// Outcome of a request whose status is not 200: with 400, 429 and 503 the cloud did not execute it.
 fn outcome_of_error_status<T>(response: &Response) -> Outcome<T> {
     let text = format!("status {}", response.status);
     match response.status {
@@ -130,7 +135,7 @@
     }
 }
 
-/// Reads a body; a bad answer of the cloud is an unknown outcome.
+/// Decodes the body of a response with status 200. An invalid body is an unknown outcome.
 fn decode_ok<T: DeserializeOwned>(response: &Response) -> Outcome<T> {
     if response.status != 200 {
         return outcome_of_error_status(response);
@@ -138,8 +143,8 @@
     match serde_json::from_slice(&response.body) {
         Ok(value) => Outcome::Done(value),
         Err(error) => {
-            tracing::warn!(%error, "the cloud's answer cannot be read");
-            Outcome::Unknown(format!("bad answer: {error}"))
+            tracing::warn!(%error, "cannot decode the cloud's response");
+            Outcome::Unknown(format!("invalid response body: {error}"))
         }
     }
 }
--- a/crates/dapplecroft-net/src/lib.rs
+++ b/crates/dapplecroft-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP towards outside systems: a [`Transport`] that tests replace by an
-//! in-memory network, its real form over TCP, and rate budgets.
+//! HTTP client for external systems: the [`Transport`] trait (tests replace it with an in-memory network),
+//! its implementation over TCP, client-side rate limiting and the limit on open sockets.
 
 mod socket_limiter;
 mod tcp;
@@ -13,61 +13,62 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// A request to an outside system.
+/// An HTTP request to an external system or a worker.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// `host:port`.
+    /// Address of the server as `host:port`.
     pub address: String,
-    /// Method.
+    /// HTTP method.
     pub method: http::Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// JSON body, empty for none.
+    /// JSON body; empty if the request has none.
     pub body: Bytes,
-    /// How long to wait for the whole answer.
+    /// Time limit for the whole exchange, until the response body has been read.
     pub timeout: Duration,
-    /// Whether it goes to one of very many hosts, to which connections are kept
-    /// only while sockets are plenty.
+    /// Whether the request goes to a worker. There are very many workers, so the number of concurrent
+    /// requests to them is limited, and connections to them are kept alive only while enough sockets are
+    /// free.
     pub to_worker: bool,
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// What is told of an answer that is larger than this process takes.
-const RESPONSE_TOO_LARGE: &str = "the answer is too large";
+/// Error text for a response that exceeds the size limit of this process.
+const RESPONSE_TOO_LARGE: &str = "response exceeds the size limit";
 
-/// Why there is no answer.
+/// Why a request returned no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransportError {
-    /// The request certainly never left this process.
+    /// The request was never sent, so the server cannot have executed it.
     NotSent(String),
-    /// The request may have been executed, or may yet be.
+    /// The request may have been executed, or may still be executed later.
     Unknown(String),
-    /// The request was executed; its answer is larger than this process takes.
+    /// The request was executed, but its response exceeds the size limit of this process.
     ResponseTooLarge,
 }
 
-/// What came of a request: done, refused (certainly not executed), or unknown
-/// (it may have been executed, or may yet be executed much later).
+/// Result of a request: executed, refused (certainly not executed) or unknown (it may have been executed,
+/// or may still be executed much later).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome<T> {
-    /// Executed.
+    /// The request was executed.
     Done(T),
-    /// Not executed, and never will be.
+    /// The request was not executed and never will be; holds the reason.
     Refused(String),
-    /// Nobody knows.
+    /// It is not known whether the request was or will be executed; holds the reason.
     Unknown(String),
 }
 
 impl<T> Outcome<T> {
-    /// Changes what a done request brought.
+    /// Applies `f` to the value of an executed request.
     pub fn map<U>(self, f: impl FnOnce(T) -> U) -> Outcome<U> {
         match self {
             Outcome::Done(value) => Outcome::Done(f(value)),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// What a done request brought.
+    /// Value of an executed request, `None` for the other outcomes.
     pub fn done(self) -> Option<T> {
         match self {
             Outcome::Done(value) => Some(value),
@@ -95,9 +96,9 @@
     }
 }
 
-/// Carries requests.
+/// Sends HTTP requests.
 #[async_trait]
 pub trait Transport: Send + Sync {
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response.
     async fn send(&self, request: Request) -> Result<Response, TransportError>;
 }
--- a/crates/dapplecroft-net/src/tcp.rs
+++ b/crates/dapplecroft-net/src/tcp.rs
@@ -1,4 +1,4 @@
-//! The real transport: HTTP/1.1 with kept-alive connections.
+//! [`Transport`] over TCP: HTTP/1.1 with keep-alive connections.
 
 use crate::{Request, Response, SocketLimiter, Transport, TransportError};
 use async_trait::async_trait;
@@ -10,30 +10,29 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// The largest answer that is read. Watches have no limit of their own, but a
-/// process with little memory has.
+/// Largest response body that is read. The state service does not limit the size of watch responses, but the
+/// memory of this process is limited.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// HTTP/1.1 over TCP.
+/// HTTP/1.1 client over TCP.
 #[derive(Debug, Clone)]
 pub struct TcpTransport {
     client: Client<HttpConnector, Full<Bytes>>,
     sockets: Arc<SocketLimiter>,
-    /// Requests to workers that may be on their way.
+    /// Limits the number of concurrent requests to workers.
     worker_request_slots: Arc<Semaphore>,
 }
 
 impl TcpTransport {
-    /// A transport with its own pool of connections, in a process with these
-    /// sockets.
+    /// Creates a transport with its own connection pool; `sockets` is the socket limiter of the process.
     pub fn new(sockets: Arc<SocketLimiter>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(2)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            // Connections to a thousand workers are reused while they are busy and
-            // closed soon after: sockets are limited too.
+            // There may be a thousand workers and sockets are limited, so connections are reused while a
+            // worker is busy and closed soon afterwards.
             .pool_idle_timeout(Duration::from_secs(8))
             .pool_max_idle_per_host(1)
             .build(connector);
@@ -51,7 +50,7 @@
             false => None,
         };
         if worker_slot.as_ref().is_some_and(Result::is_err) {
-            return Err(not_sent("no socket left".into()));
+            return Err(not_sent("timed out waiting for a request slot".into()));
         }
         let mut builder = http::Request::builder()
             .method(request.method)
@@ -65,7 +64,7 @@
         let http_request = builder.body(Full::new(request.body)).map_err(|e| not_sent(e.to_string()))?;
         let exchange = async {
             let response = self.client.request(http_request).await.map_err(|e| {
-                // A connection that never came about never completes later.
+                // A request whose connection failed was not sent and cannot be executed later.
                 if e.is_connect() { not_sent(e.to_string()) } else { TransportError::Unknown(e.to_string()) }
             })?;
             let status = response.status().as_u16();
@@ -81,7 +80,7 @@
         };
         match tokio::time::timeout(request.timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(TransportError::Unknown("no answer in time".into())),
+            Err(_) => Err(TransportError::Unknown("request timed out".into())),
         }
     }
 }
--- a/crates/dapplecroft-net/src/token_bucket.rs
+++ b/crates/dapplecroft-net/src/token_bucket.rs
@@ -1,9 +1,10 @@
-//! Rate budgets towards services that refuse what exceeds their limits.
+//! Client-side rate limiting for services that reject requests above their rate limits.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A token bucket: `rate` units a second, with bursts worth one second.
+/// A token bucket that gains `rate` tokens per second and holds at most one second's worth (but at least
+/// one token). Each request or change costs a number of tokens, called units below.
 #[derive(Debug)]
 pub struct TokenBucket {
     state: Mutex<BucketState>,
@@ -21,12 +22,12 @@
 }
 
 impl TokenBucket {
-    /// A budget of `rate` units a second.
+    /// Creates a full bucket that gains `rate` units per second.
     pub fn new(rate: f64) -> Self {
         TokenBucket { state: Mutex::new(BucketState { rate, tokens: rate.max(1.0), refilled_at: now() }) }
     }
 
-    /// Changes the rate from now on.
+    /// Changes the rate; tokens beyond the new capacity are lost.
     pub fn set_rate(&self, rate: f64) {
         let mut state = self.lock();
         state.refill();
@@ -34,8 +35,8 @@
         state.tokens = state.tokens.min(rate.max(1.0));
     }
 
-    /// Takes `units` now and returns how long to wait before using them. The
-    /// level may go below zero, so that callers are served in order.
+    /// Takes `units` immediately and returns how long the caller must wait before using them (at most 60 s).
+    /// The number of tokens may become negative, so that callers are served in the order of their calls.
     pub fn reserve(&self, units: f64) -> Duration {
         let mut state = self.lock();
         state.refill();
@@ -47,19 +48,20 @@
         }
     }
 
-    /// Gives back `units` that were taken and not used.
+    /// Returns `units` that were reserved but not used.
     pub fn refund(&self, units: f64) {
         let mut state = self.lock();
         state.refill();
         state.tokens = (state.tokens + units).min(state.rate.max(1.0));
     }
 
-    /// Units a second.
+    /// Units gained per second.
     pub fn rate(&self) -> f64 {
         self.lock().rate
     }
 
-    /// How long until `units` can be taken without waiting.
+    /// Time until `units` can be reserved without waiting (at most 60 s). Units beyond the bucket's capacity
+    /// are ignored, since the bucket never holds that many.
     pub fn time_until_available(&self, units: f64) -> Duration {
         let mut state = self.lock();
         state.refill();
@@ -67,14 +69,14 @@
         Duration::from_secs_f64((lacking / state.rate).clamp(0.0, 60.0))
     }
 
-    /// What is left of a burst: 1 all of it, 0 or less none.
+    /// Fraction of the burst capacity that is left: 1 for a full bucket, 0 or less if nothing is left.
     pub fn burst_left(&self) -> f64 {
         let mut state = self.lock();
         state.refill();
         state.tokens / state.rate.max(1.0)
     }
 
-    /// Takes `units`, waiting for them if need be.
+    /// Reserves `units` and waits until they may be used.
     pub async fn acquire(&self, units: f64) {
         let wait = self.reserve(units);
         if !wait.is_zero() {
--- a/crates/dapplecroft-state/src/committer.rs
+++ b/crates/dapplecroft-state/src/committer.rs
@@ -1,5 +1,5 @@
-//! Group commit: units of change that are atomic by themselves are carried in
-//! shared transactions, whose size grows with what has queued up meanwhile.
+//! Group commit: independent atomic updates are combined into shared transactions. The more updates are
+//! queued while a transaction is in flight, the larger the next one.
 
 use crate::{STATUS_BAD_REQUEST, StateClient, TransactionResult};
 use dapplecroft_net::Outcome;
@@ -11,74 +11,83 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// The largest transaction that is put together, well under the service's limit.
+/// Maximum size of a shared transaction, well below the service's limit.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// A group has the changes that this node may make in about so many seconds.
+/// A group contains at most the changes that this node may make in this number of seconds.
 const GROUP_WRITE_SECONDS: f64 = 0.5;
-/// The part of a second's changes that is kept for what users wait for.
+/// Fraction of one second's changes that deferrable updates leave in the write budget, for updates that users
+/// or urgent work wait for.
 const URGENT_WRITE_RESERVE: f64 = 0.3;
-/// What can wait is no longer put behind what can't after so long.
+/// A deferrable update that has been queued for this long becomes urgent.
 const MAX_DEFERRAL: Duration = Duration::from_secs(2);
-/// How long a group gathers while requests are scarce.
+/// Pause before the next group while the request budget is scarce, so that the group becomes larger.
 const GROUP_GATHER_DELAY: Duration = Duration::from_millis(50);
 
-/// A change that is made whole or not at all.
+/// Changes that are made together or not at all.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AtomicUpdate {
-    /// Conditions.
+    /// Conditions that must all hold for the changes to be made.
     pub conditions: Vec<Condition>,
-    /// Changes.
+    /// Changes to make.
     pub changes: Vec<Change>,
 }
 
-/// What became of a unit.
+/// Result of an [`AtomicUpdate`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// Made, at this revision.
+    /// The changes were made at this revision.
     Committed(u64),
-    /// Not made: these keys were not as the conditions said.
+    /// The changes were not made, because the conditions on these keys failed.
     Conflict(Vec<String>),
-    /// Not made, and never will be.
+    /// The changes were not made and never will be; holds the reason.
     Refused(String),
-    /// Nobody knows; it may yet be made.
+    /// It is not known whether the changes were made, and they may still be made later; holds the reason.
     Unknown(String),
 }
 
+/// An update that waits to be committed.
 struct QueuedUpdate {
     update: AtomicUpdate,
+    /// Estimated size of the update in a transaction.
     bytes: usize,
     reply: oneshot::Sender<UpdateResult>,
     priority: CommitPriority,
-    /// Whether it goes without others: together they were refused.
+    /// Whether the update must be committed in a transaction of its own, because the service rejected the
+    /// shared transaction that it was part of.
     send_alone: bool,
     queued_at: Instant,
 }
 
-/// What goes before what.
+/// Order in which queued updates are committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum CommitPriority {
-    /// A user waits for it: at once.
+    /// A user waits for the update: committed without waiting for the write budget.
     User,
-    /// Urgent work waits for it.
+    /// Urgent work waits for the update.
     Urgent,
-    /// All else.
+    /// Everything else.
     Deferrable,
 }
 
-/// Collects units and commits them in groups.
+/// Queues atomic updates and commits them in groups.
 pub struct Committer {
     queue: Mutex<VecDeque<QueuedUpdate>>,
+    /// Notified when any update is queued.
     update_queued: Notify,
+    /// Notified when a group has been taken from the queue.
     group_taken: Notify,
+    /// Notified when an update is queued that is not deferrable.
     urgent_queued: Notify,
+    /// Maximum number of changes in a transaction.
     max_changes: AtomicUsize,
+    /// Maximum number of queued updates.
     max_queued: usize,
 }
 
 impl Committer {
-    /// A committer for transactions of up to `max_changes`; it refuses units
-    /// once `max_queued` are waiting.
+    /// Creates a committer whose transactions have at most `max_changes` changes. It refuses new updates
+    /// while `max_queued` updates are queued.
     pub fn new(max_changes: usize, max_queued: usize) -> Self {
         Committer {
             queue: Mutex::default(),
@@ -90,7 +99,7 @@
         }
     }
 
-    /// Changes the most that transactions have from now on.
+    /// Sets the maximum number of changes in a transaction.
     pub fn set_max_changes(&self, max_changes: usize) {
         self.max_changes.store(max_changes.max(1), Ordering::Relaxed);
     }
@@ -99,37 +108,40 @@
         self.max_changes.load(Ordering::Relaxed)
     }
 
-    /// How many units are waiting.
+    /// Number of queued updates.
     pub fn queued(&self) -> usize {
         self.lock().len()
     }
 
-    /// How many of them go before what can wait.
+    /// Number of queued updates that are not deferrable.
     pub fn queued_urgent(&self) -> usize {
         self.lock().iter().filter(|w| w.priority < CommitPriority::Deferrable).count()
     }
 
-    /// Waits until a group was taken from the queue.
+    /// Waits until a group has been taken from the queue.
     pub async fn group_taken(&self) {
         self.group_taken.notified().await;
     }
 
-    /// How many units may wait before it is better to put none together yet.
+    /// Queue length from which callers should postpone building further updates, so that these reflect the
+    /// latest state when they are built.
     pub fn backlog_target(&self) -> usize {
         (self.max_changes() / 4).max(2)
     }
 
-    /// Queues a unit and waits for its result.
+    /// Queues a deferrable update and waits for its result.
     pub async fn commit(&self, update: AtomicUpdate) -> UpdateResult {
         self.enqueue(update, CommitPriority::Deferrable).await
     }
 
-    /// The same, ahead of what is queued already: a user waits for it.
+    /// Queues an update that a user waits for, ahead of all urgent and deferrable updates, and waits for its
+    /// result.
     pub async fn commit_for_user(&self, update: AtomicUpdate) -> UpdateResult {
         self.enqueue(update, CommitPriority::User).await
     }
 
-    /// The same, behind what users wait for: urgent work waits for it.
+    /// Queues an update that urgent work waits for, behind those that users wait for, and waits for its
+    /// result.
     pub async fn commit_urgent(&self, update: AtomicUpdate) -> UpdateResult {
         self.enqueue(update, CommitPriority::Urgent).await
     }
@@ -141,7 +153,7 @@
         {
             let mut queue = self.lock();
             if queue.len() >= self.max_queued {
-                return UpdateResult::Refused("too many changes waiting".into());
+                return UpdateResult::Refused("commit queue is full".into());
             }
             if priority < CommitPriority::Deferrable {
                 self.urgent_queued.notify_one();
@@ -153,34 +165,35 @@
             );
         }
         self.update_queued.notify_one();
-        result.await.unwrap_or_else(|_| UpdateResult::Unknown("committer ended".into()))
+        result
+            .await
+            .unwrap_or_else(|_| UpdateResult::Unknown("committer stopped before it reported a result".into()))
     }
 
-    /// Commits what is queued, for ever.
+    /// Commits queued updates; never returns.
     pub async fn run(&self, client: Arc<StateClient>) {
         loop {
             if self.queued() == 0 {
                 self.update_queued.notified().await;
                 continue;
             }
-            // What joins the queue while changes have to be waited for goes along.
-            // Small groups, often: a large one waits longer, is refused sooner
-            // since the service's bursts are shared, and one outdated condition
-            // spoils it for more.
+            // Updates that are queued during the wait for the write budget join the group. Groups are small
+            // and frequent: a large one waits longer for the budget, is more likely to be refused since all
+            // nodes share the service's burst, and one outdated condition in it delays more updates.
             let max_group_changes =
                 ((client.write_rate() * GROUP_WRITE_SECONDS) as usize).clamp(2, self.max_changes().max(2));
             let rate = client.write_rate();
             match self.next_priority() {
                 Some(CommitPriority::User) => {}
-                // Soon, unless what went soon has used up what comes next
-                // already: the service's bursts are shared.
+                // Urgent updates may overdraw the write budget, but only by about a fifth of a second's
+                // changes, since all nodes share the service's burst.
                 Some(CommitPriority::Urgent) => {
                     tokio::select! {
                         () = client.wait_for_write_budget(1.0 - rate * 0.2) => {}
                         () = self.urgent_queued.notified() => continue,
                     }
                 }
-                // A part of the burst is kept for what can't wait.
+                // Deferrable updates leave part of the burst for updates that cannot wait.
                 _ => {
                     let changes = max_group_changes.min(self.queued()) as f64 + rate * URGENT_WRITE_RESERVE;
                     tokio::select! {
@@ -192,7 +205,7 @@
             let group = self.next_group(max_group_changes);
             self.group_taken.notify_one();
             self.commit_group(&client, group).await;
-            // Requests are scarce: the next group waits for company.
+            // The request budget is scarce: wait for more updates to join the next group.
             if client.request_burst_left() < 0.5 {
                 tokio::time::sleep(GROUP_GATHER_DELAY).await;
             }
@@ -226,7 +239,7 @@
             left = self.queued(),
             took = ?started.elapsed(),
             verdict,
-            "changes committed together"
+            "group commit finished"
         );
         match outcome {
             Outcome::Done(TransactionResult::Committed(revision)) => {
@@ -249,16 +262,20 @@
                         let _ = queued.reply.send(UpdateResult::Conflict(failed_keys));
                     }
                 }
-                // Units that only shared the transaction go first next time.
+                // Updates whose own conditions did not fail are put back at the head of the queue.
                 let mut queue = self.lock();
                 for queued in unaffected.into_iter().rev() {
                     queue.push_front(queued);
                 }
             }
             Outcome::Refused(e) if e.starts_with(STATUS_BAD_REQUEST) && group.len() > 1 => {
-                // Limits may have become smaller. Nothing was made: each goes by
-                // itself, and only what is too large alone is refused.
-                tracing::info!(units = group.len(), error = e, "a transaction is split");
+                // The service may have lowered its limits. Nothing was changed, so each update is committed
+                // in a transaction of its own, and only one that is too large by itself is refused.
+                tracing::info!(
+                    units = group.len(),
+                    error = e,
+                    "transaction rejected as invalid; committing its updates separately"
+                );
                 let mut queue = self.lock();
                 for queued in group.into_iter().rev() {
                     queue.push_front(QueuedUpdate { send_alone: true, ..queued });
@@ -269,6 +286,8 @@
         }
     }
 
+    /// Takes the next group from the queue: updates of one priority that do not conflict with each other and
+    /// have at most `max_group_changes` changes together. A single update may exceed the limits.
     fn next_group(&self, max_group_changes: usize) -> Vec<QueuedUpdate> {
         let mut queue = self.lock();
         let mut group: Vec<QueuedUpdate> = Vec::new();
@@ -286,9 +305,9 @@
             let full = changes + update.changes.len() > max_group_changes
                 || conditions.len() + new_conditions > 4 * self.max_changes()
                 || bytes + next.bytes > MAX_TRANSACTION_BYTES;
-            // What can't wait goes without the others.
+            // Updates of different priorities are not combined, so that deferrable ones cannot delay others.
             let other_priority = group.first().is_some_and(|w| w.priority != next.priority);
-            // A unit that is too large by itself still goes, and is refused there.
+            // An update that is too large by itself is still sent; the service then rejects it.
             let send_alone = next.send_alone || group.first().is_some_and(|w| w.send_alone);
             if !group.is_empty() && (conflicting || full || other_priority || send_alone) {
                 break;
@@ -303,9 +322,10 @@
         group
     }
 
+    /// Priority of the update at the head of the queue, after promoting an overdue deferrable update.
     fn next_priority(&self) -> Option<CommitPriority> {
         let mut queue = self.lock();
-        // What can wait must not wait for ever behind what comes and comes.
+        // A steady stream of urgent updates must not starve the deferrable ones.
         let overdue = |w: &QueuedUpdate| {
             w.priority == CommitPriority::Deferrable && w.queued_at.elapsed() >= MAX_DEFERRAL
         };
@@ -323,6 +343,7 @@
     }
 }
 
+/// Sends every update of a group its result.
 fn reply_to_all(group: Vec<QueuedUpdate>, result: impl Fn(&AtomicUpdate) -> UpdateResult) {
     for queued in group {
         let outcome = result(&queued.update);
--- a/crates/dapplecroft-state/src/lib.rs
+++ b/crates/dapplecroft-state/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of the state service, with rate budgets and three-valued outcomes.
+//! Client of the state service. It keeps to this node's share of the service's rate limits, and each request
+//! is reported as executed, refused or unknown (see [`Outcome`]).
 
 mod committer;
 
@@ -14,33 +15,34 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long ordinary requests wait for an answer.
+/// Timeout of ordinary requests.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is told of a request that an outage kept from being executed.
+/// Error text for a request that the service did not execute because of an outage.
 const STATUS_UNAVAILABLE: &str = "status 503";
-/// The same of one beyond the rates.
+/// Error text for a request that exceeded the service's rate limits and was not executed.
 const STATUS_RATE_LIMITED: &str = "status 429";
 
-/// What is told of a transaction that the service does not take as it is.
+/// Start of the error text for a transaction that the service rejects as invalid, for example because it
+/// exceeds the size limits.
 pub(crate) const STATUS_BAD_REQUEST: &str = "status 400";
 
-/// What a transaction that was carried out came to.
+/// Result of a transaction that the service evaluated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionResult {
-    /// All conditions held, and the changes have this revision.
+    /// All conditions held; the changes were made at this revision.
     Committed(u64),
-    /// These keys' conditions failed, and nothing was changed.
+    /// The conditions on these keys failed, and nothing was changed.
     Conflict(Vec<String>),
 }
 
-/// What a watch brought.
+/// Result of a watch request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchResult {
-    /// Changes after the given revision.
+    /// The changes after the requested revision.
     Changes(WatchResponse),
-    /// The revision is too old, or too much has changed since for one answer: read
-    /// the keys again.
+    /// The service no longer has all changes since the requested revision, or they exceed the size limit of a
+    /// response. The caller must list the keys again.
     RelistRequired,
 }
 
@@ -50,14 +52,15 @@
     address: String,
     request_budget: TokenBucket,
     write_budget: TokenBucket,
-    /// Whether the limits may become smaller without notice.
+    /// Whether the service may lower its limits without notice.
     expect_lower_limits: AtomicBool,
-    /// Whether a refusal has told that they have.
+    /// Whether a rejected transaction has shown that the service lowered its limits.
     lower_limits_detected: AtomicBool,
 }
 
 impl StateClient {
-    /// A client with its own part of the service's limits.
+    /// Creates a client that makes at most `rps` requests and `write_rps` changes per second: this node's
+    /// share of the service's limits.
     pub fn new(transport: Arc<dyn Transport>, address: String, rps: f64, write_rps: f64) -> Self {
         StateClient {
             transport,
@@ -69,17 +72,18 @@
         }
     }
 
-    /// Whether refusals are to be taken as the sign that limits have become
-    /// smaller.
+    /// Sets whether a rejected transaction is taken as a sign that the service lowered its limits.
     pub fn set_expect_lower_limits(&self, expect_lower_limits: bool) {
         self.expect_lower_limits.store(expect_lower_limits, Ordering::Relaxed);
     }
 
-    /// Whether a refusal has told that limits have become smaller.
+    /// Whether a rejected transaction has shown that the service lowered its limits.
     pub fn lower_limits_detected(&self) -> bool {
         self.lower_limits_detected.load(Ordering::Relaxed)
     }
 
+    /// Records that the service lowered its limits if a refused transaction's `error` indicates it: a rate
+    /// limit, or a rejection as invalid that does not concern a lease.
     fn detect_lower_limits(&self, error: &str) {
         let indicates_lower_limits = error == STATUS_RATE_LIMITED
             || (error.starts_with(STATUS_BAD_REQUEST) && !error.contains("lease"));
@@ -87,27 +91,27 @@
             && self.expect_lower_limits.load(Ordering::Relaxed)
             && !self.lower_limits_detected.swap(true, Ordering::Relaxed)
         {
-            tracing::info!(error, "the state service takes less from now on");
+            tracing::info!(error, "the state service lowered its limits");
         }
     }
 
-    /// Changes this node's part of the limits.
+    /// Sets this node's share of the service's rate limits.
     pub fn set_rates(&self, rps: f64, write_rps: f64) {
         self.request_budget.set_rate(rps);
         self.write_budget.set_rate(write_rps);
     }
 
-    /// What is left of this node's burst of writes: 1 all of it, 0 or less none.
+    /// Fraction of the write burst that is left: 1 for all of it, 0 or less if nothing is left.
     pub fn write_burst_left(&self) -> f64 {
         self.write_budget.burst_left()
     }
 
-    /// Changes that this node may make a second.
+    /// Number of changes that this node may make per second.
     pub(crate) fn write_rate(&self) -> f64 {
         self.write_budget.rate()
     }
 
-    /// Waits until so many changes can be made.
+    /// Waits until the write budget allows this number of changes.
     pub(crate) async fn wait_for_write_budget(&self, changes: f64) {
         let wait = self.write_budget.time_until_available(changes);
         if !wait.is_zero() {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The same for requests.
+    /// Fraction of the request burst that is left: 1 for all of it, 0 or less if nothing is left.
     pub fn request_burst_left(&self) -> f64 {
         self.request_budget.burst_left()
     }
@@ -148,15 +152,15 @@
         status_outcome(self.send(method, path, body, timeout).await)
     }
 
-    /// Reads one key, with the revision at which it was so; no item if it does
-    /// not exist.
+    /// Reads one key. Returns the item (`None` if the key does not exist) and a revision: the version of the
+    /// item, or the service's revision if the key does not exist.
     pub async fn get(&self, key: &str) -> Outcome<(Option<Item>, u64)> {
         self.request_budget.acquire(1.0).await;
         match self.call(Method::GET, format!("/store/{key}"), Vec::new(), REQUEST_TIMEOUT).await {
             Outcome::Done(r) if r.status == 404 => {
                 match serde_json::from_slice::<TransactionResponse>(&r.body) {
                     Ok(verdict) => Outcome::Done((None, verdict.revision)),
-                    Err(e) => Outcome::Unknown(format!("bad answer: {e}")),
+                    Err(e) => Outcome::Unknown(format!("invalid response body: {e}")),
                 }
             }
             Outcome::Done(r) => decode_ok::<Item>(&r).map(|item| {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Reads all keys with a prefix, and the revision from which to follow them.
+    /// Reads all keys with a prefix. Also returns the revision from which to watch for later changes.
     pub async fn list(&self, prefix: &str) -> Outcome<(Vec<Item>, u64)> {
         let mut items: Vec<Item> = Vec::new();
         let mut first_revision = None;
@@ -184,8 +188,8 @@
                 Outcome::Refused(e) => return Outcome::Refused(e),
                 Outcome::Unknown(e) => return Outcome::Unknown(e),
             };
-            // Pages are read one after the other: what changes in between is
-            // in the watch that starts at the first page's revision.
+            // Keys may change between two pages. A watch from the first page's revision reports these
+            // changes.
             let first_revision = *first_revision.get_or_insert(page.revision);
             let has_more = page.truncated && !page.items.is_empty();
             items.extend(page.items);
@@ -195,8 +199,9 @@
         }
     }
 
-    /// Carries out a transaction. `skip_budget_wait` ones (what a role hangs on) do not
-    /// wait for the budget, though they are counted in it.
+    /// Executes a transaction. With `skip_budget_wait` it is sent without waiting for the rate budgets,
+    /// although it is charged to them: for transactions on which a role (such as the leader's) depends, and
+    /// for callers that have already waited.
     pub async fn transact(
         &self,
         transaction: &Transaction,
@@ -217,8 +222,8 @@
         };
         let outcome = self.call(Method::POST, "/multi".into(), body, REQUEST_TIMEOUT).await;
         if matches!(&outcome, Outcome::Refused(error) if error == STATUS_UNAVAILABLE) {
-            // It was not counted there. Tries during an outage would else leave
-            // a debt, and all that has gathered would wait for it afterwards.
+            // The service did not count these changes. Without the refund, attempts during an outage would
+            // use up the budget, and the transactions queued meanwhile would be delayed after the outage.
             self.write_budget.refund(write_count);
         }
         let outcome = match outcome {
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Asks for a lease.
+    /// Requests a lease with this time to live and returns its number.
     pub async fn grant_lease(&self, ttl: Duration) -> Outcome<u64> {
         self.request_budget.reserve(1.0);
         let body = format!("{{\"life_ms\":{}}}", ttl.as_millis()).into_bytes();
@@ -254,28 +259,28 @@
         }
     }
 
-    /// Renews a lease; `false` means that it has ended.
+    /// Renews a lease; `false` means that the lease has expired or was revoked.
     pub async fn renew_lease(&self, lease: u64) -> Outcome<bool> {
         self.request_budget.reserve(1.0);
         let path = format!("/grants/{lease}/touch");
         self.call(Method::POST, path, b"{}".to_vec(), REQUEST_TIMEOUT / 2).await.map(|r| r.status != 404)
     }
 
-    /// Ends a lease.
+    /// Revokes a lease.
     pub async fn revoke_lease(&self, lease: u64) -> Outcome<()> {
         self.request_budget.reserve(1.0);
         self.call(Method::DELETE, format!("/grants/{lease}"), Vec::new(), REQUEST_TIMEOUT).await.map(|_| ())
     }
 
-    /// Waits for changes of keys with a prefix after a revision.
+    /// Waits for changes after revision `from` to keys with a prefix, for at most `wait`.
     pub async fn watch(&self, prefix: &str, from: u64, wait: Duration) -> Outcome<WatchResult> {
         self.request_budget.acquire(1.0).await;
         let path = format!("/follow?starts={prefix}&from={from}&wait_ms={}", wait.as_millis());
-        // An open watch remains open through an outage, but a connection can
-        // also be dead without a word; what a late answer says is read again.
+        // A watch stays open during an outage of the service, but its connection can also break unnoticed,
+        // hence the timeout. Changes in a response that is missed are reported by the next watch.
         match self.send(Method::GET, path, Vec::new(), wait + REQUEST_TIMEOUT).await {
-            // All that has changed comes in one answer, however large: asked again
-            // from the same revision it would only grow.
+            // The service reports all changes in one response of any size. A repeated watch from the same
+            // revision would only get a larger one.
             Err(TransportError::ResponseTooLarge) => Outcome::Done(WatchResult::RelistRequired),
             result => match status_outcome(result) {
                 Outcome::Done(r) if r.status == 410 => Outcome::Done(WatchResult::RelistRequired),
@@ -287,7 +292,7 @@
     }
 }
 
-/// What came of a request by its status: 429 and 503 say that it was not executed.
+/// Outcome of a request according to its status: 429 and 503 mean that it was not executed.
 fn status_outcome(result: Result<Response, TransportError>) -> Outcome<Response> {
     match result {
         Ok(r) if r.status == 503 => Outcome::Refused(STATUS_UNAVAILABLE.into()),
@@ -297,7 +302,7 @@
     }
 }
 
-/// Reads a body; a bad answer of the service is an unknown outcome.
+/// Decodes the body of a response with status 200. Any other status or an invalid body is an unknown outcome.
 fn decode_ok<T: DeserializeOwned>(response: &Response) -> Outcome<T> {
     if response.status != 200 {
         return Outcome::Unknown(format!("status {}", response.status));
@@ -305,12 +310,13 @@
     decode(response)
 }
 
+/// Decodes a response body, whatever the status; an invalid body is an unknown outcome.
 fn decode<T: DeserializeOwned>(response: &Response) -> Outcome<T> {
     match serde_json::from_slice(&response.body) {
         Ok(value) => Outcome::Done(value),
         Err(error) => {
-            tracing::warn!(%error, "the state service's answer cannot be read");
-            Outcome::Unknown(format!("bad answer: {error}"))
+            tracing::warn!(%error, "cannot decode the state service's response");
+            Outcome::Unknown(format!("invalid response body: {error}"))
         }
     }
 }
--- a/crates/dapplecroft-state/src/tests.rs
+++ b/crates/dapplecroft-state/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use dapplecroft_net::Request;
 
-/// Answers every request with an answer that is too large to be taken.
+/// A transport on which the response to every request exceeds the size limit.
 struct OversizedResponses;
 
 #[async_trait::async_trait]
@@ -11,8 +11,8 @@
     }
 }
 
-// Changes that gather while a process hears nothing come in one answer, whatever its
-// size. Asked again from the same revision, it would have been refused for ever.
+// The changes that accumulate while a process is cut off arrive in one watch response of any size. If that
+// response exceeds the limit, repeating the watch from the same revision would fail forever.
 #[tokio::test]
 async fn an_oversized_watch_response_requires_a_relist() {
     let client = StateClient::new(Arc::new(OversizedResponses), "10.2.0.1:2379".into(), 100.0, 10.0);
@@ -20,6 +20,6 @@
     assert_eq!(watched, Outcome::Done(WatchResult::RelistRequired));
     assert!(
         matches!(client.get("dc/leader").await, Outcome::Unknown(_)),
-        "nothing is known of other requests"
+        "for other requests an oversized response is an unknown outcome"
     );
 }
