--- a/crates/dapplecroft-state/src/committer.rs
+++ b/crates/dapplecroft-state/src/committer.rs
@@ -271,11 +271,7 @@
             Outcome::Refused(e) if e.starts_with(STATUS_BAD_REQUEST) && group.len() > 1 => {
                 // The service may have lowered its limits. Nothing was changed, so each update is committed
                 // in a transaction of its own, and only one that is too large by itself is refused.
-                tracing::info!(
-                    units = group.len(),
-                    error = e,
-                    "transaction rejected as invalid; committing its updates separately"
-                );
+                tracing::info!(units = group.len(), error = e, "splitting a rejected transaction");
                 let mut queue = self.lock();
                 for queued in group.into_iter().rev() {
                     queue.push_front(QueuedUpdate { send_alone: true, ..queued });
--- a/crates/dapplecroft-wire/src/cloud.rs
+++ b/crates/dapplecroft-wire/src/cloud.rs
@@ -1,8 +1,8 @@
-//! The cloud's interface.
+//! HTTP interface of the cloud that rents machines.
 
 use serde::{Deserialize, Serialize};
 
-/// Answer to `GET /catalog`.
+/// Response to `GET /catalog`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// All machine types on offer.
@@ -10,22 +10,22 @@
     pub machine_types: Vec<MachineType>,
 }
 
-/// One machine type.
+/// A machine type on offer.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// Name of the machine type.
     pub name: String,
-    /// CPUs of one machine.
+    /// Number of CPUs of one machine.
     pub cpus: f64,
-    /// GPUs of one machine.
+    /// Number of GPUs of one machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory of one machine.
+    /// Memory of one machine, in gigabytes.
     pub memory_gb: f64,
-    /// Room for cached images.
+    /// Size of the machine's image cache, in gigabytes.
     #[serde(default, rename = "local_gb")]
     pub cache_gb: f64,
-    /// Rate at which images are fetched.
+    /// Rate at which a machine fetches images.
     #[serde(default, rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
     /// Price per hour of an ordinary machine.
@@ -34,73 +34,73 @@
     /// Price per hour of a spot machine.
     #[serde(default, rename = "market_price")]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time, in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Zones that offer the type.
+    /// Zones in which the machine type is offered.
     #[serde(default, rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// `POST /rentals`.
+/// Body of `POST /rentals`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request; never used for two different requests.
+    /// Name of the request, which makes it idempotent; must not be used for two different requests.
     #[serde(rename = "charter")]
     pub request: String,
-    /// Machine type.
+    /// Machine type to rent.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which to rent the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether to rent spot machines rather than ordinary ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most 50.
+    /// Number of machines, at most 50.
     pub count: u32,
 }
 
-/// Answer to `POST /rentals`, and the body of `POST /rentals/release`.
+/// Response to `POST /rentals`, and the body of `POST /rentals/release`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names of machines.
+    /// Names of the machines.
     #[serde(rename = "holdings")]
     pub machines: Vec<String>,
 }
 
-/// Answer to `GET /rentals`.
+/// Response to `GET /rentals`: one page of the machine list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines in order of their names.
+    /// Machines, ordered by name.
     #[serde(rename = "holdings")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether there are more machines after this page.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// A machine as the cloud lists it.
+/// An entry of the cloud's machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub id: String,
-    /// Where its worker listens.
+    /// Address at which the machine's worker listens.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(default, rename = "loaners")]
     pub spot: bool,
-    /// `starting`, `running` or `failed`.
+    /// State of the machine: `starting`, `running` or `failed`.
     #[serde(rename = "stage")]
     pub state: String,
-    /// Time since the rental request, when the list was made.
+    /// Seconds from the rental request until the list was generated.
     #[serde(default)]
     pub held_s: f64,
 }
--- a/crates/dapplecroft-wire/src/lib.rs
+++ b/crates/dapplecroft-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The JSON and gRPC formats that dapplecroft speaks. Field names on the wire
-//! follow the protocol; the names in Rust use the field's ordinary terms.
+//! JSON and gRPC message formats of dapplecroft. Field names on the wire follow the protocols; the Rust names
+//! use the usual terms of cluster scheduling.
 //!
-//! Clients of the service can use this crate by itself: it does no I/O.
+//! The crate does no I/O, so clients of the service can use it on its own.
 
 pub mod cloud;
 pub mod settings;
@@ -9,19 +9,19 @@
 pub mod users;
 pub mod workers;
 
-/// The gRPC protocol between the controllers.
+/// The gRPC protocol between the controllers of a cell.
 pub mod peer {
-    // Generated code is not ours to divide.
+    // Generated code cannot be documented or split up.
     #![allow(missing_docs, clippy::unwrap_used, clippy::too_many_lines)]
     tonic::include_proto!("dapplecroft.peer.v1");
 }
 
 /// The gRPC protocol between cells.
 pub mod cells {
-    // Generated code is not ours to divide.
+    // Generated code cannot be documented or split up.
     #![allow(missing_docs, clippy::unwrap_used, clippy::too_many_lines)]
     tonic::include_proto!("dapplecroft.cells.v1");
 }
 
-/// The largest request body that any interface accepts.
+/// Maximum size of a request body on every HTTP interface.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/dapplecroft-wire/src/settings.rs
+++ b/crates/dapplecroft-wire/src/settings.rs
@@ -1,29 +1,29 @@
-//! The settings file that the platform hands over (JSON).
+//! The JSON settings file that the platform provides to each controller.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A controller's settings. Unknown fields are ignored.
+/// Settings of a controller. Unknown fields are ignored.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Settings {
-    /// This node's name.
+    /// Name of this node.
     pub host_name: String,
-    /// This node's zone.
+    /// Zone of this node.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Where users, workers and health checks connect.
+    /// Address to listen on for users, workers and health checks.
     pub listen: SocketAddr,
-    /// Where the other controllers connect.
+    /// Address to listen on for the other controllers.
     #[serde(rename = "back")]
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "members", default)]
     pub peers: Vec<Peer>,
-    /// Outside systems.
+    /// Addresses of external systems.
     #[serde(rename = "external")]
     pub services: Services,
-    /// What is known of the deployment.
+    /// Parameters of the deployment.
     #[serde(rename = "facts")]
     pub params: Params,
 }
@@ -31,137 +31,139 @@
 /// Another controller.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller's node.
     pub host_name: String,
-    /// Where it listens for controllers.
+    /// Address at which the controller listens for other controllers.
     pub endpoint: SocketAddr,
 }
 
-/// Addresses of outside systems.
+/// Addresses of external systems.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
-/// What is known of the deployment.
+/// Parameters of the deployment.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Params {
     /// Number of controllers.
     pub nodes: u32,
-    /// Teams.
+    /// Teams and their quotas.
     pub teams: Vec<Team>,
-    /// The users' aims.
+    /// Service-level objectives of the users.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The workers' timing.
+    /// Timing parameters of the workers.
     pub workers: WorkerParams,
-    /// The state service's limits.
+    /// Limits of the state service.
     pub state: StateParams,
-    /// The cloud's limits.
+    /// Limits of the cloud.
     pub cloud: CloudParams,
-    /// What this process may use.
+    /// Resource limits of this process.
     #[serde(default)]
     pub quota: Quota,
 }
 
-/// A team with its guarantee and its limit; 0 means none.
+/// A team with its guaranteed quota and its quota limit; 0 means that there is none.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs guaranteed.
+    /// Guaranteed quota of CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs at most.
+    /// Quota limit of CPUs.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs guaranteed.
+    /// Guaranteed quota of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs at most.
+    /// Quota limit of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// One aim of the users.
+/// A service-level objective.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Objective {
-    /// `deadline`, `wait`, `finished`, `guarantee`, `price`, `useful`, `makespan` and others.
+    /// Kind of objective: `deadline`, `wait`, `finished`, `guarantee`, `price`, `useful`, `makespan` and
+    /// others.
     pub kind: String,
-    /// The class of jobs that it is about.
+    /// Class of jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time it allows.
+    /// Time within which the objective must be met, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For `up`: the time that a replica has to come up.
+    /// For kind `up`: time that a service replica may take to start, in seconds.
     #[serde(default)]
     pub after_s: Option<f64>,
 }
 
-/// The workers' timing, in seconds.
+/// Timing parameters of the workers, in seconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct WorkerParams {
-    /// Usual interval between reports.
+    /// Usual interval between heartbeats.
     pub report_s: f64,
-    /// How long a worker goes on without an answer.
+    /// Time for which a worker keeps its tasks without a response to its heartbeats.
     pub lease_s: f64,
-    /// How long a cancelled task may remain.
+    /// Time within which the tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
-/// The state service's limits.
+/// Limits of the state service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StateParams {
     /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes per second.
+    /// Changes (puts and deletes) per second.
     pub write_rps: f64,
-    /// Largest value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// What it will be some day, without notice; what is not named stays.
+    /// Limits that the service may switch to at any time, without notice; absent limits stay the same.
     #[serde(default)]
     pub next: Option<FutureStateLimits>,
 }
 
-/// Limits that the state service will have from some moment on.
+/// Limits that the state service will switch to at an unknown time; `None` means that the limit stays the
+/// same.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct FutureStateLimits {
     /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes per second.
+    /// Changes (puts and deletes) per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
-/// Sizes that the state service takes.
+/// Size limits of the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SizeLimits {
-    /// Bytes of a value.
+    /// Maximum size of a value, in bytes.
     pub value: usize,
-    /// Changes of a transaction; conditions are four times as many.
+    /// Maximum number of changes in a transaction; a transaction may have four times as many conditions.
     pub changes: usize,
 }
 
 impl StateParams {
-    /// What it takes now.
+    /// Size limits that apply now.
     pub fn current_limits(&self) -> SizeLimits {
         SizeLimits { value: (self.value_kb * 1024.0) as usize, changes: self.txn_ops }
     }
 
-    /// What it takes now and will take later on: the smaller of both.
+    /// Size limits that hold both now and after the announced change: the lower of the two for each limit.
     pub fn lowest_limits(&self) -> SizeLimits {
         let (now, next) = (self.current_limits(), self.next.clone().unwrap_or_default());
         let value = next.value_kb.map_or(now.value, |kb| (kb * 1024.0) as usize);
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Requests and changes a second, now and (`next`) some day.
+    /// Maximum requests and changes per second. With `next`, the rates that hold after the announced change,
+    /// if these are lower than the current ones.
     pub fn rates(&self, next: bool) -> (f64, f64) {
         let future = self.next.clone().filter(|_| next).unwrap_or_default();
         (
@@ -181,43 +184,44 @@
     }
 }
 
-/// What this process may use of its machine.
+/// Resource limits of this process on its machine.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Quota {
-    /// Sockets that it may have open.
+    /// Maximum number of sockets that the process may have open.
     pub max_connections: usize,
 }
 
 impl Default for Quota {
     fn default() -> Self {
-        // What processes usually may have where nothing is said.
+        // The usual default limit of open files per process, which includes sockets.
         Quota { max_connections: 1024 }
     }
 }
 
-/// The cloud's limits.
+/// Limits of the cloud.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CloudParams {
     /// Requests per second.
     pub rps: f64,
-    /// How late its lists are.
+    /// Time by which the cloud's machine list lags behind its actual state, in seconds.
     pub list_lag_s: f64,
 }
 
-/// The least that a value must hold: the longest description of a job that is
-/// still taken, with room for what is noted of it.
+/// Lower bound for the maximum size of a value: a value must hold the longest job specification that is
+/// accepted, with space for the data that the controller stores with it.
 const MIN_VALUE_KB: f64 = 1.0;
-/// The least number of changes that a transaction must take.
+/// Lower bound for the maximum number of changes in a transaction.
 const MIN_TRANSACTION_CHANGES: f64 = 2.0;
 
-/// Time by which a holder stops before workers' leases would reach past a
-/// cancellation's limit: the drift of two steady clocks over the limit, the
-/// state service's tolerance and a generous step of a starved process.
+/// Safety margin in [`Settings::contact_limit`]: a shard holder stops responding to workers this long before
+/// their leases could outlast the time limit of a cancellation. It covers the drift between two monotonic
+/// clocks, the tolerance of the state service and a long scheduling delay of a process that gets little CPU
+/// time.
 const STATE_CONTACT_MARGIN: Duration = Duration::from_millis(1500);
 
 impl Settings {
-    /// Reads and checks a settings file; the error is one line naming the field.
+    /// Parses and validates a settings file; the error is a single line that names the field.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let settings: Settings = serde_json::from_str(text).map_err(|e| e.to_string())?;
         settings.check()?;
@@ -225,36 +229,36 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let p = &self.params;
+        let params = &self.params;
         if self.host_name.is_empty() {
             return Err("host_name: empty".into());
         }
         if self.peers.iter().any(|m| m.host_name == self.host_name) {
             return Err("members: names this node itself".into());
         }
-        if p.nodes == 0 {
+        if params.nodes == 0 {
             return Err("facts.nodes: must be at least 1".into());
         }
         for (name, value) in [
-            ("facts.workers.report_s", p.workers.report_s),
-            ("facts.workers.lease_s", p.workers.lease_s),
-            ("facts.workers.cancel_s", p.workers.cancel_s),
-            ("facts.state.rps", p.state.rps),
-            ("facts.state.write_rps", p.state.write_rps),
-            ("facts.state.value_kb", p.state.value_kb),
-            ("facts.cloud.rps", p.cloud.rps),
+            ("facts.workers.report_s", params.workers.report_s),
+            ("facts.workers.lease_s", params.workers.lease_s),
+            ("facts.workers.cancel_s", params.workers.cancel_s),
+            ("facts.state.rps", params.state.rps),
+            ("facts.state.write_rps", params.state.write_rps),
+            ("facts.state.value_kb", params.state.value_kb),
+            ("facts.cloud.rps", params.cloud.rps),
         ] {
             if !(value.is_finite() && value > 0.0 && value < 1e9) {
                 return Err(format!("{name}: must be above 0, is {value}"));
             }
         }
-        if !(p.cloud.list_lag_s >= 0.0 && p.cloud.list_lag_s < 1e6) {
+        if !(params.cloud.list_lag_s >= 0.0 && params.cloud.list_lag_s < 1e6) {
             return Err("facts.cloud.list_lag_s: must not be negative".into());
         }
-        if p.state.txn_ops < 4 {
+        if params.state.txn_ops < 4 {
             return Err("facts.state.txn_ops: must be at least 4".into());
         }
-        let next = p.state.next.clone().unwrap_or_default();
+        let next = params.state.next.clone().unwrap_or_default();
         for (name, value, minimum) in [
             ("facts.state.next.rps", next.rps, 1.0),
             ("facts.state.next.write_rps", next.write_rps, 1.0),
@@ -270,7 +274,7 @@
         if self.contact_limit() < Duration::from_secs(1) {
             return Err("facts.workers.cancel_s: leaves no time beyond lease_s".into());
         }
-        for team in &p.teams {
+        for team in &params.teams {
             for (name, value) in [
                 ("cpus", team.cpus),
                 ("cpus_max", team.cpus_max),
@@ -285,29 +289,29 @@
         Ok(())
     }
 
-    /// How long a holder may answer workers after its last confirmed contact
-    /// with the state service: a worker that it answers last keeps its tasks
-    /// for a further `lease_s`, and a cancellation that this node has not heard
-    /// of must have ended them within `cancel_s`.
+    /// How long a shard holder may respond to workers after its last confirmed contact with the state
+    /// service. A worker keeps its tasks for `lease_s` after the last response, and a cancellation that the
+    /// holder has not seen must end the tasks within `cancel_s`; hence the difference of the two, less clock
+    /// drift and a margin.
     pub fn contact_limit(&self) -> Duration {
-        let w = &self.params.workers;
-        let drift = w.cancel_s * 0.002;
-        Duration::try_from_secs_f64(w.cancel_s - w.lease_s - drift)
+        let workers = &self.params.workers;
+        let drift = workers.cancel_s * 0.002;
+        Duration::try_from_secs_f64(workers.cancel_s - workers.lease_s - drift)
             .unwrap_or(Duration::ZERO)
             .saturating_sub(STATE_CONTACT_MARGIN)
     }
 
-    /// The workers' reporting interval.
+    /// Interval between a worker's heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.report_s)
     }
 
-    /// Whether the users' aims name services that have to be up.
+    /// Whether an objective requires services to be up.
     pub fn expects_services(&self) -> bool {
         self.params.objectives.iter().any(|o| o.kind == "up")
     }
 
-    /// The strictest time within which jobs of `class` should be finished.
+    /// Shortest time, in seconds, within which an objective requires jobs of `class` to be finished.
     pub fn finished_within(&self, class: &str) -> Option<f64> {
         let objectives = self.params.objectives.iter();
         objectives
--- a/crates/dapplecroft-wire/src/state.rs
+++ b/crates/dapplecroft-wire/src/state.rs
@@ -1,31 +1,31 @@
-//! The state service's interface.
+//! HTTP interface of the state service.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision at which the key was last changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// Answer to a listing.
+/// Response to a list request: one page of keys.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Keys in order.
+    /// Items, ordered by key.
     pub items: Vec<Item>,
-    /// Whether more follow.
+    /// Whether there are more items after this page.
     #[serde(default)]
     pub truncated: bool,
-    /// The service's revision.
+    /// Revision of the service at the time of the response.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -36,12 +36,12 @@
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The version that it must have.
+    /// Version that the key must have.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One change of a transaction.
+/// A change in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -50,10 +50,10 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// Its value.
+        /// New value of the key.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease that it hangs on, if any.
+        /// Lease that the key is attached to, if any; the key is removed when the lease ends.
         #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -66,7 +66,7 @@
 }
 
 impl Change {
-    /// The key that is changed.
+    /// Key that is written or removed.
     pub fn key(&self) -> &str {
         match self {
             Change::Set { key, .. } | Change::Drop { key } => key,
@@ -74,60 +74,60 @@
     }
 }
 
-/// `POST /multi`.
+/// Body of `POST /multi`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions, all of which must hold.
+    /// Conditions that must all hold for the changes to be made.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Changes, made together or not at all.
+    /// Changes that are made together or not at all.
     #[serde(rename = "then", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
 
-/// Answer to a transaction, and to reading a key that does not exist.
+/// Response to a transaction, and to a read of a key that does not exist.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// The keys whose conditions failed.
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// The service's revision.
+    /// Revision of the service at the time of the response.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
 }
 
-/// Answer to a new lease.
+/// Response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantResponse {
-    /// The lease's number.
+    /// Number of the new lease.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
 
-/// Answer to a watch.
+/// Response to a watch request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which every change is in the answer.
+    /// Revision up to which the response contains every change.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes.
+    /// Changes since the requested revision.
     #[serde(default)]
     pub log: Vec<WatchEvent>,
 }
 
-/// One change seen by a watch.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The key, if it was written.
+    /// Key that was written; absent if the change removed a key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub set: Option<String>,
-    /// The key, if it was removed.
+    /// Key that was removed; absent if the change wrote a key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drop: Option<String>,
-    /// The value written.
+    /// Value that was written.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<Value>,
-    /// The revision of the change.
+    /// Revision of the change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
--- a/crates/dapplecroft-wire/src/users.rs
+++ b/crates/dapplecroft-wire/src/users.rs
@@ -1,142 +1,141 @@
-//! The users' interface.
+//! HTTP interface for users, who submit and cancel jobs.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// How urgent a job is; the order is that of precedence.
+/// Priority of a job. The derived order puts higher priorities first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Before all others.
+    /// Goes before all other jobs.
     Critical,
-    /// Urgent.
+    /// Goes before normal and low jobs.
     Urgent,
-    /// Ordinary.
+    /// Priority of ordinary jobs.
     Normal,
-    /// When nothing else needs the room.
+    /// Runs only when no other job needs the resources.
     Low,
 }
 
-/// A job as its user submits it.
+/// Specification of a job, as submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Unique id, chosen by the user.
     pub id: String,
-    /// The class of jobs it belongs to.
+    /// Class of jobs that the job belongs to.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The team it counts against.
+    /// Team whose quota the job is charged to.
     #[serde(rename = "crew")]
     pub team: String,
-    /// [`SWEEP`] or [`SERVICE`].
+    /// Kind of the job: [`SWEEP`] or [`SERVICE`].
     #[serde(rename = "form")]
     pub kind: String,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks of the job.
     #[serde(rename = "shares")]
     pub tasks: u32,
-    /// CPUs per task.
+    /// CPUs that each task needs.
     pub cpus: f64,
-    /// GPUs per task.
+    /// GPUs that each task needs.
     pub gpus: f64,
-    /// Memory per task.
+    /// Memory that each task needs, in gigabytes.
     pub memory_gb: f64,
-    /// Image that a machine needs first.
+    /// Image that a machine must fetch before it can run a task.
     #[serde(rename = "bundle", default, skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// Its size.
+    /// Size of the image, in gigabytes.
     #[serde(default)]
     pub image_gb: f64,
-    /// Allowed machine types.
+    /// Allowed machine types; `None` allows every type.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows every zone.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "same_place", default)]
     pub one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may run in the same zone.
     #[serde(rename = "apart", default)]
     pub spread: bool,
-    /// Whether spot machines are allowed.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "reckon_s")]
     pub estimate_s: f64,
-    /// Interval between checkpoints, 0 for none.
+    /// Interval between a task's checkpoints, in seconds; 0 if it makes none.
     #[serde(rename = "mark_s", default)]
     pub checkpoint_s: f64,
-    /// Time needed to save.
+    /// Time that a task needs to save its progress, in seconds.
     #[serde(rename = "stow_s", default)]
     pub save_s: f64,
-    /// When the job should be complete, measured from its submission.
+    /// Time from submission within which the job should be complete, in seconds.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// A job's state as users see it.
+/// State of a job, as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// No task runs.
+    /// No task of the job runs.
     Queued,
-    /// Some task runs.
+    /// At least one task runs.
     Running,
     /// All tasks completed.
     Done,
-    /// Cancelled by its user.
+    /// The user cancelled the job.
     Withdrawn,
 }
 
-/// Answer about a job.
+/// Response to a request about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job's id.
+    /// Id of the job.
     pub id: String,
-    /// Its state.
+    /// State of the job.
     pub stage: Stage,
-    /// Completed tasks.
+    /// Number of completed tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Running tasks.
+    /// Number of running tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// Body of an answer that is not a success.
+/// Body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What was wrong, in a few words.
+    /// Short description of the error.
     pub error: String,
 }
 
-/// The most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// The form of jobs whose tasks each run to completion.
+/// Kind of jobs whose tasks each run to completion.
 pub const SWEEP: &str = "sweep";
-/// The form of jobs whose tasks, their replicas, run until they are withdrawn.
+/// Kind of jobs whose tasks are service replicas, which run until the job is cancelled.
 pub const SERVICE: &str = "service";
 
-/// Whether `id` has the form that every job id has: `run-` and digits.
+/// Whether `id` is a valid job id: `run-` followed by 1 to 40 digits.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix("run-")
         .is_some_and(|rest| (1..=40).contains(&rest.len()) && rest.bytes().all(|b| b.is_ascii_digit()))
 }
 
 impl JobSpec {
-    /// Whether its tasks are replicas that run until the job is withdrawn.
+    /// Whether the job's tasks are service replicas, which run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.kind == SERVICE
     }
 
-    /// Reads a submission and checks every field, so that what is wrong can be
-    /// told to the user in a few words. Only what may be null may be missing:
-    /// allowed types, zone and deadline.
+    /// Parses a submission and validates every field; the error is a short text for the user that names the
+    /// invalid field. Only nullable fields may be missing: allowed machine types, zone and deadline.
     pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
         let value: Value = serde_json::from_slice(body).map_err(|_| "not JSON".to_string())?;
         let Value::Object(fields) = value else { return Err("not an object".into()) };
--- a/crates/dapplecroft-wire/src/users/tests.rs
+++ b/crates/dapplecroft-wire/src/users/tests.rs
@@ -56,8 +56,8 @@
     assert_eq!(JobSpec::parse(b"{").unwrap_err(), "not JSON");
 }
 
-// Some fields were taken for false or 0 when they were missing: a job was accepted
-// that its user had not described.
+// Guards against accepting an incomplete submission: missing fields were once read as false or 0, so the job
+// that ran was not the one that its user meant.
 #[test]
 fn only_nullable_fields_may_be_missing() {
     let all = valid_submission();
--- a/crates/dapplecroft-wire/src/workers.rs
+++ b/crates/dapplecroft-wire/src/workers.rs
@@ -1,35 +1,36 @@
-//! The workers' interface.
+//! HTTP interface between workers and controllers.
 
 use serde::{Deserialize, Serialize};
 
-/// A worker's report: the body of `POST /hello`, and what a worker answers.
+/// A worker's heartbeat: the body of `POST /hello`, and the worker's response to `POST /do` and `GET
+/// /status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "holding")]
     pub machine: String,
-    /// Where the worker listens.
+    /// Address at which the worker listens.
     #[serde(default)]
     pub address: String,
-    /// The machine's type.
+    /// Machine type.
     #[serde(rename = "hull", default)]
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "yard", default)]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Number of the worker's session.
+    /// Number of the worker's session: one lease period of the worker.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// Number of the message within the worker's life.
+    /// Sequence number of the heartbeat, counted since the worker's start.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "warrant", default)]
     pub token: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the machine, if it has announced this.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
@@ -37,11 +38,10 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What of a report says whether it can be taken: its other fields are passed
-/// over unread.
+/// The fields of a [`Heartbeat`] that decide whether it can be accepted. The other fields are not decoded.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct HeartbeatHead {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "holding")]
     pub machine: String,
     /// The highest fencing token that the worker has seen.
@@ -49,19 +49,19 @@
     pub token: u64,
 }
 
-/// One task in a report.
+/// State of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Job and index, as `run-000412/3`.
+    /// Job id and task index, such as `run-000412/3`.
     #[serde(rename = "share")]
     pub task: String,
-    /// The attempt.
+    /// Number of the task's attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Where it stands.
+    /// State of the task.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Why the task exited, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<ExitReason>,
     /// Whether a stopped task saved its progress.
@@ -69,20 +69,20 @@
     pub saved: Option<bool>,
 }
 
-/// Where a task on a machine stands.
+/// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The machine is fetching the task's image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Runs.
+    /// The task runs.
     Running,
-    /// Was told to stop and is saving.
+    /// The task was told to stop and is saving its progress.
     Saving,
-    /// Ended.
+    /// The task has exited.
     Exited,
-    /// A state that this version does not know; treated as present.
+    /// A state that this version does not know; the task is treated as present on the machine.
     #[serde(other)]
     Other,
 }
@@ -91,17 +91,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     Stopped,
-    /// Failed.
+    /// The task failed.
     Error,
-    /// Refused: the machine has no room.
+    /// The start was refused: the machine has no room for the task.
     Full,
-    /// Refused: the task is there with another attempt.
+    /// The start was refused: another attempt of the task is on the machine.
     InUse,
-    /// Refused: unknown to the worker.
+    /// The start was refused: the worker does not know the task.
     NoSuch,
     /// A reason that this version does not know.
     #[serde(other)]
@@ -112,67 +112,67 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Command {
-    /// Starts a task.
+    /// Starts an attempt of a task.
     Start {
-        /// The task.
+        /// Job id and task index.
         #[serde(rename = "share")]
         task: String,
-        /// The attempt.
+        /// Number of the task's attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stops a task.
+    /// Stops an attempt of a task.
     Kill {
-        /// The task.
+        /// Job id and task index.
         #[serde(rename = "share")]
         task: String,
-        /// The attempt.
+        /// Number of the task's attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that the task may take to save.
+        /// Seconds that the task may take to save its progress.
         #[serde(rename = "respite_s")]
         grace_s: f64,
     },
-    /// Removes an exited task from the reports.
+    /// Removes an exited task from the worker's heartbeats.
     Clear {
-        /// The task.
+        /// Job id and task index.
         #[serde(rename = "share")]
         task: String,
-        /// The attempt.
+        /// Number of the task's attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to an accepted report.
+/// Response to an accepted heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The fencing token.
+    /// Fencing token of the controller that sends the commands; the worker rejects lower ones.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// Commands, executed in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// `POST /do`.
+/// Body of `POST /do`: commands sent to a worker without waiting for its next heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The fencing token.
+    /// Fencing token of the controller that sends the commands; the worker rejects lower ones.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// The session that the commands are meant for.
+    /// Worker session for which the commands are meant.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// Commands, executed in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of a 421.
+/// Body of a response with status 421, which refers a worker to another controller.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The node to report to.
+    /// Controller to which the worker must send its heartbeats, if known.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
