--- a/crates/dapplecroft/src/admission_command/tests.rs
+++ b/crates/dapplecroft/src/admission_command/tests.rs
@@ -2,7 +2,7 @@
 use dapplecroft_wire::peer::{ControllerCredit, TeamAdmission};
 
 #[test]
-fn limit_controllers_and_teams_are_told_line_by_line() {
+fn summary_has_lines_for_limit_controllers_and_teams() {
     let controller = ControllerCredit {
         host: "crofter-0".into(),
         epoch: 7,
@@ -26,7 +26,7 @@
         teams: vec![team],
         unreadable: 0,
     };
-    let text = summary_lines(&reply);
+    let text = format_summary(&reply);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines[0], "a submission needs credit; this controller leads");
     assert!(lines[1].contains("limit 100 ") && lines[1].contains("60 outstanding in 4 jobs"), "{}", lines[1]);
--- a/crates/dapplecroft/src/cells_command/tests.rs
+++ b/crates/dapplecroft/src/cells_command/tests.rs
@@ -2,7 +2,7 @@
 use dapplecroft_wire::peer::{AwayJob, OtherCell};
 
 #[test]
-fn what_is_away_and_who_was_heard_is_told_line_by_line() {
+fn summary_and_away_jobs_have_one_line_per_cell_and_job() {
     let other = |name: &str, incarnation, away_jobs| OtherCell {
         name: name.into(),
         incarnation,
@@ -27,9 +27,9 @@
         others: vec![other("b", 4, 1), other("c", 0, 0)],
         away: vec![away],
     };
-    let lines: Vec<String> = summary_lines(&reply).lines().map(str::to_string).collect();
+    let lines: Vec<String> = format_summary(&reply).lines().map(str::to_string).collect();
     assert_eq!(lines[0], "a#1: this controller leads; it offers no jobs");
     assert!(lines[1].starts_with("b: #4, heard 1.5 s ago; 1 of our jobs are away there"), "{}", lines[1]);
     assert!(lines[2].starts_with("c: not heard;"), "{}", lines[2]);
-    assert_eq!(away_lines(&reply), "run-7 at b#4 by transfer 99: not heard of, to be cancelled\n");
+    assert_eq!(format_away_jobs(&reply), "run-7 at b#4 by transfer 99: not heard of, to be cancelled\n");
 }
--- a/crates/dapplecroft/src/cells.rs
+++ b/crates/dapplecroft/src/cells_grpc.rs
@@ -15,57 +15,57 @@
 
 /// How long one controller of another cell may take. Several may have to be asked until
 /// the leader is found.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Connections of other cells' controllers that are kept open, each with few requests.
-const MAX_STREAMS: u32 = 4;
+const MAX_STREAMS_PER_CONNECTION: u32 = 4;
 /// What a refusal says of an incarnation that has been replaced, since no status code
 /// tells it from others.
-const OUTDATED: &str = "the sender's incarnation is outdated";
-const OTHER_CELL: &str = "another cell or incarnation";
+const OUTDATED_SENDER_MESSAGE: &str = "the sender's incarnation is outdated";
+const OTHER_CELL_MESSAGE: &str = "another cell or incarnation";
 
 #[derive(Default)]
-struct Known {
+struct ConnectionCache {
     channels: HashMap<SocketAddr, Channel>,
     /// Which endpoint last answered as its cell's leader.
-    leaders: HashMap<String, SocketAddr>,
+    leader_endpoints: HashMap<String, SocketAddr>,
 }
 
 /// Asks other cells; connections are made when first needed.
 #[derive(Default)]
 pub struct GrpcCells {
-    known: Mutex<Known>,
+    connections: Mutex<ConnectionCache>,
 }
 
 impl GrpcCells {
     fn client(&self, endpoint: SocketAddr) -> Option<CellsClient<Channel>> {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(channel) = known.channels.get(&endpoint) {
-            return Some(client_of(channel.clone()));
+        let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(channel) = connections.channels.get(&endpoint) {
+            return Some(client_on_channel(channel.clone()));
         }
         let address = Endpoint::from_shared(format!("http://{endpoint}")).ok()?;
-        let channel = address.connect_timeout(CONNECT_TIMEOUT).timeout(TIMEOUT).connect_lazy();
-        known.channels.insert(endpoint, channel.clone());
-        Some(client_of(channel))
+        let channel = address.connect_timeout(CONNECT_TIMEOUT).timeout(EXCHANGE_TIMEOUT).connect_lazy();
+        connections.channels.insert(endpoint, channel.clone());
+        Some(client_on_channel(channel))
     }
 
     /// A cell's endpoints, the one first that last answered as leader.
     fn endpoints(&self, peer: &PeerCell) -> Vec<SocketAddr> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let leader = known.leaders.get(&peer.name).copied();
+        let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        let leader = connections.leader_endpoints.get(&peer.name).copied();
         let mut endpoints = peer.endpoints.clone();
         endpoints.sort_by_key(|endpoint| Some(*endpoint) != leader);
         endpoints
     }
 
-    fn note_leader(&self, peer: &PeerCell, endpoint: SocketAddr) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.leaders.insert(peer.name.clone(), endpoint);
+    fn remember_leader(&self, peer: &PeerCell, endpoint: SocketAddr) {
+        let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        connections.leader_endpoints.insert(peer.name.clone(), endpoint);
     }
 }
 
-fn client_of(channel: Channel) -> CellsClient<Channel> {
+fn client_on_channel(channel: Channel) -> CellsClient<Channel> {
     CellsClient::new(channel).max_decoding_message_size(MAX_MESSAGE).max_encoding_message_size(MAX_MESSAGE)
 }
 
@@ -76,22 +76,22 @@
         peer: &PeerCell,
         request: ExchangeRequest,
     ) -> Result<ExchangeReply, ExchangeError> {
-        let mut last = ExchangeError::Unreachable;
+        let mut last_error = ExchangeError::Unreachable;
         for endpoint in self.endpoints(peer) {
             let Some(mut client) = self.client(endpoint) else { continue };
-            match tokio::time::timeout(TIMEOUT, client.exchange(request.clone())).await {
+            match tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(request.clone())).await {
                 Ok(Ok(reply)) => {
-                    self.note_leader(peer, endpoint);
+                    self.remember_leader(peer, endpoint);
                     return Ok(reply.into_inner());
                 }
                 Ok(Err(status)) => match from_status(&status) {
-                    error @ (ExchangeError::NotLeader | ExchangeError::Unreachable) => last = error,
+                    error @ (ExchangeError::NotLeader | ExchangeError::Unreachable) => last_error = error,
                     error => return Err(error),
                 },
-                Err(_) => last = ExchangeError::Unreachable,
+                Err(_) => last_error = ExchangeError::Unreachable,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
@@ -101,8 +101,8 @@
         ExchangeError::NotLeader => Status::failed_precondition(text),
         ExchangeError::OtherVersion => Status::unimplemented(text),
         ExchangeError::Unlisted => Status::permission_denied(text),
-        ExchangeError::OtherCell => Status::aborted(OTHER_CELL),
-        ExchangeError::OutdatedSender => Status::aborted(OUTDATED),
+        ExchangeError::OtherCell => Status::aborted(OTHER_CELL_MESSAGE),
+        ExchangeError::OutdatedSender => Status::aborted(OUTDATED_SENDER_MESSAGE),
         ExchangeError::Malformed(_) => Status::invalid_argument(text),
         ExchangeError::Busy => Status::resource_exhausted(text),
         ExchangeError::Unreachable => Status::unavailable(text),
@@ -114,7 +114,7 @@
         Code::FailedPrecondition => ExchangeError::NotLeader,
         Code::Unimplemented => ExchangeError::OtherVersion,
         Code::PermissionDenied => ExchangeError::Unlisted,
-        Code::Aborted if status.message() == OUTDATED => ExchangeError::OutdatedSender,
+        Code::Aborted if status.message() == OUTDATED_SENDER_MESSAGE => ExchangeError::OutdatedSender,
         Code::Aborted => ExchangeError::OtherCell,
         Code::InvalidArgument | Code::OutOfRange => ExchangeError::Malformed(status.message().to_string()),
         Code::ResourceExhausted => ExchangeError::Busy,
@@ -128,8 +128,8 @@
 #[tonic::async_trait]
 impl CellsProtocol for CellService {
     async fn exchange(&self, request: Request<ExchangeRequest>) -> Result<Response<ExchangeReply>, Status> {
-        let from = request.remote_addr().ok_or_else(|| Status::permission_denied("no address"))?;
-        let reply = self.0.answer_exchange(from.ip(), request.into_inner()).await;
+        let sender = request.remote_addr().ok_or_else(|| Status::permission_denied("no address"))?;
+        let reply = self.0.answer_exchange(sender.ip(), request.into_inner()).await;
         reply.map(Response::new).map_err(|error| to_status(&error))
     }
 }
@@ -141,7 +141,8 @@
     let service = CellsServer::new(CellService(node))
         .max_decoding_message_size(MAX_MESSAGE)
         .max_encoding_message_size(MAX_MESSAGE);
-    let mut server = Server::builder().timeout(TIMEOUT * 2).max_concurrent_streams(MAX_STREAMS);
+    let mut server =
+        Server::builder().timeout(EXCHANGE_TIMEOUT * 2).max_concurrent_streams(MAX_STREAMS_PER_CONNECTION);
     server.add_service(service).serve(listen).await
 }
 
--- a/crates/dapplecroft/src/cells/tests.rs
+++ b/crates/dapplecroft/src/cells_grpc/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_refusal_is_told_apart_on_the_wire() {
+fn exchange_errors_survive_the_conversion_to_a_grpc_status_and_back() {
     for error in [
         ExchangeError::Unreachable,
         ExchangeError::NotLeader,
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn the_endpoint_that_answered_as_leader_is_asked_first() {
+fn endpoint_that_last_answered_as_leader_is_tried_first() {
     let endpoints: Vec<SocketAddr> =
         ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].iter().map(|text| text.parse().unwrap()).collect();
     let peer = PeerCell { name: "b".into(), endpoints: endpoints.clone(), networks: Vec::new() };
     let cells = GrpcCells::default();
     assert_eq!(cells.endpoints(&peer), endpoints);
-    cells.note_leader(&peer, endpoints[2]);
+    cells.remember_leader(&peer, endpoints[2]);
     assert_eq!(cells.endpoints(&peer)[0], endpoints[2]);
 }
--- a/crates/dapplecroft/src/peer_client.rs
+++ b/crates/dapplecroft/src/controller_client.rs
@@ -6,11 +6,11 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// How long the controller has to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum PeerError {
+pub enum QueryError {
     /// The controller can't be reached.
     #[error("{0} can't be reached: {1}")]
     Unreachable(SocketAddr, tonic::transport::Error),
@@ -19,17 +19,22 @@
     NoAnswer(SocketAddr, Box<tonic::Status>),
 }
 
-impl PeerError {
+impl QueryError {
     /// A controller's refusal to answer.
-    pub fn no_answer(controller: SocketAddr, status: tonic::Status) -> PeerError {
-        PeerError::NoAnswer(controller, Box::new(status))
+    pub fn no_answer(controller: SocketAddr, status: tonic::Status) -> QueryError {
+        QueryError::NoAnswer(controller, Box::new(status))
     }
 }
 
 /// Connects to a controller.
-pub async fn connect(controller: SocketAddr) -> Result<PeerClient<Channel>, PeerError> {
-    let unreachable = |error| PeerError::Unreachable(controller, error);
+pub async fn connect(controller: SocketAddr) -> Result<PeerClient<Channel>, QueryError> {
+    let unreachable = |error| QueryError::Unreachable(controller, error);
     let endpoint = Endpoint::from_shared(format!("http://{controller}")).map_err(unreachable)?;
-    let channel = endpoint.connect_timeout(TIMEOUT).timeout(TIMEOUT).connect().await.map_err(unreachable)?;
+    let channel = endpoint
+        .connect_timeout(QUERY_TIMEOUT)
+        .timeout(QUERY_TIMEOUT)
+        .connect()
+        .await
+        .map_err(unreachable)?;
     Ok(PeerClient::new(channel))
 }
--- a/crates/dapplecroft/src/http.rs
+++ b/crates/dapplecroft/src/http.rs
@@ -1,6 +1,6 @@
 //! Users, workers and health checks over HTTP.
 
-use crate::front::{FrontAcceptor, Gate};
+use crate::http_connections::{ReadThrottle, ThrottledAcceptor};
 use dapplecroft_controller::{Node, Reply};
 use dapplecroft_net::Sockets;
 use dapplecroft_wire::MAX_BODY;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-struct Front {
+struct HttpEndpoint {
     node: Arc<Node>,
     sockets: Arc<Sockets>,
 }
 
-impl Endpoint for Front {
+impl Endpoint for HttpEndpoint {
     type Output = Response;
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
@@ -33,10 +33,10 @@
             },
         };
         // A worker that is sent away leaves this node, so its socket is free.
-        let leaves = path == "/hello" && reply.status != 200;
+        let worker_rejected = path == "/hello" && reply.status != 200;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut builder = Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
-        if leaves || self.sockets.scarce() {
+        if worker_rejected || self.sockets.scarce() {
             builder = builder.header(header::CONNECTION, "close");
         }
         if let Some(seconds) = reply.retry_after {
@@ -48,12 +48,12 @@
 
 /// Serves until the process ends.
 pub async fn serve(node: Arc<Node>, sockets: Arc<Sockets>, address: SocketAddr) -> std::io::Result<()> {
-    let gate = Arc::new(Gate::default());
+    let throttle = Arc::new(ReadThrottle::default());
     let listener = TcpListener::bind(address).into_acceptor().await?;
-    let acceptor = FrontAcceptor::new(listener, gate.clone(), sockets.clone());
-    let front = Front { node, sockets };
+    let acceptor = ThrottledAcceptor::new(listener, throttle.clone(), sockets.clone());
+    let endpoint = HttpEndpoint { node, sockets };
     tokio::select! {
-        result = Server::new_with_acceptor(acceptor).run(front) => result,
-        () = gate.run() => Ok(()),
+        result = Server::new_with_acceptor(acceptor).run(endpoint) => result,
+        () = throttle.run() => Ok(()),
     }
 }
--- a/crates/dapplecroft/src/front.rs
+++ b/crates/dapplecroft/src/http_connections.rs
@@ -21,20 +21,20 @@
 use tokio::sync::Notify;
 
 /// Connections that are read in one round.
-const ROUND: usize = 12;
+const TURNS_PER_ROUND: usize = 12;
 /// Pause after a connection could not be accepted: trying again at once would
 /// use up the processor for as long as sockets are short.
-const REFUSED_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Whether a connection waits for its turn, or has it.
 #[derive(Debug, Default)]
-struct Turn(AtomicU8);
+struct ReadTurn(AtomicU8);
 
 const IDLE: u8 = 0;
 const QUEUED: u8 = 1;
 const GRANTED: u8 = 2;
 
-impl Turn {
+impl ReadTurn {
     fn is(&self, state: u8) -> bool {
         self.0.load(Ordering::Relaxed) == state
     }
@@ -45,100 +45,100 @@
 }
 
 /// How often a line says that connections were closed for want of sockets.
-const TELL_EVERY: Duration = Duration::from_secs(10);
+const SHED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Default)]
-struct Turns {
+struct RoundState {
     /// How many may still go in this round.
-    left: usize,
-    waiting: VecDeque<(Waker, Arc<Turn>)>,
+    turns_left: usize,
+    queue: VecDeque<(Waker, Arc<ReadTurn>)>,
 }
 
 /// Lets a few go at a time.
 #[derive(Debug, Default)]
-pub struct Gate {
-    turns: Mutex<Turns>,
-    wake: Notify,
+pub struct ReadThrottle {
+    state: Mutex<RoundState>,
+    turn_requested: Notify,
 }
 
-impl Gate {
+impl ReadThrottle {
     /// Waits for a turn; it lasts until whoever has it gives it back.
-    fn poll_turn(&self, cx: &Context<'_>, turn: &Arc<Turn>) -> Poll<()> {
+    fn poll_turn(&self, cx: &Context<'_>, turn: &Arc<ReadTurn>) -> Poll<()> {
         if turn.is(GRANTED) {
             return Poll::Ready(());
         }
-        let mut turns = self.lock();
-        if turns.left > 0 && turns.waiting.is_empty() {
-            turns.left -= 1;
+        let mut state = self.lock();
+        if state.turns_left > 0 && state.queue.is_empty() {
+            state.turns_left -= 1;
             turn.set(GRANTED);
-            self.wake.notify_one();
+            self.turn_requested.notify_one();
             return Poll::Ready(());
         }
         if turn.is(QUEUED) {
-            let own = turns.waiting.iter_mut().find(|(_, own)| Arc::ptr_eq(own, turn));
+            let own = state.queue.iter_mut().find(|(_, own)| Arc::ptr_eq(own, turn));
             own.into_iter().for_each(|(waker, _)| waker.clone_from(cx.waker()));
         } else {
             turn.set(QUEUED);
-            turns.waiting.push_back((cx.waker().clone(), turn.clone()));
+            state.queue.push_back((cx.waker().clone(), turn.clone()));
         }
-        self.wake.notify_one();
+        self.turn_requested.notify_one();
         Poll::Pending
     }
 
     /// Grants turns, round after round, for ever.
     pub async fn run(&self) {
         loop {
-            if self.round() {
+            if self.start_round() {
                 // All that is ready now goes first, and so does what has arrived.
                 tokio::task::yield_now().await;
             } else {
                 // Nobody waits and nobody goes: no need for rounds.
-                self.wake.notified().await;
+                self.turn_requested.notified().await;
             }
         }
     }
 
     /// Begins a round; returns whether anybody has a turn in it.
-    fn round(&self) -> bool {
-        let mut turns = self.lock();
-        turns.left = ROUND;
-        while turns.left > 0
-            && let Some((waker, turn)) = turns.waiting.pop_front()
+    fn start_round(&self) -> bool {
+        let mut state = self.lock();
+        state.turns_left = TURNS_PER_ROUND;
+        while state.turns_left > 0
+            && let Some((waker, turn)) = state.queue.pop_front()
         {
-            turns.left -= 1;
+            state.turns_left -= 1;
             turn.set(GRANTED);
             waker.wake();
         }
-        turns.left < ROUND
+        state.turns_left < TURNS_PER_ROUND
     }
 
-    fn lock(&self) -> MutexGuard<'_, Turns> {
-        self.turns.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, RoundState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Accepts connections, counts them and has them read in rounds.
-pub struct FrontAcceptor {
+pub struct ThrottledAcceptor {
     inner: TcpAcceptor,
-    gate: Arc<Gate>,
+    throttle: Arc<ReadThrottle>,
     sockets: Arc<Sockets>,
-    told: Option<Instant>,
+    last_shed_log: Option<Instant>,
 }
 
-impl FrontAcceptor {
+impl ThrottledAcceptor {
     /// Accepts from a listener.
-    pub fn new(inner: TcpAcceptor, gate: Arc<Gate>, sockets: Arc<Sockets>) -> Self {
-        FrontAcceptor { inner, gate, sockets, told: None }
+    pub fn new(inner: TcpAcceptor, throttle: Arc<ReadThrottle>, sockets: Arc<Sockets>) -> Self {
+        ThrottledAcceptor { inner, throttle, sockets, last_shed_log: None }
     }
 
     /// Says now and then how many connections found no room.
-    fn tell_shed(&mut self) {
-        if self.told.is_none_or(|at| at.elapsed() > TELL_EVERY) {
-            self.told = Some(Instant::now());
-            let shed = self.sockets.take_shed();
-            if shed > 0 {
+    fn log_shed_connections(&mut self) {
+        if self.last_shed_log.is_none_or(|at| at.elapsed() > SHED_LOG_INTERVAL) {
+            self.last_shed_log = Some(Instant::now());
+            let closed = self.sockets.take_shed();
+            if closed > 0 {
                 tracing::warn!(
-                    shed,
+                    shed = closed,
                     open = self.sockets.count(),
                     "connections found no room and were closed"
                 );
@@ -147,29 +147,31 @@
     }
 }
 
-impl Acceptor for FrontAcceptor {
-    type Io = FrontStream;
+impl Acceptor for ThrottledAcceptor {
+    type Io = ThrottledStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         self.inner.local_addr()
     }
 
-    async fn accept(&mut self) -> io::Result<(FrontStream, LocalAddr, RemoteAddr, poem::http::uri::Scheme)> {
+    async fn accept(
+        &mut self,
+    ) -> io::Result<(ThrottledStream, LocalAddr, RemoteAddr, poem::http::uri::Scheme)> {
         loop {
             let (io, local, remote, scheme) = match self.inner.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
                     tracing::debug!(%error, "a connection cannot be accepted");
-                    tokio::time::sleep(REFUSED_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             // One that there is no room for is closed at once: whoever made it
             // tries another node.
-            self.tell_shed();
+            self.log_shed_connections();
             if let Some(socket) = self.sockets.open() {
-                let (gate, turn) = (self.gate.clone(), Arc::default());
-                let stream = FrontStream { io, gate, turn, _socket: socket };
+                let (throttle, turn) = (self.throttle.clone(), Arc::default());
+                let stream = ThrottledStream { io, throttle, turn, _socket: socket };
                 return Ok((stream, local, remote, scheme));
             }
         }
@@ -177,14 +179,14 @@
 }
 
 /// A connection that is read when it is its turn.
-pub struct FrontStream {
+pub struct ThrottledStream {
     io: TcpStream,
-    gate: Arc<Gate>,
-    turn: Arc<Turn>,
+    throttle: Arc<ReadThrottle>,
+    turn: Arc<ReadTurn>,
     _socket: Socket,
 }
 
-impl AsyncRead for FrontStream {
+impl AsyncRead for ThrottledStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -196,20 +198,20 @@
             Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
             Poll::Pending => return Poll::Pending,
         }
-        let me = &mut *self;
-        if me.gate.poll_turn(cx, &me.turn).is_pending() {
+        let this = &mut *self;
+        if this.throttle.poll_turn(cx, &this.turn).is_pending() {
             return Poll::Pending;
         }
-        let read = Pin::new(&mut me.io).poll_read(cx, buffer);
+        let read = Pin::new(&mut this.io).poll_read(cx, buffer);
         if read.is_pending() {
             // All that had come is read: the turn is over.
-            me.turn.set(IDLE);
+            this.turn.set(IDLE);
         }
         read
     }
 }
 
-impl AsyncWrite for FrontStream {
+impl AsyncWrite for ThrottledStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, bytes)
     }
--- a/crates/dapplecroft/src/main.rs
+++ b/crates/dapplecroft/src/main.rs
@@ -1,13 +1,13 @@
 //! The controller program.
 
 mod admission_command;
-mod cells;
 mod cells_command;
-mod front;
-mod grpc;
+mod cells_grpc;
+mod controller_client;
 mod http;
+mod http_connections;
 mod options;
-mod peer_client;
+mod peers_grpc;
 
 use clap::{Parser, Subcommand};
 use dapplecroft_controller::{Node, NodeConfig, Options, PeerService, resolve_admission};
@@ -65,16 +65,16 @@
 }
 
 /// What a process has at least; fewer sockets would be of no use.
-const MIN_SOCKETS: usize = 64;
+const MIN_SOCKET_LIMIT: usize = 64;
 /// After so many steps the program looks at what has arrived and at its timers,
 /// so that what can't wait is not behind all that is ready.
-const STEPS: u32 = 24;
+const EVENT_INTERVAL_TICKS: u32 = 24;
 
 /// Why the program can't start, or ended.
 #[derive(Debug, thiserror::Error)]
-enum Failure {
+enum ProgramError {
     #[error("{0}: {1}")]
-    File(String, std::io::Error),
+    ReadFile(String, std::io::Error),
     #[error("{0}: {1}")]
     Settings(String, String),
     #[error("{0}: {1}")]
@@ -82,17 +82,17 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("peers' interface: {0}")]
-    Grpc(#[from] tonic::transport::Error),
+    PeerServer(#[from] tonic::transport::Error),
     #[error("{0}")]
-    Cells(#[from] cells_command::CellsError),
+    Cells(#[from] cells_command::CellsCommandError),
     #[error("{0}")]
-    Admission(#[from] admission_command::AdmissionError),
+    Admission(#[from] admission_command::AdmissionCommandError),
     #[error("{0}: {1}")]
     AdmissionSettings(String, dapplecroft_admission::SettingsError),
     #[error("a part of the controller ended")]
-    Ended,
+    TaskEnded,
     #[error("{0}")]
-    MustEnd(String),
+    ShutDown(String),
 }
 
 fn main() -> ExitCode {
@@ -101,9 +101,9 @@
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
     let result = match arguments.command {
         Command::Run { options, config } => run(options.as_deref(), &config),
-        Command::Cells { controller, away } => show_cells(controller, away),
-        Command::Admission { controller } => show_admission(controller),
-        Command::Check { file } => check(&file),
+        Command::Cells { controller, away } => show_federation_status(controller, away),
+        Command::Admission { controller } => show_admission_status(controller),
+        Command::Check { file } => check_options(&file),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -114,66 +114,73 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, Failure> {
-    std::fs::read_to_string(path).map_err(|e| Failure::File(path.display().to_string(), e))
+fn read_file(path: &Path) -> Result<String, ProgramError> {
+    std::fs::read_to_string(path).map_err(|error| ProgramError::ReadFile(path.display().to_string(), error))
 }
 
-fn load_options(path: &Path) -> Result<Options, Failure> {
-    options::parse(&read(path)?).map_err(|e| Failure::Options(path.display().to_string(), e))
+fn load_options(path: &Path) -> Result<Options, ProgramError> {
+    options::parse(&read_file(path)?)
+        .map_err(|error| ProgramError::Options(path.display().to_string(), error))
 }
 
-fn run(options: Option<&Path>, config: &Path) -> Result<(), Failure> {
-    let settings =
-        Settings::parse(&read(config)?).map_err(|e| Failure::Settings(config.display().to_string(), e))?;
+fn run(options: Option<&Path>, config: &Path) -> Result<(), ProgramError> {
+    let settings = Settings::parse(&read_file(config)?)
+        .map_err(|error| ProgramError::Settings(config.display().to_string(), error))?;
     let file = options.map_or_else(String::new, |path| path.display().to_string());
     let options = options.map(load_options).transpose()?.unwrap_or_default();
-    resolve_admission(&settings, &options).map_err(|error| Failure::AdmissionSettings(file, error))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().event_interval(STEPS).build()?;
+    resolve_admission(&settings, &options).map_err(|error| ProgramError::AdmissionSettings(file, error))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .event_interval(EVENT_INTERVAL_TICKS)
+        .build()?;
     runtime.block_on(serve(settings, options))
 }
 
-fn check(path: &Path) -> Result<(), Failure> {
-    let text = options::in_force(&read(path)?);
-    println!("{}", text.map_err(|e| Failure::Options(path.display().to_string(), e))?);
+fn check_options(path: &Path) -> Result<(), ProgramError> {
+    let text = options::effective_settings(&read_file(path)?);
+    println!("{}", text.map_err(|error| ProgramError::Options(path.display().to_string(), error))?);
     Ok(())
 }
 
-fn show_admission(controller: SocketAddr) -> Result<(), Failure> {
+fn show_admission_status(controller: SocketAddr) -> Result<(), ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let reply = runtime.block_on(admission_command::ask(controller))?;
-    print!("{}", admission_command::summary_lines(&reply));
+    let reply = runtime.block_on(admission_command::query_controller(controller))?;
+    print!("{}", admission_command::format_summary(&reply));
     Ok(())
 }
 
-fn show_cells(controller: SocketAddr, away: bool) -> Result<(), Failure> {
+fn show_federation_status(controller: SocketAddr, away: bool) -> Result<(), ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let reply = runtime.block_on(cells_command::ask(controller))?;
-    print!("{}", if away { cells_command::away_lines(&reply) } else { cells_command::summary_lines(&reply) });
+    let reply = runtime.block_on(cells_command::query_controller(controller))?;
+    print!(
+        "{}",
+        if away { cells_command::format_away_jobs(&reply) } else { cells_command::format_summary(&reply) }
+    );
     Ok(())
 }
 
-async fn serve(settings: Settings, options: Options) -> Result<(), Failure> {
+async fn serve(settings: Settings, options: Options) -> Result<(), ProgramError> {
     let mut random = rand::rng();
-    let (listen, back) = (settings.listen, settings.peer_listen);
-    let cells_listen = options.federation.as_ref().map(|federation| federation.listen);
-    let sockets = Sockets::new(settings.params.quota.max_connections.max(MIN_SOCKETS));
+    let (listen, peer_listen) = (settings.listen, settings.peer_listen);
+    let federation_listen = options.federation.as_ref().map(|federation| federation.listen);
+    let sockets = Sockets::new(settings.params.quota.max_connections.max(MIN_SOCKET_LIMIT));
     let node = Node::new(NodeConfig {
         settings: Arc::new(settings),
         options,
         identity: format!("{:016x}", random.random::<u64>()),
         transport: Arc::new(TcpTransport::new(sockets.clone())),
-        peers: Arc::new(grpc::GrpcPeers::default()),
-        cells: Arc::new(cells::GrpcCells::default()),
+        peers: Arc::new(peers_grpc::GrpcPeers::default()),
+        cells: Arc::new(cells_grpc::GrpcCells::default()),
         wall_clock: SystemTime::now,
         seed: random.random(),
     });
-    tracing::info!(%listen, %back, "starting");
+    tracing::info!(%listen, back = %peer_listen, "starting");
     // One process does one thing at a time, and all of it ends together.
     tokio::select! {
         result = http::serve(node.clone(), sockets, listen) => result?,
-        result = grpc::serve(PeerService(node.clone()), back) => result?,
-        result = cells::serve(node.clone(), cells_listen) => result?,
+        result = peers_grpc::serve(PeerService(node.clone()), peer_listen) => result?,
+        result = cells_grpc::serve(node.clone(), federation_listen) => result?,
         () = node.run() => {}
     }
-    Err(node.shutdown_reason().map_or(Failure::Ended, Failure::MustEnd))
+    Err(node.shutdown_reason().map_or(ProgramError::TaskEnded, ProgramError::ShutDown))
 }
--- a/crates/dapplecroft/src/options.rs
+++ b/crates/dapplecroft/src/options.rs
@@ -2,11 +2,11 @@
 
 mod admission;
 mod federation;
-mod message;
+mod message_fields;
 
-use dapplecroft_admission::SettingsError as AdmissionError;
+use dapplecroft_admission::SettingsError as AdmissionSettingsError;
 use dapplecroft_controller::Options;
-use dapplecroft_federation::SettingsError;
+use dapplecroft_federation::SettingsError as FederationSettingsError;
 use prost_reflect::text_format::FormatOptions;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor, Value};
 use std::time::Duration;
@@ -19,19 +19,19 @@
     Text(String),
     /// The federation can't be as it is set.
     #[error(transparent)]
-    Federation(#[from] SettingsError),
+    Federation(#[from] FederationSettingsError),
     /// Admission control can't be as it is set.
     #[error(transparent)]
-    Admission(#[from] AdmissionError),
+    Admission(#[from] AdmissionSettingsError),
     /// A value lies outside what its field allows.
-    #[error("{field}: must be from {least} to {most}, is {value}")]
+    #[error("{field}: must be from {min} to {max}, is {value}")]
     Range {
         /// The field.
         field: &'static str,
         /// The least value that is allowed.
-        least: f64,
+        min: f64,
         /// The greatest value that is allowed.
-        most: f64,
+        max: f64,
         /// The value found.
         value: f64,
     },
@@ -40,61 +40,62 @@
 /// The greatest number of machines that a setting may name: far above any fleet.
 const MAX_MACHINES: f64 = 1_000_000.0;
 
-const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/options.bin"));
+const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/options.bin"));
 
-fn description() -> Result<MessageDescriptor, OptionsError> {
-    let pool = DescriptorPool::decode(DESCRIPTORS).map_err(|e| OptionsError::Text(e.to_string()))?;
+fn options_descriptor() -> Result<MessageDescriptor, OptionsError> {
+    let pool =
+        DescriptorPool::decode(DESCRIPTOR_SET).map_err(|error| OptionsError::Text(error.to_string()))?;
     pool.get_message_by_name("dapplecroft.options.v1.Options")
         .ok_or_else(|| OptionsError::Text("no description of the settings".into()))
 }
 
-fn read_message(text: &str) -> Result<DynamicMessage, OptionsError> {
-    DynamicMessage::parse_text_format(description()?, text).map_err(|e| OptionsError::Text(e.to_string()))
+fn parse_message(text: &str) -> Result<DynamicMessage, OptionsError> {
+    DynamicMessage::parse_text_format(options_descriptor()?, text)
+        .map_err(|error| OptionsError::Text(error.to_string()))
 }
 
 /// A number within its bounds, if it is set.
-fn bounded(
-    message: &DynamicMessage,
+fn number_in_range(
+    settings: &DynamicMessage,
     field: &'static str,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<Option<f64>, OptionsError> {
-    if !message.has_field_by_name(field) {
+    if !settings.has_field_by_name(field) {
         return Ok(None);
     }
-    let value = match message.get_field_by_name(field).as_deref() {
+    let value = match settings.get_field_by_name(field).as_deref() {
         Some(Value::F64(value)) => *value,
         Some(Value::U32(value)) => f64::from(*value),
         _ => f64::NAN,
     };
-    if (least..=most).contains(&value) {
+    if (min..=max).contains(&value) {
         Ok(Some(value))
     } else {
-        Err(OptionsError::Range { field, least, most, value })
+        Err(OptionsError::Range { field, min, max, value })
     }
 }
 
 /// Reads and checks operators' settings; what is not set keeps its default.
 pub fn parse(text: &str) -> Result<Options, OptionsError> {
-    let message = read_message(text)?;
-    let number = |field, least, most| bounded(&message, field, least, most);
-    let seconds =
-        |field, least, most| number(field, least, most).map(|value| value.map(Duration::from_secs_f64));
+    let settings = parse_message(text)?;
+    let number = |field, min, max| number_in_range(&settings, field, min, max);
+    let seconds = |field, min, max| number(field, min, max).map(|value| value.map(Duration::from_secs_f64));
     let mut options = Options::default();
-    let set = |target: &mut Duration, value: Option<Duration>| {
+    let set_duration = |target: &mut Duration, value: Option<Duration>| {
         if let Some(value) = value {
             *target = value;
         }
     };
-    set(&mut options.node_lease, seconds("node_lease_s", 1.0, 60.0)?);
-    set(&mut options.shard_lease, seconds("block_lease_s", 2.0, 600.0)?);
-    set(&mut options.drain_interval, seconds("drain_every_s", 1.0, 3600.0)?);
-    set(&mut options.drain_window, seconds("drain_window_s", 1.0, 3600.0)?);
-    set(&mut options.max_preempted_loss, seconds("preempt_limit_s", 0.0, 86400.0)?);
+    set_duration(&mut options.node_lease, seconds("node_lease_s", 1.0, 60.0)?);
+    set_duration(&mut options.shard_lease, seconds("block_lease_s", 2.0, 600.0)?);
+    set_duration(&mut options.drain_interval, seconds("drain_every_s", 1.0, 3600.0)?);
+    set_duration(&mut options.drain_window, seconds("drain_window_s", 1.0, 3600.0)?);
+    set_duration(&mut options.max_preempted_loss, seconds("preempt_limit_s", 0.0, 86400.0)?);
     options.idle_release_after = seconds("idle_return_s", 1.0, 86400.0)?;
     options.drain_max_share = number("drain_trigger", 0.0, 1.0)?.unwrap_or(options.drain_max_share);
-    if let Some(most) = number("max_requests", 1.0, 10000.0)? {
-        options.max_requests = most as usize;
+    if let Some(max_requests) = number("max_requests", 1.0, 10000.0)? {
+        options.max_requests = max_requests as usize;
     }
     if let Some(machines) = number("block_machines", 1.0, MAX_MACHINES)? {
         options.shard_machines = Some(machines as usize);
@@ -102,19 +103,19 @@
     if let Some(machines) = number("standby_machines", 0.0, MAX_MACHINES)? {
         options.standby_machines = machines as usize;
     }
-    options.preempt = message::flag(&message, "preempt").unwrap_or(options.preempt);
+    options.preempt = message_fields::bool_field(&settings, "preempt").unwrap_or(options.preempt);
     options.prefer_cheapest_machines =
-        message::flag(&message, "thrift").unwrap_or(options.prefer_cheapest_machines);
-    options.federation = federation::read(&message)?;
-    options.admission = admission::read(&message)?;
+        message_fields::bool_field(&settings, "thrift").unwrap_or(options.prefer_cheapest_machines);
+    options.federation = federation::parse_federation(&settings)?;
+    options.admission = admission::parse_admission(&settings)?;
     Ok(options)
 }
 
 /// The settings that a file puts in force, in text format: what is not set there with its
 /// default, if it has one that does not hang on the platform.
-pub fn in_force(text: &str) -> Result<String, OptionsError> {
+pub fn effective_settings(text: &str) -> Result<String, OptionsError> {
     let options = parse(text)?;
-    let mut message = read_message(text)?;
+    let mut settings = parse_message(text)?;
     let seconds = |duration: Duration| Some(Value::F64(duration.as_secs_f64()));
     let count = |number: usize| u32::try_from(number).ok().map(Value::U32);
     let fields = [
@@ -133,10 +134,10 @@
     ];
     for (name, value) in fields {
         if let Some(value) = value {
-            message.set_field_by_name(name, value);
+            settings.set_field_by_name(name, value);
         }
     }
-    Ok(message.to_text_format_with_options(&FormatOptions::new().pretty(true)))
+    Ok(settings.to_text_format_with_options(&FormatOptions::new().pretty(true)))
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft/src/options/admission.rs
+++ b/crates/dapplecroft/src/options/admission.rs
@@ -1,34 +1,34 @@
 //! The part of the operators' settings that is about admission control.
 
-use super::message::{float, messages, nested, number, text};
+use super::message_fields::{f64_field, message_field, message_list, string_field, u64_field};
 use dapplecroft_admission::settings::{RawClass, RawTeam};
 use dapplecroft_admission::{RawAdmission, SettingsError};
 use prost_reflect::DynamicMessage;
 
-fn class(message: &DynamicMessage) -> RawClass {
-    RawClass { name: text(message, "name"), weight: float(message, "weight").unwrap_or(0.0) }
+fn parse_class(message: &DynamicMessage) -> RawClass {
+    RawClass { name: string_field(message, "name"), weight: f64_field(message, "weight").unwrap_or(0.0) }
 }
 
-fn team(message: &DynamicMessage) -> RawTeam {
+fn parse_team(message: &DynamicMessage) -> RawTeam {
     RawTeam {
-        name: text(message, "name"),
-        weight: float(message, "weight"),
-        floor: float(message, "floor"),
-        classes: messages(message, "classes").iter().map(class).collect(),
+        name: string_field(message, "name"),
+        weight: f64_field(message, "weight"),
+        floor: f64_field(message, "floor"),
+        classes: message_list(message, "classes").iter().map(parse_class).collect(),
     }
 }
 
 /// Reads what is set of admission control, if anything, and checks what can be checked
 /// without the platform's settings.
-pub(super) fn read(options: &DynamicMessage) -> Result<Option<RawAdmission>, SettingsError> {
-    let Some(message) = nested(options, "admission") else { return Ok(None) };
+pub(super) fn parse_admission(options: &DynamicMessage) -> Result<Option<RawAdmission>, SettingsError> {
+    let Some(message) = message_field(options, "admission") else { return Ok(None) };
     let raw = RawAdmission {
-        work_off_s: float(&message, "work_off_s"),
-        limit_cpu_s: number(&message, "limit_cpu_s"),
-        least_cpus: float(&message, "least_cpus"),
-        max_jobs: number(&message, "max_jobs"),
-        largest_job_cpu_s: number(&message, "largest_job_cpu_s"),
-        teams: messages(&message, "teams").iter().map(team).collect(),
+        work_off_s: f64_field(&message, "work_off_s"),
+        limit_cpu_s: u64_field(&message, "limit_cpu_s"),
+        least_cpus: f64_field(&message, "least_cpus"),
+        max_jobs: u64_field(&message, "max_jobs"),
+        largest_job_cpu_s: u64_field(&message, "largest_job_cpu_s"),
+        teams: message_list(&message, "teams").iter().map(parse_team).collect(),
     };
     raw.check()?;
     Ok(Some(raw))
--- a/crates/dapplecroft/src/options/federation.rs
+++ b/crates/dapplecroft/src/options/federation.rs
@@ -1,32 +1,34 @@
 //! The part of the operators' settings that is about other cells.
 
-use super::message::{flag, float, messages, nested, number, text, texts};
+use super::message_fields::{
+    bool_field, f64_field, message_field, message_list, string_field, string_list, u64_field,
+};
 use dapplecroft_federation::Federation;
 use dapplecroft_federation::settings::{RawFederation, RawPeer, SettingsError};
 use prost_reflect::DynamicMessage;
 
-fn peer(message: &DynamicMessage) -> RawPeer {
+fn parse_peer(message: &DynamicMessage) -> RawPeer {
     RawPeer {
-        name: text(message, "name"),
-        endpoints: texts(message, "endpoints"),
-        networks: texts(message, "networks"),
+        name: string_field(message, "name"),
+        endpoints: string_list(message, "endpoints"),
+        networks: string_list(message, "networks"),
     }
 }
 
 /// Reads and checks the federation, if there is one.
-pub(super) fn read(options: &DynamicMessage) -> Result<Option<Federation>, SettingsError> {
-    let Some(message) = nested(options, "federation") else { return Ok(None) };
+pub(super) fn parse_federation(options: &DynamicMessage) -> Result<Option<Federation>, SettingsError> {
+    let Some(message) = message_field(options, "federation") else { return Ok(None) };
     let raw = RawFederation {
-        cell: text(&message, "cell"),
-        incarnation: number(&message, "incarnation").unwrap_or(0),
-        listen: text(&message, "listen"),
-        peers: messages(&message, "peers").iter().map(peer).collect(),
-        offers: flag(&message, "offers"),
-        spill_after_s: float(&message, "spill_after_s"),
-        return_after_s: float(&message, "return_after_s"),
-        refusal_pause_s: float(&message, "refusal_pause_s"),
-        summary_fresh_s: float(&message, "summary_fresh_s"),
-        visitors_share: float(&message, "visitors_share"),
+        cell: string_field(&message, "cell"),
+        incarnation: u64_field(&message, "incarnation").unwrap_or(0),
+        listen: string_field(&message, "listen"),
+        peers: message_list(&message, "peers").iter().map(parse_peer).collect(),
+        offers: bool_field(&message, "offers"),
+        spill_after_s: f64_field(&message, "spill_after_s"),
+        return_after_s: f64_field(&message, "return_after_s"),
+        refusal_pause_s: f64_field(&message, "refusal_pause_s"),
+        summary_fresh_s: f64_field(&message, "summary_fresh_s"),
+        visitors_share: f64_field(&message, "visitors_share"),
     };
     Federation::check(&raw).map(Some)
 }
--- a/crates/dapplecroft/src/options/tests.rs
+++ b/crates/dapplecroft/src/options/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_set_is_taken_and_the_rest_keeps_its_default() {
+fn settings_in_the_file_apply_and_others_keep_their_defaults() {
     let options = parse("# a note\ndrain_trigger: 0.25 preempt: false\nidle_return_s: 30").unwrap();
     assert_eq!(options.drain_max_share, 0.25);
     assert!(!options.preempt);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn bad_settings_are_refused_by_name() {
+fn invalid_settings_are_rejected_with_the_name_of_the_field() {
     assert_eq!(
         parse("drain_trigger: 1.5").unwrap_err().to_string(),
         "drain_trigger: must be from 0 to 1, is 1.5"
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn machines_of_large_fleets_can_be_named() {
+fn machine_counts_of_large_fleets_are_accepted() {
     let options = parse("block_machines: 4000 standby_machines: 4000").unwrap();
     assert_eq!((options.shard_machines, options.standby_machines), (Some(4000), 4000));
     assert_eq!(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_file_that_switches_the_federation_on_is_accepted() {
+fn federation_example_file_is_accepted() {
     let options = parse(include_str!("../../../../deploy/federation.textproto")).unwrap();
     let federation = options.federation.unwrap();
     assert_eq!(federation.cell.to_string(), "cell-a.example.org#1");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_federation_that_can_not_be_is_refused_by_name() {
+fn invalid_federation_settings_are_rejected_with_the_name_of_the_field() {
     let error = parse("federation { cell: \"a\" listen: \"127.0.0.1:1\" }").unwrap_err();
     assert_eq!(error.to_string(), "federation.incarnation: must be at least 1");
     let peer = "peers { name: \"a\" endpoints: \"10.0.0.1:1\" networks: \"10.0.0.0/8\" }";
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn the_file_that_switches_admission_control_on_is_accepted() {
+fn admission_example_file_is_accepted() {
     let options = parse(include_str!("../../../../deploy/admission.textproto")).unwrap();
     assert!(options.admission.is_some());
     assert_eq!(parse("").unwrap().admission, None);
 }
 
 #[test]
-fn shares_that_can_not_be_are_refused_by_name() {
+fn invalid_admission_settings_are_rejected_with_the_reason() {
     let error = |text: &str| parse(text).unwrap_err().to_string();
     let weight = error("admission { teams { name: \"a\" weight: 0 } }");
     assert!(weight.contains("weight") && weight.contains("is 0"), "{weight}");
@@ -68,10 +68,10 @@
 }
 
 #[test]
-fn the_settings_in_force_are_settings_again() {
+fn printed_effective_settings_parse_to_the_same_options() {
     for text in ["", include_str!("../../../../deploy/admission.textproto")] {
-        let printed = in_force(text).unwrap();
+        let printed = effective_settings(text).unwrap();
         assert_eq!(parse(&printed).unwrap(), parse(text).unwrap(), "{printed}");
-        assert_eq!(in_force(&printed).unwrap(), printed);
+        assert_eq!(effective_settings(&printed).unwrap(), printed);
     }
 }
--- a/crates/dapplecroft/src/grpc.rs
+++ b/crates/dapplecroft/src/peers_grpc.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tonic::transport::{Channel, Endpoint, Server};
 
-const TIMEOUT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 /// A sight that comes later says nothing about now.
-const SIGHT_TIMEOUT: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Asks the other controllers; connections are made when first needed.
 #[derive(Default)]
@@ -31,7 +31,7 @@
             return Some(PeerClient::new(channel.clone()));
         }
         let endpoint = Endpoint::from_shared(format!("http://{}", peer.endpoint)).ok()?;
-        let channel = endpoint.connect_timeout(TIMEOUT).timeout(TIMEOUT).connect_lazy();
+        let channel = endpoint.connect_timeout(REQUEST_TIMEOUT).timeout(REQUEST_TIMEOUT).connect_lazy();
         channels.insert(peer.endpoint, channel.clone());
         Some(PeerClient::new(channel))
     }
@@ -42,37 +42,38 @@
     async fn probe(&self, peer: &Peer, addresses: Vec<String>) -> Option<Vec<String>> {
         let mut client = self.client(peer)?;
         let request = client.probe(ProbeRequest { addresses });
-        let reply = tokio::time::timeout(TIMEOUT, request).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(REQUEST_TIMEOUT, request).await.ok()?.ok()?;
         Some(reply.into_inner().reached)
     }
 
     async fn controller_status(&self, peer: &Peer) -> Option<SightReply> {
         let mut client = self.client(peer)?;
-        let reply = tokio::time::timeout(SIGHT_TIMEOUT, client.sight(SightRequest {})).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(STATUS_TIMEOUT, client.sight(SightRequest {})).await.ok()?.ok()?;
         Some(reply.into_inner())
     }
 
     async fn freed_room(&self, peer: &Peer) -> Option<RoomReply> {
         let mut client = self.client(peer)?;
-        let reply = tokio::time::timeout(SIGHT_TIMEOUT, client.room(RoomRequest {})).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(STATUS_TIMEOUT, client.room(RoomRequest {})).await.ok()?.ok()?;
         Some(reply.into_inner())
     }
 
     async fn forward(&self, peer: &Peer, request: ForwardRequest) -> Option<Reply> {
         let mut client = self.client(peer)?;
-        let reply = tokio::time::timeout(TIMEOUT, client.forward(request)).await.ok()?.ok()?.into_inner();
+        let reply =
+            tokio::time::timeout(REQUEST_TIMEOUT, client.forward(request)).await.ok()?.ok()?.into_inner();
         let status = u16::try_from(reply.status).ok()?;
         Some(Reply { status, body: reply.body, retry_after: reply.retry_after })
     }
 
     async fn demand(&self, peer: &Peer) -> Option<DemandReply> {
         let mut client = self.client(peer)?;
-        let reply = tokio::time::timeout(SIGHT_TIMEOUT, client.demand(DemandRequest {})).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(STATUS_TIMEOUT, client.demand(DemandRequest {})).await.ok()?.ok()?;
         Some(reply.into_inner())
     }
 }
 
 /// Serves the other controllers until the process ends.
 pub async fn serve(service: PeerService, address: SocketAddr) -> Result<(), tonic::transport::Error> {
-    Server::builder().timeout(TIMEOUT * 2).add_service(PeerServer::new(service)).serve(address).await
+    Server::builder().timeout(REQUEST_TIMEOUT * 2).add_service(PeerServer::new(service)).serve(address).await
 }
