--- a/crates/dapplecroft/build.rs
+++ b/crates/dapplecroft/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the operators' settings into a descriptor set.
+//! Compiles `proto/options.proto`, the schema of the operators' settings, into the descriptor set that the
+//! program embeds.
 use prost::Message;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/dapplecroft/src/admission_command.rs
+++ b/crates/dapplecroft/src/admission_command.rs
@@ -1,22 +1,22 @@
-//! `dapplecroft admission`: how admission control stands, for operators.
+//! `dapplecroft admission`: prints the state of admission control for operators.
 
 use crate::controller_client::{self, QueryError};
 use dapplecroft_wire::peer::{AdmissionReply, AdmissionRequest};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Why nothing can be said.
+/// Why the command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionCommandError {
-    /// There is no answer.
+    /// The controller could not be queried.
     #[error(transparent)]
     Query(#[from] QueryError),
-    /// Admission control is off.
+    /// The controller's settings do not enable admission control.
     #[error("{0} takes no part in admission control: its settings have no `admission`")]
     Disabled(SocketAddr),
 }
 
-/// Asks a controller.
+/// Asks a controller for its view of admission control.
 pub async fn query_controller(controller: SocketAddr) -> Result<AdmissionReply, AdmissionCommandError> {
     let mut client = controller_client::connect(controller).await?;
     let reply = client.admission(AdmissionRequest {}).await;
@@ -24,7 +24,7 @@
     if reply.known { Ok(reply) } else { Err(AdmissionCommandError::Disabled(controller)) }
 }
 
-/// The cell in three lines, then one for each controller and each team.
+/// Formats up to three lines for the cell, then one for each controller and each team.
 pub fn format_summary(reply: &AdmissionReply) -> String {
     let mut lines = String::new();
     let credit_status = if reply.in_force { "needs credit" } else { "needs no credit yet" };
--- a/crates/dapplecroft/src/cells_command.rs
+++ b/crates/dapplecroft/src/cells_command.rs
@@ -1,22 +1,22 @@
-//! `dapplecroft cells`: how things stand between cells, for operators.
+//! `dapplecroft cells`: prints the state of the federation (peer cells and handed-over jobs) for operators.
 
 use crate::controller_client::{self, QueryError};
 use dapplecroft_wire::peer::{CellsReply, CellsRequest};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Why nothing can be said.
+/// Why the command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CellsCommandError {
-    /// There is no answer.
+    /// The controller could not be queried.
     #[error(transparent)]
     Query(#[from] QueryError),
-    /// The controller's cell stands alone.
+    /// The controller's cell belongs to no federation.
     #[error("{0} belongs to no federation")]
     NoFederation(SocketAddr),
 }
 
-/// Asks a controller.
+/// Asks a controller for its view of the federation.
 pub async fn query_controller(controller: SocketAddr) -> Result<CellsReply, CellsCommandError> {
     let mut client = controller_client::connect(controller).await?;
     let reply = client.cells(CellsRequest {}).await;
@@ -24,7 +24,7 @@
     if reply.cell.is_empty() { Err(CellsCommandError::NoFederation(controller)) } else { Ok(reply) }
 }
 
-/// One line for this cell, and one for each other.
+/// Formats one line for this cell and one for each peer cell.
 pub fn format_summary(reply: &CellsReply) -> String {
     let mut lines = String::new();
     let role = if reply.leads { "leads" } else { "does not lead: its leader knows more" };
@@ -44,7 +44,7 @@
     lines
 }
 
-/// One line for each job that is away.
+/// Formats one line for each job that this cell has handed over to another cell.
 pub fn format_away_jobs(reply: &CellsReply) -> String {
     let mut lines = String::new();
     for job in &reply.away {
--- a/crates/dapplecroft/src/cells_command/tests.rs
+++ b/crates/dapplecroft/src/cells_command/tests.rs
@@ -1,3 +1,5 @@
+//! Operators' tools parse these lines, so their wording must not change unnoticed.
+
 use super::*;
 use dapplecroft_wire::peer::{AwayJob, OtherCell};
 
--- a/crates/dapplecroft/src/cells_grpc.rs
+++ b/crates/dapplecroft/src/cells_grpc.rs
@@ -1,4 +1,4 @@
-//! The gRPC protocol between cells over TCP.
+//! Client and server of the gRPC protocol between the cells of a federation.
 
 use dapplecroft_controller::cells::MAX_MESSAGE;
 use dapplecroft_controller::{Cells, ExchangeError, Node};
@@ -13,26 +13,29 @@
 use tonic::transport::{Channel, Endpoint, Server};
 use tonic::{Code, Request, Response, Status};
 
-/// How long one controller of another cell may take. Several may have to be asked until
-/// the leader is found.
+/// How long to wait for the reply of one controller of another cell. An exchange may have to try several
+/// controllers until it finds that cell's leader.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may take.
+/// How long to wait for a connection to a controller of another cell.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Connections of other cells' controllers that are kept open, each with few requests.
+/// Maximum number of concurrent requests on one connection from another cell's controller. Such connections
+/// stay open and carry few requests.
 const MAX_STREAMS_PER_CONNECTION: u32 = 4;
-/// What a refusal says of an incarnation that has been replaced, since no status code
-/// tells it from others.
+/// Message of the `ABORTED` status for a sender whose incarnation has been replaced. The client compares it,
+/// because [`ExchangeError::OtherCell`] is sent with the same status code.
 const OUTDATED_SENDER_MESSAGE: &str = "the sender's incarnation is outdated";
+/// Message of the `ABORTED` status for a request addressed to another cell or incarnation.
 const OTHER_CELL_MESSAGE: &str = "another cell or incarnation";
 
+/// What the client remembers about the controllers of other cells.
 #[derive(Default)]
 struct ConnectionCache {
     channels: HashMap<SocketAddr, Channel>,
-    /// Which endpoint last answered as its cell's leader.
+    /// For each cell name, the endpoint that last answered as the cell's leader.
     leader_endpoints: HashMap<String, SocketAddr>,
 }
 
-/// Asks other cells; connections are made when first needed.
+/// Client for the controllers of other cells; opens each connection at its first use.
 #[derive(Default)]
 pub struct GrpcCells {
     connections: Mutex<ConnectionCache>,
@@ -50,7 +53,7 @@
         Some(client_on_channel(channel))
     }
 
-    /// A cell's endpoints, the one first that last answered as leader.
+    /// The endpoints of a cell's controllers, with the one that last answered as leader first.
     fn endpoints(&self, peer: &PeerCell) -> Vec<SocketAddr> {
         let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let leader = connections.leader_endpoints.get(&peer.name).copied();
@@ -122,7 +125,7 @@
     }
 }
 
-/// Answers other cells.
+/// Handles the requests of other cells.
 struct CellService(Arc<Node>);
 
 #[tonic::async_trait]
@@ -134,8 +137,8 @@
     }
 }
 
-/// Serves other cells until the process ends; a controller without a federation has
-/// nothing to serve.
+/// Serves other cells until the process ends. Without a federation there is no address to listen on, and this
+/// never returns.
 pub async fn serve(node: Arc<Node>, listen: Option<SocketAddr>) -> Result<(), tonic::transport::Error> {
     let Some(listen) = listen else { return std::future::pending().await };
     let service = CellsServer::new(CellService(node))
--- a/crates/dapplecroft/src/cells_grpc/tests.rs
+++ b/crates/dapplecroft/src/cells_grpc/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+/// The caller treats each error differently. If two of them were sent as the same status, it could not tell,
+/// for example, an outdated incarnation from a wrong cell.
 #[test]
 fn exchange_errors_survive_the_conversion_to_a_grpc_status_and_back() {
     for error in [
@@ -17,6 +19,8 @@
     assert!(matches!(malformed, ExchangeError::Malformed(_)));
 }
 
+/// Only a cell's leader answers exchanges, so trying the endpoints in a fixed order would waste requests on
+/// the others every time.
 #[test]
 fn endpoint_that_last_answered_as_leader_is_tried_first() {
     let endpoints: Vec<SocketAddr> =
--- a/crates/dapplecroft/src/http.rs
+++ b/crates/dapplecroft/src/http.rs
@@ -1,4 +1,4 @@
-//! Users, workers and health checks over HTTP.
+//! HTTP server for users, workers and health checks.
 
 use crate::http_connections::{ReadThrottle, ThrottledAcceptor};
 use dapplecroft_controller::{Node, Reply};
@@ -10,6 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Passes each request to the controller and decides whether the connection stays open after the reply.
 struct HttpEndpoint {
     node: Arc<Node>,
     sockets: Arc<Sockets>,
@@ -32,7 +33,7 @@
                 },
             },
         };
-        // A worker that is sent away leaves this node, so its socket is free.
+        // A worker whose `/hello` is rejected turns to another controller, so its connection can be closed.
         let worker_rejected = path == "/hello" && reply.status != 200;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut builder = Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
@@ -46,7 +47,7 @@
     }
 }
 
-/// Serves until the process ends.
+/// Serves HTTP until the process ends.
 pub async fn serve(node: Arc<Node>, sockets: Arc<Sockets>, address: SocketAddr) -> std::io::Result<()> {
     let throttle = Arc::new(ReadThrottle::default());
     let listener = TcpListener::bind(address).into_acceptor().await?;
--- a/crates/dapplecroft/src/http_connections.rs
+++ b/crates/dapplecroft/src/http_connections.rs
@@ -1,10 +1,10 @@
-//! The connections of users and workers: counted, and read in rounds.
+//! Incoming HTTP connections of users and workers: counts them against the process's socket limit and limits
+//! how many of them are read at a time.
 //!
-//! After a restart of all controllers thousands of reports come at once, on a
-//! few hundredths of a processor. Were each read as it comes, everything else
-//! that is ready (renewals of leases above all) would wait behind all of them
-//! at every step, for seconds. So only a few connections are read at a time;
-//! whatever else is ready goes before the next few.
+//! After a restart of all controllers, thousands of heartbeats arrive at once, while a controller has only a
+//! few hundredths of a CPU. If every connection were read as soon as data arrives, all other ready tasks
+//! (above all lease renewals) would wait behind all of these reads at each of their steps, for seconds. So
+//! connections are read in rounds of a few, and all other ready tasks run between two rounds.
 
 use dapplecroft_net::{Socket, Sockets};
 use poem::listener::{Acceptor, TcpAcceptor};
@@ -20,13 +20,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Connections that are read in one round.
+/// Maximum number of connections that start reading in one round.
 const TURNS_PER_ROUND: usize = 12;
-/// Pause after a connection could not be accepted: trying again at once would
-/// use up the processor for as long as sockets are short.
+/// Delay after a failure to accept a connection. Retrying at once would use up the CPU for as long as the
+/// process is out of sockets.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a connection waits for its turn, or has it.
+/// Whether a connection has no turn to read, waits for one, or has one: `IDLE`, `QUEUED` or `GRANTED`.
 #[derive(Debug, Default)]
 struct ReadTurn(AtomicU8);
 
@@ -44,25 +44,28 @@
     }
 }
 
-/// How often a line says that connections were closed for want of sockets.
+/// Minimum time between two log lines about connections closed at the socket limit.
 const SHED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
+/// State of the current round.
 #[derive(Debug, Default)]
 struct RoundState {
-    /// How many may still go in this round.
+    /// Number of turns that may still be granted in this round.
     turns_left: usize,
+    /// Connections that wait for a turn, first come, first served, with the wakers of their tasks.
     queue: VecDeque<(Waker, Arc<ReadTurn>)>,
 }
 
-/// Lets a few go at a time.
+/// Grants connections turns to read, a few per round.
 #[derive(Debug, Default)]
 pub struct ReadThrottle {
     state: Mutex<RoundState>,
+    /// Wakes [`ReadThrottle::run`] when a connection asks for a turn.
     turn_requested: Notify,
 }
 
 impl ReadThrottle {
-    /// Waits for a turn; it lasts until whoever has it gives it back.
+    /// Polls for a turn. Once granted, it lasts until the connection sets it back to `IDLE`.
     fn poll_turn(&self, cx: &Context<'_>, turn: &Arc<ReadTurn>) -> Poll<()> {
         if turn.is(GRANTED) {
             return Poll::Ready(());
@@ -85,20 +88,21 @@
         Poll::Pending
     }
 
-    /// Grants turns, round after round, for ever.
+    /// Grants turns round after round; never returns.
     pub async fn run(&self) {
         loop {
             if self.start_round() {
-                // All that is ready now goes first, and so does what has arrived.
+                // All other ready tasks, and those woken by I/O that has arrived, run before the next round.
                 tokio::task::yield_now().await;
             } else {
-                // Nobody waits and nobody goes: no need for rounds.
+                // No connection waited for a turn, so the next round can wait for a request.
                 self.turn_requested.notified().await;
             }
         }
     }
 
-    /// Begins a round; returns whether anybody has a turn in it.
+    /// Starts a round by granting turns to the first connections in the queue. Returns whether there were
+    /// any.
     fn start_round(&self) -> bool {
         let mut state = self.lock();
         state.turns_left = TURNS_PER_ROUND;
@@ -117,21 +121,22 @@
     }
 }
 
-/// Accepts connections, counts them and has them read in rounds.
+/// Accepts connections within the socket limit and throttles their reads.
 pub struct ThrottledAcceptor {
     inner: TcpAcceptor,
     throttle: Arc<ReadThrottle>,
     sockets: Arc<Sockets>,
+    /// When the number of connections closed at the socket limit was last checked for logging.
     last_shed_log: Option<Instant>,
 }
 
 impl ThrottledAcceptor {
-    /// Accepts from a listener.
+    /// Wraps the acceptor of a TCP listener.
     pub fn new(inner: TcpAcceptor, throttle: Arc<ReadThrottle>, sockets: Arc<Sockets>) -> Self {
         ThrottledAcceptor { inner, throttle, sockets, last_shed_log: None }
     }
 
-    /// Says now and then how many connections found no room.
+    /// Logs the number of connections closed at the socket limit, at most once per [`SHED_LOG_INTERVAL`].
     fn log_shed_connections(&mut self) {
         if self.last_shed_log.is_none_or(|at| at.elapsed() > SHED_LOG_INTERVAL) {
             self.last_shed_log = Some(Instant::now());
@@ -140,7 +145,7 @@
                 tracing::warn!(
                     shed = closed,
                     open = self.sockets.count(),
-                    "connections found no room and were closed"
+                    "closed incoming connections because the socket limit was reached"
                 );
             }
         }
@@ -161,13 +166,13 @@
             let (io, local, remote, scheme) = match self.inner.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    tracing::debug!(%error, "a connection cannot be accepted");
+                    tracing::debug!(%error, "failed to accept a connection");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            // One that there is no room for is closed at once: whoever made it
-            // tries another node.
+            // A connection beyond the socket limit is closed at once; the client then tries another
+            // controller.
             self.log_shed_connections();
             if let Some(socket) = self.sockets.open() {
                 let (throttle, turn) = (self.throttle.clone(), Arc::default());
@@ -178,7 +183,7 @@
     }
 }
 
-/// A connection that is read when it is its turn.
+/// A TCP connection that is read only while it has a turn from the [`ReadThrottle`].
 pub struct ThrottledStream {
     io: TcpStream,
     throttle: Arc<ReadThrottle>,
@@ -192,7 +197,7 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // A connection on which nothing has come takes no turn.
+        // A connection on which no data has arrived does not ask for a turn.
         match self.io.poll_read_ready(cx) {
             Poll::Ready(Ok(())) => {}
             Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
@@ -204,7 +209,7 @@
         }
         let read = Pin::new(&mut this.io).poll_read(cx, buffer);
         if read.is_pending() {
-            // All that had come is read: the turn is over.
+            // All data that had arrived has been read, so the turn ends.
             this.turn.set(IDLE);
         }
         read
--- a/crates/dapplecroft/src/http_connections/tests.rs
+++ b/crates/dapplecroft/src/http_connections/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
 use std::sync::atomic::AtomicUsize;
 
+/// If all waiting connections were read as soon as they are ready, a lease renewal would wait behind all of
+/// them at each of its steps. So with 500 waiting, each step of another task may see only a few rounds' turns
+/// granted, and yet all 500 must get theirs.
 #[tokio::test]
 async fn other_ready_tasks_run_between_rounds_of_connection_reads() {
     let throttle = Arc::new(ReadThrottle::default());
@@ -15,8 +18,8 @@
     }
     let rounds = throttle.clone();
     tokio::spawn(async move { rounds.run().await });
-    // What a renewal of a lease needs: a few steps, each behind what was
-    // ready before it. In each step, not all of the five hundred go.
+    // Each `yield_now` stands for one step of a lease renewal: it resumes after the tasks that were ready
+    // before it have run.
     tokio::task::yield_now().await;
     let mut before = served.load(Ordering::Relaxed);
     let mut steps = 0;
--- a/crates/dapplecroft/src/main.rs
+++ b/crates/dapplecroft/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller program.
+//! The controller program and the operators' commands that query a running controller.
 
 mod admission_command;
 mod cells_command;
@@ -21,6 +21,8 @@
 use std::time::SystemTime;
 use tracing_subscriber::EnvFilter;
 
+// The doc comments of `Arguments` and `Command` are the help texts that the program prints.
+
 /// A cluster scheduler: takes users' jobs, rents machines, and decides what
 /// runs where. All controllers of a deployment run this program.
 #[derive(Debug, Parser)]
@@ -30,6 +32,8 @@
     command: Command,
 }
 
+// `back` in the help texts is the platform setting that holds the address on which a controller serves the
+// other controllers of its cell.
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Run a controller until it is killed.
@@ -64,13 +68,14 @@
     },
 }
 
-/// What a process has at least; fewer sockets would be of no use.
+/// Lower bound on the process's socket limit, even if the platform's `max_connections` is smaller. A process
+/// with fewer could serve nobody: [`Sockets`] reserves this many for the connections that the process makes.
 const MIN_SOCKET_LIMIT: usize = 64;
-/// After so many steps the program looks at what has arrived and at its timers,
-/// so that what can't wait is not behind all that is ready.
+/// Number of task polls after which the runtime checks for I/O events and expired timers, so that urgent work
+/// such as a lease renewal does not wait until all ready tasks have run.
 const EVENT_INTERVAL_TICKS: u32 = 24;
 
-/// Why the program can't start, or ended.
+/// Why a command failed, or why the controller could not start or stopped.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error("{0}: {1}")]
@@ -89,8 +94,11 @@
     Admission(#[from] admission_command::AdmissionCommandError),
     #[error("{0}: {1}")]
     AdmissionSettings(String, dapplecroft_admission::SettingsError),
+    /// One of the servers or the controller's own loops returned, although all of them run until the process
+    /// is killed.
     #[error("a part of the controller ended")]
     TaskEnded,
+    /// The controller decided that its process must exit, for the reason given.
     #[error("{0}")]
     ShutDown(String),
 }
@@ -175,7 +183,7 @@
         seed: random.random(),
     });
     tracing::info!(%listen, back = %peer_listen, "starting");
-    // One process does one thing at a time, and all of it ends together.
+    // The servers and the controller's loops share this thread; if one of them ends, the process exits.
     tokio::select! {
         result = http::serve(node.clone(), sockets, listen) => result?,
         result = peers_grpc::serve(PeerService(node.clone()), peer_listen) => result?,
--- a/crates/dapplecroft/src/options.rs
+++ b/crates/dapplecroft/src/options.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings, in protobuf text format.
+//! Parses the operators' settings file: protobuf text format, with the schema in `proto/options.proto`.
 
 mod admission;
 mod federation;
@@ -14,32 +14,33 @@
 /// Why a file of operators' settings is not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum OptionsError {
-    /// It is not in protobuf text format, or names an unknown field.
+    /// The file is not in protobuf text format, or sets an unknown field.
     #[error("{0}")]
     Text(String),
-    /// The federation can't be as it is set.
+    /// The settings in `federation` are invalid.
     #[error(transparent)]
     Federation(#[from] FederationSettingsError),
-    /// Admission control can't be as it is set.
+    /// The settings in `admission` are invalid.
     #[error(transparent)]
     Admission(#[from] AdmissionSettingsError),
-    /// A value lies outside what its field allows.
+    /// The value of a field is out of range.
     #[error("{field}: must be from {min} to {max}, is {value}")]
     Range {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The least value that is allowed.
+        /// Smallest allowed value.
         min: f64,
-        /// The greatest value that is allowed.
+        /// Largest allowed value.
         max: f64,
-        /// The value found.
+        /// Value in the file.
         value: f64,
     },
 }
 
-/// The greatest number of machines that a setting may name: far above any fleet.
+/// Upper bound of settings that are a number of machines; far above the size of any fleet.
 const MAX_MACHINES: f64 = 1_000_000.0;
 
+/// The compiled schema, written by `build.rs`.
 const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/options.bin"));
 
 fn options_descriptor() -> Result<MessageDescriptor, OptionsError> {
@@ -54,7 +55,8 @@
         .map_err(|error| OptionsError::Text(error.to_string()))
 }
 
-/// A number within its bounds, if it is set.
+/// Returns the number in `field`, or `None` if the field is not set. A number outside `min` to `max` is an
+/// error, and so is NaN.
 fn number_in_range(
     settings: &DynamicMessage,
     field: &'static str,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Reads and checks operators' settings; what is not set keeps its default.
+/// Parses and checks a settings file; settings that are not in it keep their defaults.
 pub fn parse(text: &str) -> Result<Options, OptionsError> {
     let settings = parse_message(text)?;
     let number = |field, min, max| number_in_range(&settings, field, min, max);
@@ -111,8 +113,8 @@
     Ok(options)
 }
 
-/// The settings that a file puts in force, in text format: what is not set there with its
-/// default, if it has one that does not hang on the platform.
+/// Returns the settings in effect with a settings file, in text format. Top-level settings that are not in
+/// the file appear with their defaults, unless the default depends on the platform's settings.
 pub fn effective_settings(text: &str) -> Result<String, OptionsError> {
     let options = parse(text)?;
     let mut settings = parse_message(text)?;
--- a/crates/dapplecroft/src/options/admission.rs
+++ b/crates/dapplecroft/src/options/admission.rs
@@ -1,10 +1,11 @@
-//! The part of the operators' settings that is about admission control.
+//! Parses the `admission` section of the operators' settings.
 
 use super::message_fields::{f64_field, message_field, message_list, string_field, u64_field};
 use dapplecroft_admission::settings::{RawClass, RawTeam};
 use dapplecroft_admission::{RawAdmission, SettingsError};
 use prost_reflect::DynamicMessage;
 
+/// Reads one class. A missing weight becomes 0, which [`RawAdmission::check`] rejects.
 fn parse_class(message: &DynamicMessage) -> RawClass {
     RawClass { name: string_field(message, "name"), weight: f64_field(message, "weight").unwrap_or(0.0) }
 }
@@ -18,7 +19,7 @@
     }
 }
 
-/// Reads what is set of admission control, if anything, and checks what can be checked
+/// Returns the admission settings, or `None` if there is no such section. Checks only what can be checked
 /// without the platform's settings.
 pub(super) fn parse_admission(options: &DynamicMessage) -> Result<Option<RawAdmission>, SettingsError> {
     let Some(message) = message_field(options, "admission") else { return Ok(None) };
--- a/crates/dapplecroft/src/options/federation.rs
+++ b/crates/dapplecroft/src/options/federation.rs
@@ -1,4 +1,4 @@
-//! The part of the operators' settings that is about other cells.
+//! Parses the `federation` section of the operators' settings, which describes this cell and its peer cells.
 
 use super::message_fields::{
     bool_field, f64_field, message_field, message_list, string_field, string_list, u64_field,
@@ -15,7 +15,7 @@
     }
 }
 
-/// Reads and checks the federation, if there is one.
+/// Returns the checked federation settings, or `None` if there is no such section.
 pub(super) fn parse_federation(options: &DynamicMessage) -> Result<Option<Federation>, SettingsError> {
     let Some(message) = message_field(options, "federation") else { return Ok(None) };
     let raw = RawFederation {
--- a/crates/dapplecroft/src/options/message_fields.rs
+++ b/crates/dapplecroft/src/options/message_fields.rs
@@ -1,4 +1,5 @@
-//! Fields of messages that are known by their description alone.
+//! Typed access to the fields of a dynamic protobuf message, for which no Rust type is generated. A field
+//! that is not set, or has another type, reads as absent.
 
 use prost_reflect::{DynamicMessage, Value};
 
@@ -14,37 +15,37 @@
     }
 }
 
-/// A text; empty if it is not set.
+/// Value of a string field; empty if absent.
 pub(super) fn string_field(message: &DynamicMessage, name: &str) -> String {
     field(message, name).and_then(|value| value.as_str().map(str::to_string)).unwrap_or_default()
 }
 
-/// A list of texts.
+/// Values of a repeated string field.
 pub(super) fn string_list(message: &DynamicMessage, name: &str) -> Vec<String> {
     list_field(message, name).iter().filter_map(|value| value.as_str().map(str::to_string)).collect()
 }
 
-/// A number with a fraction.
+/// Value of a `double` field.
 pub(super) fn f64_field(message: &DynamicMessage, name: &str) -> Option<f64> {
     field(message, name).and_then(|value| value.as_f64())
 }
 
-/// A whole number.
+/// Value of a `uint64` field.
 pub(super) fn u64_field(message: &DynamicMessage, name: &str) -> Option<u64> {
     field(message, name).and_then(|value| value.as_u64())
 }
 
-/// Whether something holds.
+/// Value of a `bool` field.
 pub(super) fn bool_field(message: &DynamicMessage, name: &str) -> Option<bool> {
     field(message, name).and_then(|value| value.as_bool())
 }
 
-/// A message within a message.
+/// Value of a nested message field.
 pub(super) fn message_field(message: &DynamicMessage, name: &str) -> Option<DynamicMessage> {
     field(message, name).and_then(|value| value.as_message().cloned())
 }
 
-/// A list of messages.
+/// Values of a repeated message field.
 pub(super) fn message_list(message: &DynamicMessage, name: &str) -> Vec<DynamicMessage> {
     list_field(message, name).iter().filter_map(|value| value.as_message().cloned()).collect()
 }
--- a/crates/dapplecroft/src/options/tests.rs
+++ b/crates/dapplecroft/src/options/tests.rs
@@ -1,3 +1,6 @@
+//! Guards the mapping of the settings file to options: wrong defaults, a dropped setting, or an invalid value
+//! that is accepted or reported without the name of its field.
+
 use super::*;
 
 #[test]
@@ -19,6 +22,7 @@
     assert!(parse("node_lease_s: nan").is_err());
 }
 
+/// An upper bound below the size of real fleets would reject valid settings.
 #[test]
 fn machine_counts_of_large_fleets_are_accepted() {
     let options = parse("block_machines: 4000 standby_machines: 4000").unwrap();
@@ -29,6 +33,7 @@
     );
 }
 
+/// The example file in `deploy/` must stay valid when the schema or the checks change.
 #[test]
 fn federation_example_file_is_accepted() {
     let options = parse(include_str!("../../../../deploy/federation.textproto")).unwrap();
@@ -48,6 +53,7 @@
     assert_eq!(parse(&text).unwrap_err().to_string(), "federation.peers: a is this cell itself");
 }
 
+/// The example file in `deploy/` must stay valid when the schema or the checks change.
 #[test]
 fn admission_example_file_is_accepted() {
     let options = parse(include_str!("../../../../deploy/admission.textproto")).unwrap();
@@ -67,6 +73,8 @@
     assert!(error("admission { limit_cpu_s: 5 work_off_s: 5 }").contains("not both"));
 }
 
+/// `dapplecroft check` prints the effective settings; a setting that is missing or misprinted there would
+/// parse to other options.
 #[test]
 fn printed_effective_settings_parse_to_the_same_options() {
     for text in ["", include_str!("../../../../deploy/admission.textproto")] {
--- a/crates/dapplecroft/src/peers_grpc.rs
+++ b/crates/dapplecroft/src/peers_grpc.rs
@@ -1,4 +1,4 @@
-//! The controllers' gRPC protocol over TCP.
+//! Client and server of the gRPC protocol between the controllers of a cell.
 
 use dapplecroft_controller::{PeerService, Peers, Reply};
 use dapplecroft_wire::peer::peer_client::PeerClient;
@@ -14,11 +14,13 @@
 use std::time::Duration;
 use tonic::transport::{Channel, Endpoint, Server};
 
+/// How long to wait for a connection to another controller, and for its reply to a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// A sight that comes later says nothing about now.
+/// How long to wait for a reply that describes the other controller's current state; a later one would be out
+/// of date.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the other controllers; connections are made when first needed.
+/// Client for the other controllers of the cell; opens each connection at its first use.
 #[derive(Default)]
 pub struct GrpcPeers {
     channels: Mutex<HashMap<SocketAddr, Channel>>,
