--- a/crates/dapplecroft-controller/src/cells/answer.rs
+++ b/crates/dapplecroft-controller/src/cells/answer.rs
@@ -181,7 +181,7 @@
     /// Commits an update of a hand-over and applies it to the replica. After a conflict, the
     /// conflicting keys are read again.
     async fn commit_handover_update(&self, update: AtomicUpdate) -> UpdateResult {
-        let result = self.committer.commit_soon(update.clone()).await;
+        let result = self.committer.commit_urgent(update.clone()).await;
         match &result {
             UpdateResult::Committed(revision) => {
                 self.with(|core| core.apply_changes(&update.changes, *revision, now()));
--- a/crates/dapplecroft-controller/src/core/federation/host.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{Job, OpenJob};
 use crate::records::{self, JobRecord, JobStage, stored_size};
 use dapplecroft_admission::Spending;
-use dapplecroft_cloud::MAX_RENT;
+use dapplecroft_cloud::MAX_MACHINES_PER_RENTAL;
 use dapplecroft_federation::host::{HostRecords, is_prunable, on_request};
 use dapplecroft_federation::summary::{MachinePool, Summary};
 use dapplecroft_federation::{
@@ -213,7 +213,7 @@
         let active: i64 =
             self.machines.values().filter(|m| m.likely_accepts_tasks()).map(|m| m.capacity.cpus).sum();
         let rentable = self.rental_offers(now).iter().map(|offer| offer.capacity.cpus).max().unwrap_or(0);
-        let total = active + rentable * i64::from(MAX_RENT);
+        let total = active + rentable * i64::from(MAX_MACHINES_PER_RENTAL);
         (total as f64 * share) as i64 - self.hosted_cpus()
     }
 
--- a/crates/dapplecroft-controller/src/core/roles/tests.rs
+++ b/crates/dapplecroft-controller/src/core/roles/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::testing::core;
-use dapplecroft_wire::state::Followed;
+use dapplecroft_wire::state::WatchResponse;
 
 // After a network partition, the record replica of a replaced leader lagged behind and still showed its
 // own leader key, so the process became leader again for a moment.
@@ -47,12 +47,12 @@
     let now = Instant::now();
     let limit = core().contact_limit();
     let mut core = core();
-    core.apply_watch(Followed { revision: 5, log: Vec::new() }, now);
+    core.apply_watch(WatchResponse { revision: 5, log: Vec::new() }, now);
     core.confirm_role(now, 9);
     assert!(!core.in_contact(now), "a cancellation at revision 9 may not be known yet");
-    core.apply_watch(Followed { revision: 8, log: Vec::new() }, now + limit / 2);
+    core.apply_watch(WatchResponse { revision: 8, log: Vec::new() }, now + limit / 2);
     assert!(!core.in_contact(now + limit / 2));
-    core.apply_watch(Followed { revision: 9, log: Vec::new() }, now + limit / 2);
+    core.apply_watch(WatchResponse { revision: 9, log: Vec::new() }, now + limit / 2);
     assert!(core.in_contact(now + limit) && !core.in_contact(now + limit + Duration::from_millis(1)));
     // An earlier request that is answered later changes nothing.
     core.confirm_role(now - Duration::from_secs(1), 9);
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -4,7 +4,7 @@
 use crate::node::{Node, lock, now};
 use crate::records::{self, LeaderRecord, LivenessRecord};
 use dapplecroft_net::Outcome;
-use dapplecroft_state::Verdicts;
+use dapplecroft_state::TransactionResult;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -59,7 +59,7 @@
         let Some(lease) = self.with(|core| core.role.lease_id) else {
             return self.acquire_lease().await;
         };
-        let (touched, ()) = tokio::join!(self.state.touch(lease), self.confirm_roles());
+        let (touched, ()) = tokio::join!(self.state.renew_lease(lease), self.confirm_roles());
         match touched {
             Outcome::Done(true) => {
                 *lock(&self.lease_renewed_at) = Some(sent_at);
@@ -103,13 +103,15 @@
         });
         if let Some(lease) = earlier_lease {
             tracing::info!("revoking the lease of the earlier process on this host");
-            let _ = self.state.revoke(lease).await;
+            let _ = self.state.revoke_lease(lease).await;
         }
-        let Outcome::Done(lease) = self.state.grant(self.options.node_lease).await else { return false };
+        let Outcome::Done(lease) = self.state.grant_lease(self.options.node_lease).await else {
+            return false;
+        };
         if self.write_live_record(lease).await {
             return true;
         }
-        let _ = self.state.revoke(lease).await;
+        let _ = self.state.revoke_lease(lease).await;
         false
     }
 
@@ -123,7 +125,7 @@
         let change = Change::Set { key, value: to_json(&record), lease: Some(lease) };
         let transaction = Transaction { conditions: Vec::new(), changes: vec![change] };
         let outcome = self.state.transact(&transaction, true).await;
-        let Outcome::Done(Verdicts::Committed(revision)) = outcome else { return false };
+        let Outcome::Done(TransactionResult::Committed(revision)) = outcome else { return false };
         *lock(&self.lease_renewed_at) = Some(now());
         self.with(|core| {
             core.role.lease_id = Some(lease);
@@ -140,11 +142,11 @@
             let ready = |core: &mut Core| core.role.lease_id.and_then(|_| step(core));
             let Some(transaction) = self.with(ready) else { continue };
             match self.state.transact(&transaction, true).await {
-                Outcome::Done(Verdicts::Committed(revision)) => {
+                Outcome::Done(TransactionResult::Committed(revision)) => {
                     self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                     self.set_rates();
                 }
-                Outcome::Done(Verdicts::Conflict(failed)) => {
+                Outcome::Done(TransactionResult::Conflict(failed)) => {
                     for key in failed {
                         self.refresh(&key, || true).await;
                     }
@@ -189,7 +191,7 @@
             }],
         };
         match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(revision)) => {
+            Outcome::Done(TransactionResult::Committed(revision)) => {
                 tracing::info!(term = revision, "elected leader");
                 self.with(|core| {
                     core.apply_changes(&transaction.changes, revision, now());
@@ -197,7 +199,7 @@
                 });
                 self.set_rates();
             }
-            Outcome::Done(Verdicts::Conflict(_)) => {
+            Outcome::Done(TransactionResult::Conflict(_)) => {
                 self.refresh(records::LEADER_KEY, || true).await;
             }
             // If the transaction was or will be committed after all, the watch delivers a leader
@@ -233,14 +235,14 @@
         });
         let Some(transaction) = transaction else { return };
         match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(revision)) => {
+            Outcome::Done(TransactionResult::Committed(revision)) => {
                 let given: Vec<(u32, &str)> =
                     leases.iter().map(|l| (l.shard, l.record.host.as_str())).collect();
                 tracing::info!(?given, "shards leased");
                 self.with(|core| core.apply_changes(&transaction.changes, revision, now()));
                 self.wake_role.notify_one();
             }
-            Outcome::Done(Verdicts::Conflict(failed)) => {
+            Outcome::Done(TransactionResult::Conflict(failed)) => {
                 for key in failed {
                     self.refresh(&key, || true).await;
                 }
@@ -260,8 +262,10 @@
         for part in conditions.chunks(max_conditions) {
             let transaction = Transaction { conditions: part.to_vec(), changes: Vec::new() };
             match self.state.transact(&transaction, true).await {
-                Outcome::Done(Verdicts::Committed(revision)) => confirmed = confirmed.max(Some(revision)),
-                Outcome::Done(Verdicts::Conflict(failed)) => {
+                Outcome::Done(TransactionResult::Committed(revision)) => {
+                    confirmed = confirmed.max(Some(revision))
+                }
+                Outcome::Done(TransactionResult::Conflict(failed)) => {
                     tracing::info!(?failed, "this process has lost leadership or a shard lease");
                     self.with(|core| failed.iter().for_each(|key| core.role_lost(key, now())));
                     for key in failed {
@@ -293,8 +297,8 @@
         self.committer.set_max_changes(limits.changes);
         // The state service switches to its next, lower limits without notice. The first
         // request that it refuses for exceeding them is the signal.
-        self.state.expect_less(!legacy_layout && params.state.next.is_some());
-        let (rps, writes) = params.state.rates(self.state.has_less());
+        self.state.set_expect_lower_limits(!legacy_layout && params.state.next.is_some());
+        let (rps, writes) = params.state.rates(self.state.lower_limits_detected());
         let rps = rps / f64::from(params.nodes.max(1));
         let (lent, borrowed) = self.lent_and_borrowed_rates();
         self.state.set_rates(rps, (writes * share * 0.94 - lent).max(2.0) + borrowed);
@@ -302,7 +306,7 @@
 
     /// This controller's own share of record changes per second, without lent and borrowed ones.
     pub(crate) fn own_write_rate(&self) -> f64 {
-        let (_, writes) = self.settings.params.state.rates(self.state.has_less());
+        let (_, writes) = self.settings.params.state.rates(self.state.lower_limits_detected());
         writes * self.with(|core| core.write_share()) * 0.94
     }
 
--- a/crates/dapplecroft-controller/src/loops/federation.rs
+++ b/crates/dapplecroft-controller/src/loops/federation.rs
@@ -184,7 +184,7 @@
                 let committed = self.try_commit_handover_update(update).await;
                 tracing::info!(key, committed, "a hosted job is returned to its home cell");
             }
-            if self.state.write_room() > PRUNE_MIN_WRITE_ROOM {
+            if self.state.write_burst_left() > PRUNE_MIN_WRITE_ROOM {
                 for update in self.with(|core| core.prune_updates(MAX_PRUNED_PER_ROUND)) {
                     self.try_commit_handover_update(update).await;
                 }
@@ -215,7 +215,7 @@
     /// the offer from the committed record.
     async fn offer_job(&self, job: &Arc<str>, cell: CellId) {
         let Some(offer) = self.with(|core| core.offer_update(job, cell.clone())) else { return };
-        let result = self.committer.commit_soon(offer.update.clone()).await;
+        let result = self.committer.commit_urgent(offer.update.clone()).await;
         tracing::info!(%job, %cell, ?result, "a job is offered to a peer cell");
         match result {
             UpdateResult::Committed(revision) => {
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{CommandOutcome, CommitOutcome, PendingCommit};
 use crate::node::{Node, lock, now};
-use dapplecroft_net::{Failure, Request};
+use dapplecroft_net::{Request, TransportError};
 use dapplecroft_state::UpdateResult;
 use dapplecroft_wire::workers::{DirectCommands, Heartbeat};
 use std::sync::Arc;
@@ -43,11 +43,11 @@
             // While writes are scarce and many decisions wait to be committed, the next round is
             // delayed so that it decides more at once. The delay is limited, because the backlog
             // may be this controller's alone while other shard holders are idle.
-            let writes_scarce = self.state.write_room() < 0.3;
+            let writes_scarce = self.state.write_burst_left() < 0.3;
             let round_recent = started_at.saturating_duration_since(last_round) < MAX_BACKLOG_WAIT;
             if writes_scarce
                 && round_recent
-                && self.with(|core| core.commit_backlog()) > 4 * self.committer.enough()
+                && self.with(|core| core.commit_backlog()) > 4 * self.committer.backlog_target()
             {
                 sleep(MAX_ROUND_PAUSE / 4).await;
                 self.wake_place.notify_one();
@@ -76,16 +76,16 @@
     /// Starts a commit for each pending update, as far as the commit queue has room.
     pub(crate) async fn flush_loop(self: Arc<Self>) {
         loop {
-            let writes_plentiful = self.state.write_room() > 0.5;
+            let writes_plentiful = self.state.write_burst_left() > 0.5;
             // An update is assembled only when the queue has room for it, so that it contains
             // everything that is pending for its target by then. Updates of group records
             // (machines) share the queue and are not counted against this limit.
             let group_writes = self.with(|core| core.group_writes_in_flight());
-            let queue_target = self.committer.enough();
+            let queue_target = self.committer.backlog_target();
             loop {
                 // Once the queue is full, only urgent updates are added, up to a limit of their own.
-                let queue_full = self.committer.waiting() >= queue_target + group_writes;
-                if queue_full && self.committer.waiting_soon() >= queue_target {
+                let queue_full = self.committer.queued() >= queue_target + group_writes;
+                if queue_full && self.committer.queued_urgent() >= queue_target {
                     break;
                 }
                 let Some(update) = self.with(|core| core.next_commit(writes_plentiful, queue_full, now()))
@@ -106,7 +106,7 @@
             let pause = if has_deferrable { DEFERRED_COMMIT_INTERVAL } else { MAX_IDLE_INTERVAL };
             tokio::select! {
                 () = self.wake_flush.notified() => {}
-                () = self.committer.taken() => {}
+                () = self.committer.group_taken() => {}
                 () = sleep(pause) => {}
             }
         }
@@ -119,7 +119,7 @@
         let mut retry_pause = Duration::from_millis(100);
         loop {
             let result = if update.urgent {
-                self.committer.commit_soon(update.update.clone()).await
+                self.committer.commit_urgent(update.update.clone()).await
             } else {
                 self.committer.commit(update.update.clone()).await
             };
@@ -180,9 +180,9 @@
                 segments = status.segments,
                 bytes = status.segment_bytes,
                 layout = status.layout,
-                changes_waiting = self.committer.waiting(),
-                write_room = format!("{:.2}", self.state.write_room()),
-                request_room = format!("{:.2}", self.state.request_room()),
+                changes_waiting = self.committer.queued(),
+                write_room = format!("{:.2}", self.state.write_burst_left()),
+                request_room = format!("{:.2}", self.state.request_burst_left()),
                 users = self.active_user_requests.load(std::sync::atomic::Ordering::Relaxed),
                 "controller status"
             );
@@ -217,7 +217,7 @@
             path: "/do".into(),
             body: body.into(),
             timeout: COMMAND_TIMEOUT,
-            one_of_many: true,
+            to_worker: true,
         };
         let result = self.transport.send(request).await;
         let report: Option<Heartbeat> = match &result {
@@ -235,7 +235,7 @@
         }
         let end = match (&result, &report) {
             (Ok(_), Some(report)) => CommandOutcome::Answered(report),
-            (Err(Failure::NotSent(_)), _) => CommandOutcome::NotDelivered,
+            (Err(TransportError::NotSent(_)), _) => CommandOutcome::NotDelivered,
             (Ok(response), None) if response.status == 400 => CommandOutcome::NotDelivered,
             _ => CommandOutcome::Unknown,
         };
--- a/crates/dapplecroft-controller/src/loops/record_watch.rs
+++ b/crates/dapplecroft-controller/src/loops/record_watch.rs
@@ -4,7 +4,7 @@
 use crate::node::{Node, VersionCheck, VersionCheckResult, lock, now};
 use crate::records::KEY_PREFIX;
 use dapplecroft_net::Outcome;
-use dapplecroft_state::{Verdicts, Watched};
+use dapplecroft_state::{TransactionResult, WatchResult};
 use dapplecroft_wire::state::{Condition, Transaction};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,15 +27,15 @@
             }
             loop {
                 let from = self.with(|core| core.applied_revision);
-                match self.state.follow(KEY_PREFIX, from, WATCH_TIMEOUT).await {
-                    Outcome::Done(Watched::Changes(followed)) => {
+                match self.state.watch(KEY_PREFIX, from, WATCH_TIMEOUT).await {
+                    Outcome::Done(WatchResult::Changes(followed)) => {
                         let has_changes = !followed.log.is_empty();
                         self.with(|core| core.apply_watch(followed, now()));
                         if has_changes {
                             sleep(self.watch_pause()).await;
                         }
                     }
-                    Outcome::Done(Watched::TooOld) => break,
+                    Outcome::Done(WatchResult::RelistRequired) => break,
                     Outcome::Refused(_) | Outcome::Unknown(_) => sleep(RETRY_PAUSE).await,
                 }
             }
@@ -100,7 +100,7 @@
             }
             self.check_versions(batch).await;
             // Few requests are left in the budget: waits so that more questions share the next one.
-            if self.state.request_room() < 0.5 {
+            if self.state.request_burst_left() < 0.5 {
                 sleep(RETRY_PAUSE / 2).await;
             }
         }
@@ -120,8 +120,8 @@
             versions.iter().map(|(key, version)| Condition { key: key.to_string(), version: *version });
         let transaction = Transaction { conditions: conditions.collect(), changes: Vec::new() };
         let failed = match self.state.transact(&transaction, true).await {
-            Outcome::Done(Verdicts::Committed(_)) => Some(Vec::new()),
-            Outcome::Done(Verdicts::Conflict(failed)) => Some(failed),
+            Outcome::Done(TransactionResult::Committed(_)) => Some(Vec::new()),
+            Outcome::Done(TransactionResult::Conflict(failed)) => Some(failed),
             Outcome::Refused(_) | Outcome::Unknown(_) => None,
         };
         let Some(failed) = failed else {
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -11,7 +11,7 @@
 use dapplecroft_net::Transport;
 use dapplecroft_state::{Committer, StateClient};
 use dapplecroft_wire::settings::Settings;
-use dapplecroft_wire::users::Problem;
+use dapplecroft_wire::users::ErrorBody;
 use dapplecroft_wire::workers::{Heartbeat, HeartbeatHead, Redirect};
 use http::Method;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
     }
 
     pub(crate) fn problem(status: u16, error: &str) -> Reply {
-        Reply::json(status, &Problem { error: error.to_string() })
+        Reply::json(status, &ErrorBody { error: error.to_string() })
     }
 
     pub(crate) fn unavailable(error: &str, retry_after: u32) -> Reply {
--- a/crates/dapplecroft-controller/src/peers.rs
+++ b/crates/dapplecroft-controller/src/peers.rs
@@ -198,7 +198,7 @@
     /// Lends most of this controller's write rate to the one that asks if nothing here waits to be
     /// committed; returns the lent rate in writes per second.
     fn lend_write_rate(&self) -> f64 {
-        let idle = self.state.write_room() > 0.9 && self.committer.waiting() == 0;
+        let idle = self.state.write_burst_left() > 0.9 && self.committer.queued() == 0;
         let share = if idle { self.own_write_rate() * LENDABLE_RATE_SHARE } else { 0.0 };
         let mut lent_write_rate = lock(&self.lent_write_rate);
         if share > 0.0 {
@@ -233,7 +233,7 @@
             path: "/status".into(),
             body: Default::default(),
             timeout: PROBE_TIMEOUT,
-            one_of_many: true,
+            to_worker: true,
         };
         let response = self.transport.send(request).await.ok().filter(|r| r.status == 200)?;
         serde_json::from_slice(&response.body).ok()
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use dapplecroft_sched::Resources;
 use dapplecroft_state::{AtomicUpdate, UpdateResult};
-use dapplecroft_wire::MAX_BODY;
+use dapplecroft_wire::MAX_BODY_BYTES;
 use dapplecroft_wire::peer::ForwardRequest;
 use dapplecroft_wire::state::{Change, Condition};
 use dapplecroft_wire::users::{JobSpec, JobStatus, Stage, valid_id};
@@ -82,7 +82,7 @@
             return Reply::problem(404, "no such path");
         };
         let parts: Vec<&str> = rest.split('/').skip(1).collect();
-        if body.len() > MAX_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return Reply::problem(400, "over 64 KiB");
         }
         // Requests beyond the limit are refused at once with a time to retry, rather than left to wait
@@ -195,7 +195,7 @@
         };
         let value = self.with(|core| core.job_value(&record));
         let reserved_bytes = LATER_FIELDS_BYTES + self.max_credit_tag_bytes(&spec);
-        if stored_size(&value) + reserved_bytes > self.settings.params.state.lasting().value {
+        if stored_size(&value) + reserved_bytes > self.settings.params.state.lowest_limits().value {
             return self.refuse_unless_accepted(&id, 400, "too long to be stored").await;
         }
         // A conflict on a credit record means that the leader has granted or revoked credit meanwhile.
@@ -250,7 +250,7 @@
         conditions.extend(plan.conditions);
         let update = AtomicUpdate { conditions, changes: vec![Change::Set { key, value, lease: None }] };
         let spending = plan.spending.map(|spending| PendingSpending::new(self, id, spending));
-        let result = self.committer.commit_first(update.clone()).await;
+        let result = self.committer.commit_for_user(update.clone()).await;
         if let UpdateResult::Committed(revision) = &result {
             self.with(|core| core.apply_changes(&update.changes, *revision, now()));
         }
@@ -348,7 +348,7 @@
                 conditions: vec![Condition { key: key.clone(), version }],
                 changes: vec![Change::Set { key, value, lease: None }],
             };
-            match self.committer.commit_first(update.clone()).await {
+            match self.committer.commit_for_user(update.clone()).await {
                 UpdateResult::Committed(revision) => {
                     let status = self.with(|core| {
                         core.apply_changes(&update.changes, revision, now());
--- a/crates/dapplecroft-state/src/committer.rs
+++ b/crates/dapplecroft-state/src/committer.rs
@@ -1,7 +1,7 @@
-//! Group commit: units of change that are atomic by themselves are carried in
-//! shared transactions, whose size grows with what has queued up meanwhile.
+//! Group commit: independent atomic updates are combined into shared transactions. The more updates are
+//! queued while a transaction is in flight, the larger the next one.
 
-use crate::{StateClient, TOO_LARGE, Verdicts};
+use crate::{STATUS_BAD_REQUEST, StateClient, TransactionResult};
 use dapplecroft_net::Outcome;
 use dapplecroft_wire::state::{Change, Condition, Transaction};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -11,206 +11,223 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// The largest transaction that is put together, well under the service's limit.
-const MAX_BYTES: usize = 48 * 1024;
+/// Maximum size of a shared transaction, well below the service's limit.
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// A group has the changes that this node may make in about so many seconds.
-const GROUP_SECONDS: f64 = 0.5;
-/// The part of a second's changes that is kept for what users wait for.
-const RESERVE: f64 = 0.3;
-/// What can wait is no longer put behind what can't after so long.
-const LATEST: Duration = Duration::from_secs(2);
-/// How long a group gathers while requests are scarce.
-const GATHER: Duration = Duration::from_millis(50);
+/// A group contains at most the changes that this node may make in this number of seconds.
+const GROUP_WRITE_SECONDS: f64 = 0.5;
+/// Fraction of one second's changes that deferrable updates leave in the write budget, for updates that users
+/// or urgent work wait for.
+const URGENT_WRITE_RESERVE: f64 = 0.3;
+/// A deferrable update that has been queued for this long becomes urgent.
+const MAX_DEFERRAL: Duration = Duration::from_secs(2);
+/// Pause before the next group while the request budget is scarce, so that the group becomes larger.
+const GROUP_GATHER_DELAY: Duration = Duration::from_millis(50);
 
-/// A change that is made whole or not at all.
+/// Changes that are made together or not at all.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AtomicUpdate {
-    /// Conditions.
+    /// Conditions that must all hold for the changes to be made.
     pub conditions: Vec<Condition>,
-    /// Changes.
+    /// Changes to make.
     pub changes: Vec<Change>,
 }
 
-/// What became of a unit.
+/// Result of an [`AtomicUpdate`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// Made, at this revision.
+    /// The changes were made at this revision.
     Committed(u64),
-    /// Not made: these keys were not as the conditions said.
+    /// The changes were not made, because the conditions on these keys failed.
     Conflict(Vec<String>),
-    /// Not made, and never will be.
+    /// The changes were not made and never will be; holds the reason.
     Refused(String),
-    /// Nobody knows; it may yet be made.
+    /// It is not known whether the changes were made, and they may still be made later; holds the reason.
     Unknown(String),
 }
 
-struct Waiting {
+/// An update that waits to be committed.
+struct QueuedUpdate {
     update: AtomicUpdate,
+    /// Estimated size of the update in a transaction.
     bytes: usize,
     reply: oneshot::Sender<UpdateResult>,
-    rank: Rank,
-    /// Whether it goes without others: together they were refused.
-    alone: bool,
-    since: Instant,
+    priority: CommitPriority,
+    /// Whether the update must be committed in a transaction of its own, because the service rejected the
+    /// shared transaction that it was part of.
+    send_alone: bool,
+    queued_at: Instant,
 }
 
-/// What goes before what.
+/// Order in which queued updates are committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Rank {
-    /// A user waits for it: at once.
+enum CommitPriority {
+    /// A user waits for the update: committed without waiting for the write budget.
     User,
-    /// Urgent work waits for it.
-    Soon,
-    /// All else.
-    Later,
+    /// Urgent work waits for the update.
+    Urgent,
+    /// Everything else.
+    Deferrable,
 }
 
-/// Collects units and commits them in groups.
+/// Queues atomic updates and commits them in groups.
 pub struct Committer {
-    queue: Mutex<VecDeque<Waiting>>,
-    wake: Notify,
-    taken: Notify,
-    urgent: Notify,
+    queue: Mutex<VecDeque<QueuedUpdate>>,
+    /// Notified when any update is queued.
+    update_queued: Notify,
+    /// Notified when a group has been taken from the queue.
+    group_taken: Notify,
+    /// Notified when an update is queued that is not deferrable.
+    urgent_queued: Notify,
+    /// Maximum number of changes in a transaction.
     max_changes: AtomicUsize,
-    bound: usize,
+    /// Maximum number of queued updates.
+    max_queued: usize,
 }
 
 impl Committer {
-    /// A committer for transactions of up to `max_changes`; it refuses units
-    /// once `bound` are waiting.
-    pub fn new(max_changes: usize, bound: usize) -> Self {
+    /// Creates a committer whose transactions have at most `max_changes` changes. It refuses new updates
+    /// while `max_queued` updates are queued.
+    pub fn new(max_changes: usize, max_queued: usize) -> Self {
         Committer {
             queue: Mutex::default(),
-            wake: Notify::new(),
-            taken: Notify::new(),
-            urgent: Notify::new(),
+            update_queued: Notify::new(),
+            group_taken: Notify::new(),
+            urgent_queued: Notify::new(),
             max_changes: AtomicUsize::new(max_changes),
-            bound,
+            max_queued,
         }
     }
 
-    /// Changes the most that transactions have from now on.
-    pub fn set_max_changes(&self, most: usize) {
-        self.max_changes.store(most.max(1), Ordering::Relaxed);
+    /// Sets the maximum number of changes in a transaction.
+    pub fn set_max_changes(&self, max_changes: usize) {
+        self.max_changes.store(max_changes.max(1), Ordering::Relaxed);
     }
 
     fn max_changes(&self) -> usize {
         self.max_changes.load(Ordering::Relaxed)
     }
 
-    /// How many units are waiting.
-    pub fn waiting(&self) -> usize {
+    /// Number of queued updates.
+    pub fn queued(&self) -> usize {
         self.lock().len()
     }
 
-    /// How many of them go before what can wait.
-    pub fn waiting_soon(&self) -> usize {
-        self.lock().iter().filter(|w| w.rank < Rank::Later).count()
+    /// Number of queued updates that are not deferrable.
+    pub fn queued_urgent(&self) -> usize {
+        self.lock().iter().filter(|w| w.priority < CommitPriority::Deferrable).count()
     }
 
-    /// Waits until a group was taken from the queue.
-    pub async fn taken(&self) {
-        self.taken.notified().await;
+    /// Waits until a group has been taken from the queue.
+    pub async fn group_taken(&self) {
+        self.group_taken.notified().await;
     }
 
-    /// How many units may wait before it is better to put none together yet.
-    pub fn enough(&self) -> usize {
+    /// Queue length from which callers should postpone building further updates, so that these reflect the
+    /// latest state when they are built.
+    pub fn backlog_target(&self) -> usize {
         (self.max_changes() / 4).max(2)
     }
 
-    /// Queues a unit and waits for its result.
+    /// Queues a deferrable update and waits for its result.
     pub async fn commit(&self, update: AtomicUpdate) -> UpdateResult {
-        self.enqueue(update, Rank::Later).await
+        self.enqueue(update, CommitPriority::Deferrable).await
     }
 
-    /// The same, ahead of what is queued already: a user waits for it.
-    pub async fn commit_first(&self, update: AtomicUpdate) -> UpdateResult {
-        self.enqueue(update, Rank::User).await
+    /// Queues an update that a user waits for, ahead of all urgent and deferrable updates, and waits for its
+    /// result.
+    pub async fn commit_for_user(&self, update: AtomicUpdate) -> UpdateResult {
+        self.enqueue(update, CommitPriority::User).await
     }
 
-    /// The same, behind what users wait for: urgent work waits for it.
-    pub async fn commit_soon(&self, update: AtomicUpdate) -> UpdateResult {
-        self.enqueue(update, Rank::Soon).await
+    /// Queues an update that urgent work waits for, behind those that users wait for, and waits for its
+    /// result.
+    pub async fn commit_urgent(&self, update: AtomicUpdate) -> UpdateResult {
+        self.enqueue(update, CommitPriority::Urgent).await
     }
 
-    async fn enqueue(&self, update: AtomicUpdate, rank: Rank) -> UpdateResult {
+    async fn enqueue(&self, update: AtomicUpdate, priority: CommitPriority) -> UpdateResult {
         let (reply, result) = oneshot::channel();
-        let bytes =
-            serde_json::to_vec(&update.changes).map_or(MAX_BYTES, |v| v.len()) + 80 * update.conditions.len();
+        let bytes = serde_json::to_vec(&update.changes).map_or(MAX_TRANSACTION_BYTES, |v| v.len())
+            + 80 * update.conditions.len();
         {
             let mut queue = self.lock();
-            if queue.len() >= self.bound {
-                return UpdateResult::Refused("too many changes waiting".into());
+            if queue.len() >= self.max_queued {
+                return UpdateResult::Refused("commit queue is full".into());
             }
-            if rank < Rank::Later {
-                self.urgent.notify_one();
+            if priority < CommitPriority::Deferrable {
+                self.urgent_queued.notify_one();
             }
-            let at = queue.iter().position(|w| w.rank > rank).unwrap_or(queue.len());
-            queue.insert(at, Waiting { update, bytes, reply, rank, alone: false, since: Instant::now() });
+            let position = queue.iter().position(|w| w.priority > priority).unwrap_or(queue.len());
+            queue.insert(
+                position,
+                QueuedUpdate { update, bytes, reply, priority, send_alone: false, queued_at: Instant::now() },
+            );
         }
-        self.wake.notify_one();
-        result.await.unwrap_or_else(|_| UpdateResult::Unknown("committer ended".into()))
+        self.update_queued.notify_one();
+        result
+            .await
+            .unwrap_or_else(|_| UpdateResult::Unknown("committer stopped before it reported a result".into()))
     }
 
-    /// Commits what is queued, for ever.
+    /// Commits queued updates; never returns.
     pub async fn run(&self, client: Arc<StateClient>) {
         loop {
-            if self.waiting() == 0 {
-                self.wake.notified().await;
+            if self.queued() == 0 {
+                self.update_queued.notified().await;
                 continue;
             }
-            // What joins the queue while changes have to be waited for goes along.
-            // Small groups, often: a large one waits longer, is refused sooner
-            // since the service's bursts are shared, and one outdated condition
-            // spoils it for more.
-            let most = ((client.write_rate() * GROUP_SECONDS) as usize).clamp(2, self.max_changes().max(2));
+            // Updates that are queued during the wait for the write budget join the group. Groups are small
+            // and frequent: a large one waits longer for the budget, is more likely to be refused since all
+            // nodes share the service's burst, and one outdated condition in it delays more updates.
+            let max_group_changes =
+                ((client.write_rate() * GROUP_WRITE_SECONDS) as usize).clamp(2, self.max_changes().max(2));
             let rate = client.write_rate();
-            match self.next_rank() {
-                Some(Rank::User) => {}
-                // Soon, unless what went soon has used up what comes next
-                // already: the service's bursts are shared.
-                Some(Rank::Soon) => {
+            match self.next_priority() {
+                Some(CommitPriority::User) => {}
+                // Urgent updates may overdraw the write budget, but only by about a fifth of a second's
+                // changes, since all nodes share the service's burst.
+                Some(CommitPriority::Urgent) => {
                     tokio::select! {
-                        () = client.wait_for_writes(1.0 - rate * 0.2) => {}
-                        () = self.urgent.notified() => continue,
+                        () = client.wait_for_write_budget(1.0 - rate * 0.2) => {}
+                        () = self.urgent_queued.notified() => continue,
                     }
                 }
-                // A part of the burst is kept for what can't wait.
+                // Deferrable updates leave part of the burst for updates that cannot wait.
                 _ => {
-                    let changes = most.min(self.waiting()) as f64 + rate * RESERVE;
+                    let changes = max_group_changes.min(self.queued()) as f64 + rate * URGENT_WRITE_RESERVE;
                     tokio::select! {
-                        () = client.wait_for_writes(changes) => {}
-                        () = self.urgent.notified() => continue,
+                        () = client.wait_for_write_budget(changes) => {}
+                        () = self.urgent_queued.notified() => continue,
                     }
                 }
             }
-            let group = self.next_group(most);
-            self.taken.notify_one();
+            let group = self.next_group(max_group_changes);
+            self.group_taken.notify_one();
             self.commit_group(&client, group).await;
-            // Requests are scarce: the next group waits for company.
-            if client.request_room() < 0.5 {
-                tokio::time::sleep(GATHER).await;
+            // The request budget is scarce: wait for more updates to join the next group.
+            if client.request_burst_left() < 0.5 {
+                tokio::time::sleep(GROUP_GATHER_DELAY).await;
             }
         }
     }
 
-    async fn commit_group(&self, client: &StateClient, group: Vec<Waiting>) {
+    async fn commit_group(&self, client: &StateClient, group: Vec<QueuedUpdate>) {
         let mut transaction = Transaction::default();
         let mut seen = HashSet::new();
-        for waiting in &group {
-            for condition in &waiting.update.conditions {
+        for queued in &group {
+            for condition in &queued.update.conditions {
                 if seen.insert(condition.key.clone()) {
                     transaction.conditions.push(condition.clone());
                 }
             }
-            transaction.changes.extend(waiting.update.changes.iter().cloned());
+            transaction.changes.extend(queued.update.changes.iter().cloned());
         }
-        let began = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let outcome = client.transact(&transaction, true).await;
         let verdict = match &outcome {
-            Outcome::Done(Verdicts::Committed(_)) => "made",
-            Outcome::Done(Verdicts::Conflict(_)) => "in conflict",
+            Outcome::Done(TransactionResult::Committed(_)) => "made",
+            Outcome::Done(TransactionResult::Conflict(_)) => "in conflict",
             Outcome::Refused(_) => "refused",
             Outcome::Unknown(_) => "unknown",
         };
@@ -219,73 +236,76 @@
             changes = transaction.changes.len(),
             keys = ?transaction.changes.iter().map(Change::key).collect::<Vec<_>>(),
             conditions = transaction.conditions.len(),
-            left = self.waiting(),
-            took = ?began.elapsed(),
+            left = self.queued(),
+            took = ?started.elapsed(),
             verdict,
-            "changes committed together"
+            "group commit finished"
         );
         match outcome {
-            Outcome::Done(Verdicts::Committed(revision)) => {
-                finish(group, |_| UpdateResult::Committed(revision));
+            Outcome::Done(TransactionResult::Committed(revision)) => {
+                reply_to_all(group, |_| UpdateResult::Committed(revision));
             }
-            Outcome::Done(Verdicts::Conflict(failed)) => {
+            Outcome::Done(TransactionResult::Conflict(failed)) => {
                 let failed: HashSet<String> = failed.into_iter().collect();
-                let mut rest = Vec::new();
-                for waiting in group {
-                    let own: Vec<String> = waiting
+                let mut unaffected = Vec::new();
+                for queued in group {
+                    let failed_keys: Vec<String> = queued
                         .update
                         .conditions
                         .iter()
                         .filter(|c| failed.contains(&c.key))
                         .map(|c| c.key.clone())
                         .collect();
-                    if own.is_empty() && !failed.is_empty() {
-                        rest.push(waiting);
+                    if failed_keys.is_empty() && !failed.is_empty() {
+                        unaffected.push(queued);
                     } else {
-                        let _ = waiting.reply.send(UpdateResult::Conflict(own));
+                        let _ = queued.reply.send(UpdateResult::Conflict(failed_keys));
                     }
                 }
-                // Units that only shared the transaction go first next time.
+                // Updates whose own conditions did not fail are put back at the head of the queue.
                 let mut queue = self.lock();
-                for waiting in rest.into_iter().rev() {
-                    queue.push_front(waiting);
+                for queued in unaffected.into_iter().rev() {
+                    queue.push_front(queued);
                 }
             }
-            Outcome::Refused(e) if e.starts_with(TOO_LARGE) && group.len() > 1 => {
-                // Limits may have become smaller. Nothing was made: each goes by
-                // itself, and only what is too large alone is refused.
-                tracing::info!(units = group.len(), error = e, "a transaction is split");
+            Outcome::Refused(e) if e.starts_with(STATUS_BAD_REQUEST) && group.len() > 1 => {
+                // The service may have lowered its limits. Nothing was changed, so each update is committed
+                // in a transaction of its own, and only one that is too large by itself is refused.
+                tracing::info!(units = group.len(), error = e, "splitting a rejected transaction");
                 let mut queue = self.lock();
-                for waiting in group.into_iter().rev() {
-                    queue.push_front(Waiting { alone: true, ..waiting });
+                for queued in group.into_iter().rev() {
+                    queue.push_front(QueuedUpdate { send_alone: true, ..queued });
                 }
             }
-            Outcome::Refused(e) => finish(group, |_| UpdateResult::Refused(e.clone())),
-            Outcome::Unknown(e) => finish(group, |_| UpdateResult::Unknown(e.clone())),
+            Outcome::Refused(e) => reply_to_all(group, |_| UpdateResult::Refused(e.clone())),
+            Outcome::Unknown(e) => reply_to_all(group, |_| UpdateResult::Unknown(e.clone())),
         }
     }
 
-    fn next_group(&self, most: usize) -> Vec<Waiting> {
+    /// Takes the next group from the queue: updates of one priority that do not conflict with each other and
+    /// have at most `max_group_changes` changes together. A single update may exceed the limits.
+    fn next_group(&self, max_group_changes: usize) -> Vec<QueuedUpdate> {
         let mut queue = self.lock();
-        let mut group: Vec<Waiting> = Vec::new();
+        let mut group: Vec<QueuedUpdate> = Vec::new();
         let (mut changes, mut bytes) = (0, 0);
         let mut conditions: HashMap<String, u64> = HashMap::new();
         let mut written: HashSet<String> = HashSet::new();
         while let Some(next) = queue.front() {
             let update = &next.update;
-            let clash = update.changes.iter().any(|c| written.contains(c.key()))
+            let conflicting = update.changes.iter().any(|c| written.contains(c.key()))
                 || update.conditions.iter().any(|c| {
                     written.contains(&c.key) || conditions.get(&c.key).is_some_and(|v| *v != c.version)
                 });
-            let fresh = update.conditions.iter().filter(|c| !conditions.contains_key(&c.key)).count();
-            let full = changes + update.changes.len() > most
-                || conditions.len() + fresh > 4 * self.max_changes()
-                || bytes + next.bytes > MAX_BYTES;
-            // What can't wait goes without the others.
-            let other = group.first().is_some_and(|w| w.rank != next.rank);
-            // A unit that is too large by itself still goes, and is refused there.
-            let alone = next.alone || group.first().is_some_and(|w| w.alone);
-            if !group.is_empty() && (clash || full || other || alone) {
+            let new_conditions =
+                update.conditions.iter().filter(|c| !conditions.contains_key(&c.key)).count();
+            let full = changes + update.changes.len() > max_group_changes
+                || conditions.len() + new_conditions > 4 * self.max_changes()
+                || bytes + next.bytes > MAX_TRANSACTION_BYTES;
+            // Updates of different priorities are not combined, so that deferrable ones cannot delay others.
+            let other_priority = group.first().is_some_and(|w| w.priority != next.priority);
+            // An update that is too large by itself is still sent; the service then rejects it.
+            let send_alone = next.send_alone || group.first().is_some_and(|w| w.send_alone);
+            if !group.is_empty() && (conflicting || full || other_priority || send_alone) {
                 break;
             }
             changes += update.changes.len();
@@ -298,26 +318,31 @@
         group
     }
 
-    fn next_rank(&self) -> Option<Rank> {
+    /// Priority of the update at the head of the queue, after promoting an overdue deferrable update.
+    fn next_priority(&self) -> Option<CommitPriority> {
         let mut queue = self.lock();
-        // What can wait must not wait for ever behind what comes and comes.
-        let old = |w: &Waiting| w.rank == Rank::Later && w.since.elapsed() >= LATEST;
-        if let Some(mut waiting) = queue.iter().position(old).and_then(|n| queue.remove(n)) {
-            waiting.rank = Rank::Soon;
-            let at = queue.iter().position(|w| w.rank > Rank::User).unwrap_or(queue.len());
-            queue.insert(at, waiting);
+        // A steady stream of urgent updates must not starve the deferrable ones.
+        let overdue = |w: &QueuedUpdate| {
+            w.priority == CommitPriority::Deferrable && w.queued_at.elapsed() >= MAX_DEFERRAL
+        };
+        if let Some(mut queued) = queue.iter().position(overdue).and_then(|n| queue.remove(n)) {
+            queued.priority = CommitPriority::Urgent;
+            let position =
+                queue.iter().position(|w| w.priority > CommitPriority::User).unwrap_or(queue.len());
+            queue.insert(position, queued);
         }
-        queue.front().map(|w| w.rank)
+        queue.front().map(|w| w.priority)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<Waiting>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<QueuedUpdate>> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn finish(group: Vec<Waiting>, result: impl Fn(&AtomicUpdate) -> UpdateResult) {
-    for waiting in group {
-        let outcome = result(&waiting.update);
-        let _ = waiting.reply.send(outcome);
+/// Sends every update of a group its result.
+fn reply_to_all(group: Vec<QueuedUpdate>, result: impl Fn(&AtomicUpdate) -> UpdateResult) {
+    for queued in group {
+        let outcome = result(&queued.update);
+        let _ = queued.reply.send(outcome);
     }
 }
--- a/crates/dapplecroft/src/http.rs
+++ b/crates/dapplecroft/src/http.rs
@@ -1,21 +1,22 @@
-//! Users, workers and health checks over HTTP.
+//! HTTP server for users, workers and health checks.
 
-use crate::front::{FrontAcceptor, Gate};
+use crate::http_connections::{ReadThrottle, ThrottledAcceptor};
 use dapplecroft_controller::{Node, Reply};
-use dapplecroft_net::Sockets;
-use dapplecroft_wire::MAX_BODY;
+use dapplecroft_net::SocketLimiter;
+use dapplecroft_wire::MAX_BODY_BYTES;
 use poem::http::{StatusCode, header};
 use poem::listener::{Listener, TcpListener};
 use poem::{Endpoint, Request, Response, Server};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-struct Front {
+/// Passes each request to the controller and decides whether the connection stays open after the reply.
+struct HttpEndpoint {
     node: Arc<Node>,
-    sockets: Arc<Sockets>,
+    sockets: Arc<SocketLimiter>,
 }
 
-impl Endpoint for Front {
+impl Endpoint for HttpEndpoint {
     type Output = Response;
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
@@ -23,7 +24,7 @@
         let path = request.uri().path().to_string();
         let reply = match self.node.reject_without_reading(&path) {
             Some(reply) => reply,
-            None => match request.take_body().into_bytes_limit(MAX_BODY).await {
+            None => match request.take_body().into_bytes_limit(MAX_BODY_BYTES).await {
                 Ok(body) => self.node.handle(&method, &path, body).await,
                 Err(_) => Reply {
                     status: 400,
@@ -32,11 +33,11 @@
                 },
             },
         };
-        // A worker that is sent away leaves this node, so its socket is free.
-        let leaves = path == "/hello" && reply.status != 200;
+        // A worker whose `/hello` is rejected turns to another controller, so its connection can be closed.
+        let worker_rejected = path == "/hello" && reply.status != 200;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut builder = Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
-        if leaves || self.sockets.scarce() {
+        if worker_rejected || self.sockets.inbound_scarce() {
             builder = builder.header(header::CONNECTION, "close");
         }
         if let Some(seconds) = reply.retry_after {
@@ -46,14 +47,14 @@
     }
 }
 
-/// Serves until the process ends.
-pub async fn serve(node: Arc<Node>, sockets: Arc<Sockets>, address: SocketAddr) -> std::io::Result<()> {
-    let gate = Arc::new(Gate::default());
+/// Serves HTTP until the process ends.
+pub async fn serve(node: Arc<Node>, sockets: Arc<SocketLimiter>, address: SocketAddr) -> std::io::Result<()> {
+    let throttle = Arc::new(ReadThrottle::default());
     let listener = TcpListener::bind(address).into_acceptor().await?;
-    let acceptor = FrontAcceptor::new(listener, gate.clone(), sockets.clone());
-    let front = Front { node, sockets };
+    let acceptor = ThrottledAcceptor::new(listener, throttle.clone(), sockets.clone());
+    let endpoint = HttpEndpoint { node, sockets };
     tokio::select! {
-        result = Server::new_with_acceptor(acceptor).run(front) => result,
-        () = gate.run() => Ok(()),
+        result = Server::new_with_acceptor(acceptor).run(endpoint) => result,
+        () = throttle.run() => Ok(()),
     }
 }
