--- a/crates/dapplecroft-controller/examples/admission_cost.rs
+++ b/crates/dapplecroft-controller/examples/admission_cost.rs
@@ -22,22 +22,22 @@
 use std::time::Instant;
 use tokio::task::JoinSet;
 
-const JOBS: usize = 2000;
+const SUBMISSIONS: usize = 2000;
 /// Submissions at a time.
-const BATCH: usize = 50;
+const BATCH_SIZE: usize = 50;
 /// The part of a core that a controller of the larger sites has.
 const CORE_SHARE: f64 = 0.08;
 
 /// Submits jobs at one controller; returns how many were accepted, and the seconds that
 /// each took on the average.
-async fn submit(o: &Overload, from: usize) -> (usize, f64) {
-    let begun = Instant::now();
+async fn submit_jobs(overload: &Overload, first_job: usize) -> (usize, f64) {
+    let started_at = Instant::now();
     let mut accepted = 0;
-    for batch in 0..JOBS / BATCH {
+    for batch in 0..SUBMISSIONS / BATCH_SIZE {
         let mut submissions = JoinSet::new();
-        for n in 0..BATCH {
-            let id = format!("run-{}", from + batch * BATCH + n);
-            let node = o.cluster.node(0);
+        for n in 0..BATCH_SIZE {
+            let id = format!("run-{}", first_job + batch * BATCH_SIZE + n);
+            let node = overload.cluster.node(0);
             let request = body(&id, "a", 1).to_string().into_bytes();
             submissions
                 .spawn(async move { node.handle(&Method::POST, "/v2/runs", request.into()).await.status });
@@ -45,36 +45,36 @@
         let statuses = submissions.join_all().await;
         accepted += statuses.iter().filter(|status| **status == 201).count();
     }
-    (accepted, begun.elapsed().as_secs_f64() / JOBS as f64)
+    (accepted, started_at.elapsed().as_secs_f64() / SUBMISSIONS as f64)
 }
 
-fn job_bytes(o: &Overload) -> f64 {
-    let sizes: Vec<usize> = o
+fn mean_job_record_bytes(overload: &Overload) -> f64 {
+    let sizes: Vec<usize> = overload
         .cluster
         .state
         .keys("dc/j/")
         .iter()
-        .map(|key| o.cluster.state.value(key).unwrap().to_string().len())
+        .map(|key| overload.cluster.state.value(key).unwrap().to_string().len())
         .collect();
     sizes.iter().sum::<usize>() as f64 / sizes.len().max(1) as f64
 }
 
 async fn measure(name: &str, options: Options, in_force: bool) {
-    let o = Overload::start(3, 0, options).await;
+    let overload = Overload::start(3, 0, options).await;
     if in_force {
-        o.until_in_force().await;
+        overload.until_in_force().await;
         cluster::pause(5.0).await;
     }
-    let before = o.cluster.state.changes();
-    let (accepted, each) = submit(&o, 0).await;
-    let changes = (o.cluster.state.changes() - before) as f64;
+    let changes_before = overload.cluster.state.changes();
+    let (accepted, seconds_per_submission) = submit_jobs(&overload, 0).await;
+    let changes = (overload.cluster.state.changes() - changes_before) as f64;
     println!(
-        "{name}: {accepted} of {JOBS} accepted, {:.3} changes and {:.0} us for each submission, {:.0} bytes a record, \
+        "{name}: {accepted} of {SUBMISSIONS} accepted, {:.3} changes and {:.0} us for each submission, {:.0} bytes a record, \
          {:.0} submissions a second with {CORE_SHARE} of a core",
-        changes / JOBS as f64,
-        each * 1e6,
-        job_bytes(&o),
-        CORE_SHARE / each
+        changes / SUBMISSIONS as f64,
+        seconds_per_submission * 1e6,
+        mean_job_record_bytes(&overload),
+        CORE_SHARE / seconds_per_submission
     );
 }
 
@@ -82,6 +82,6 @@
 async fn main() {
     tokio::time::pause();
     measure("off", Options::default(), false).await;
-    measure("below the limit", options(JOBS as u64 * TASK * 20), true).await;
+    measure("below the limit", options(SUBMISSIONS as u64 * TASK * 20), true).await;
     measure("above the limit", options(20 * TASK), true).await;
 }
--- a/crates/dapplecroft-controller/examples/admission_hour.rs
+++ b/crates/dapplecroft-controller/examples/admission_hour.rs
@@ -26,10 +26,10 @@
     let seed = arguments.first().and_then(|text| text.parse().ok()).unwrap_or(1);
     let seconds = arguments.get(1).and_then(|text| text.parse().ok()).unwrap_or(3600);
     let with_admission = arguments.get(2).is_none_or(|word| word != "without");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     tokio::time::pause();
     let report = overload_hour::overload(seed, Duration::from_secs(seconds), with_admission).await;
     println!("seed {seed}, {seconds} s, admission {}", if with_admission { "on" } else { "off" });
     overload_hour::print(&report);
-    println!("{:.1} s of real time", begun.elapsed().as_secs_f64());
+    println!("{:.1} s of real time", started_at.elapsed().as_secs_f64());
 }
--- a/crates/dapplecroft-controller/examples/cells_waiting.rs
+++ b/crates/dapplecroft-controller/examples/cells_waiting.rs
@@ -17,76 +17,78 @@
 use tokio::time::{Duration, Instant, sleep};
 
 const JOBS: usize = 60;
-const TASKS: u32 = 4;
-const CPUS: f64 = 8.0;
-const RUN_S: u64 = 60;
-const EVERY: Duration = Duration::from_secs(5);
+const TASKS_PER_JOB: u32 = 4;
+const CPUS_PER_TASK: f64 = 8.0;
+const TASK_RUNTIME_S: u64 = 60;
+const SUBMISSION_INTERVAL: Duration = Duration::from_secs(5);
 
-fn name(job: usize) -> String {
+fn job_id(job: usize) -> String {
     format!("run-{}", 1000 + job)
 }
 
 async fn measure(offers: bool) {
-    let names: Vec<String> = (0..JOBS).map(name).collect();
-    let runs: Vec<(&str, u64)> = names.iter().map(|id| (id.as_str(), RUN_S)).collect();
+    let job_ids: Vec<String> = (0..JOBS).map(job_id).collect();
+    let runs: Vec<(&str, u64)> = job_ids.iter().map(|id| (id.as_str(), TASK_RUNTIME_S)).collect();
     let adjust = |_: usize, raw: &mut dapplecroft_federation::settings::RawFederation| {
         raw.offers = Some(offers);
         raw.spill_after_s = Some(10.0);
     };
-    let c = ThreeCells::with([4, 12, 12], &runs, &adjust).await;
-    let begun = Instant::now();
-    let before: Vec<u64> = c.cells.iter().map(|cell| cell.state.changes()).collect();
+    let three_cells = ThreeCells::with([4, 12, 12], &runs, &adjust).await;
+    let started_at = Instant::now();
+    let changes_before: Vec<u64> = three_cells.cells.iter().map(|cell| cell.state.changes()).collect();
     let mut submitted = BTreeMap::new();
-    for id in &names {
+    for id in &job_ids {
         submitted.insert(id.clone(), Instant::now());
-        c.submit(0, id, TASKS, CPUS).await;
-        sleep(EVERY).await;
+        three_cells.submit(0, id, TASKS_PER_JOB, CPUS_PER_TASK).await;
+        sleep(SUBMISSION_INTERVAL).await;
     }
-    while c.cells.iter().any(|cell| !cell.referee.on().is_empty()) || !all_started(&c, &names) {
+    while three_cells.cells.iter().any(|cell| !cell.referee.on().is_empty())
+        || !all_started(&three_cells, &job_ids)
+    {
         sleep(Duration::from_secs(1)).await;
     }
-    report(&c, offers, begun, &submitted, &before);
-    assert_eq!(c.overlaps(), Vec::<String>::new());
+    report(&three_cells, offers, started_at, &submitted, &changes_before);
+    assert_eq!(three_cells.overlaps(), Vec::<String>::new());
 }
 
-fn all_started(c: &ThreeCells, names: &[String]) -> bool {
-    names.iter().all(|id| (0..TASKS).all(|i| c.starts(&format!("{id}/{i}")) > 0))
+fn all_started(three_cells: &ThreeCells, job_ids: &[String]) -> bool {
+    job_ids.iter().all(|id| (0..TASKS_PER_JOB).all(|i| three_cells.starts(&format!("{id}/{i}")) > 0))
 }
 
 fn report(
-    c: &ThreeCells,
+    three_cells: &ThreeCells,
     offers: bool,
-    begun: Instant,
+    started_at: Instant,
     submitted: &BTreeMap<String, Instant>,
-    before: &[u64],
+    changes_before: &[u64],
 ) {
-    let took = begun.elapsed().as_secs_f64();
-    let mut waits: Vec<f64> = Vec::new();
-    let mut busy = [0.0; 3];
-    for (cell, cluster) in c.cells.iter().enumerate() {
+    let elapsed_s = started_at.elapsed().as_secs_f64();
+    let mut waits_s: Vec<f64> = Vec::new();
+    let mut task_seconds = [0.0; 3];
+    for (cell, cluster) in three_cells.cells.iter().enumerate() {
         for stay in cluster.referee.history() {
             let job = stay.task.split('/').next().unwrap();
-            waits.push((stay.from - submitted[job]).as_secs_f64());
-            busy[cell] += (stay.until.unwrap_or_else(Instant::now) - stay.from).as_secs_f64();
+            waits_s.push((stay.from - submitted[job]).as_secs_f64());
+            task_seconds[cell] += (stay.until.unwrap_or_else(Instant::now) - stay.from).as_secs_f64();
         }
     }
-    waits.sort_by(f64::total_cmp);
-    let at = |part: f64| waits[((waits.len() - 1) as f64 * part) as usize];
-    let mean = waits.iter().sum::<f64>() / waits.len() as f64;
-    println!("hand-overs {}: all done after {took:.0} s", if offers { "on" } else { "off" });
+    waits_s.sort_by(f64::total_cmp);
+    let quantile = |part: f64| waits_s[((waits_s.len() - 1) as f64 * part) as usize];
+    let mean_wait_s = waits_s.iter().sum::<f64>() / waits_s.len() as f64;
+    println!("hand-overs {}: all done after {elapsed_s:.0} s", if offers { "on" } else { "off" });
     println!(
-        "  a task waits {mean:.0} s on the average, {:.0} s median, {:.0} s (95%), {:.0} s at most",
-        at(0.5),
-        at(0.95),
-        at(1.0)
+        "  a task waits {mean_wait_s:.0} s on the average, {:.0} s median, {:.0} s (95%), {:.0} s at most",
+        quantile(0.5),
+        quantile(0.95),
+        quantile(1.0)
     );
-    for (cell, cluster) in c.cells.iter().enumerate() {
-        let changes = (cluster.state.changes() - before[cell]) as f64;
-        let visited = cluster.referee.history().len();
+    for (cell, cluster) in three_cells.cells.iter().enumerate() {
+        let changes = (cluster.state.changes() - changes_before[cell]) as f64;
+        let tasks_run = cluster.referee.history().len();
         println!(
-            "  cell {cell}: {visited} tasks, {:.0} task-seconds, {:.2} changes a second of 25",
-            busy[cell],
-            changes / took
+            "  cell {cell}: {tasks_run} tasks, {:.0} task-seconds, {:.2} changes a second of 25",
+            task_seconds[cell],
+            changes / elapsed_s
         );
     }
 }
--- a/crates/dapplecroft-controller/examples/fleet_cost.rs
+++ b/crates/dapplecroft-controller/examples/fleet_cost.rs
@@ -18,52 +18,56 @@
 use std::time::{Duration, Instant};
 
 const KIB: usize = 1024;
-const PAGE: usize = 4096;
+const PAGE_BYTES: usize = 4096;
 
 /// Resident memory of this process.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE
+    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
 async fn busy_cluster(machines: usize) -> Cluster {
-    let adjust = |t: &mut WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(3600));
+    let adjust = |timing: &mut WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(3600));
     };
-    let c = Cluster::with(machines, adjust, Options::default()).await;
-    c.submit("run-1", "free", machines as u32, 16.0, "normal").await;
-    c.until_running(machines).await;
-    c
+    let cluster = Cluster::with(machines, adjust, Options::default()).await;
+    cluster.submit("run-1", "free", machines as u32, 16.0, "normal").await;
+    cluster.until_running(machines).await;
+    cluster
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let machines = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(4000);
     tokio::time::pause();
-    let c = busy_cluster(machines).await;
-    let leader = c.node(c.leader().unwrap());
-    let client = StateClient::new(c.net.port("measure"), STATE.into(), 1e6, 1e6);
+    let cluster = busy_cluster(machines).await;
+    let leader = cluster.node(cluster.leader().unwrap());
+    let client = StateClient::new(cluster.net.port("measure"), STATE.into(), 1e6, 1e6);
     let Outcome::Done((items, revision)) = client.list("dc/").await else { panic!("no records") };
-    let bytes: usize = items.iter().map(|item| item.value.to_string().len()).sum();
-    println!("{machines} machines: {} records, {} KiB", items.len(), bytes / KIB);
+    let record_bytes: usize = items.iter().map(|item| item.value.to_string().len()).sum();
+    println!("{machines} machines: {} records, {} KiB", items.len(), record_bytes / KIB);
 
     let settings = leader.with(|core| core.settings.clone());
-    let before = resident_bytes();
-    let begun = Instant::now();
-    let mut fresh = Core::new(settings, Options::default(), "fresh".into());
-    fresh.load_snapshot(items, revision, begun);
-    println!("a fresh controller reads them in {:?}", begun.elapsed());
-    println!("and holds them in about {} KiB", resident_bytes().saturating_sub(before) / KIB);
+    let resident_before = resident_bytes();
+    let started_at = Instant::now();
+    let mut fresh_core = Core::new(settings, Options::default(), "fresh".into());
+    fresh_core.load_snapshot(items, revision, started_at);
+    println!("a fresh controller reads them in {:?}", started_at.elapsed());
+    println!("and holds them in about {} KiB", resident_bytes().saturating_sub(resident_before) / KIB);
 
     for n in 0..3 {
-        let node = c.node(n);
+        let node = cluster.node(n);
         let now = tokio::time::Instant::now().into_std();
-        let (shards, open) = node.with(|core| {
+        let (shards, schedulable) = node.with(|core| {
             let summary = core.summary(now);
             (summary.shards, summary.schedulable_machines)
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         node.with(|core| core.fleet_step(now));
-        println!("{}: {shards} blocks, {open} machines, a fleet step takes {:?}", host(n), begun.elapsed());
+        println!(
+            "{}: {shards} blocks, {schedulable} machines, a fleet step takes {:?}",
+            host(n),
+            started_at.elapsed()
+        );
     }
 }
--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -17,41 +17,41 @@
 /// The most machines of one page of the list.
 const MAX_LISTED: usize = 500;
 
-struct Rented {
+struct RentedMachine {
     machine_type: String,
     zone: String,
     spot: bool,
-    since: Instant,
-    gone: Option<Instant>,
+    rented_at: Instant,
+    removed_at: Option<Instant>,
     worker: Option<Arc<FakeWorker>>,
 }
 
 #[derive(Default)]
 struct Inner {
-    machines: BTreeMap<String, Rented>,
-    charters: BTreeMap<String, Vec<String>>,
-    next: u64,
+    machines: BTreeMap<String, RentedMachine>,
+    machines_by_request: BTreeMap<String, Vec<String>>,
+    last_machine_number: u64,
     capacity: usize,
-    never_up: Vec<u64>,
-    older: Duration,
+    never_booting: Vec<u64>,
+    extra_list_lag: Duration,
     outage: bool,
-    boot: Option<Duration>,
-    zones: Vec<String>,
+    boot_time_override: Option<Duration>,
+    extra_zones: Vec<String>,
 }
 
 /// A cloud that rents machines of one type, `m` (16 CPUs, 64 GB), in zone `z`.
 pub struct FakeCloud {
     inner: Mutex<Inner>,
     net: Arc<Net>,
-    referee: Arc<InvariantChecker>,
-    nodes: Vec<(String, String)>,
+    checker: Arc<InvariantChecker>,
+    controllers: Vec<(String, String)>,
     timing: WorkerTiming,
-    lag: Duration,
-    boot: Duration,
-    own: Weak<FakeCloud>,
+    list_lag: Duration,
+    default_boot_time: Duration,
+    weak_self: Weak<FakeCloud>,
 }
 
-fn answer(status: u16, body: Value) -> Response {
+fn json_response(status: u16, body: Value) -> Response {
     Response { status, body: body.to_string().into_bytes().into() }
 }
 
@@ -64,21 +64,21 @@
         timing: WorkerTiming,
         capacity: usize,
     ) -> Arc<FakeCloud> {
-        Arc::new_cyclic(|own| FakeCloud {
+        Arc::new_cyclic(|weak_self| FakeCloud {
             inner: Mutex::new(Inner { capacity, ..Inner::default() }),
             net: net.clone(),
-            referee: referee.clone(),
-            nodes: nodes.to_vec(),
+            checker: referee.clone(),
+            controllers: nodes.to_vec(),
             timing,
-            lag: Duration::from_secs(6),
-            boot: Duration::from_secs(5),
-            own: own.clone(),
+            list_lag: Duration::from_secs(6),
+            default_boot_time: Duration::from_secs(5),
+            weak_self: weak_self.clone(),
         })
     }
 
     /// The n-th machine (from 1) never comes up.
     pub fn never_up(&self, n: u64) {
-        self.inner.lock().unwrap().never_up.push(n);
+        self.inner.lock().unwrap().never_booting.push(n);
     }
 
     /// There is room for only so many machines from now on.
@@ -88,12 +88,12 @@
 
     /// Machines are up so soon from now on.
     pub fn boots_within(&self, time: Duration) {
-        self.inner.lock().unwrap().boot = Some(time);
+        self.inner.lock().unwrap().boot_time_override = Some(time);
     }
 
     /// Machines are to be had in these zones besides `z`.
     pub fn add_zones(&self, zones: &[&str]) {
-        self.inner.lock().unwrap().zones.extend(zones.iter().map(|z| z.to_string()));
+        self.inner.lock().unwrap().extra_zones.extend(zones.iter().map(|z| z.to_string()));
     }
 
     /// The zone of a machine.
@@ -103,7 +103,7 @@
 
     /// Lists describe a moment that much longer ago.
     pub fn older_lists(&self, by: Duration) {
-        self.inner.lock().unwrap().older = by;
+        self.inner.lock().unwrap().extra_list_lag = by;
     }
 
     /// Begins or ends an outage.
@@ -114,7 +114,7 @@
     /// Names of machines that exist.
     pub fn machines(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        inner.machines.iter().filter(|(_, m)| m.gone.is_none()).map(|(id, _)| id.clone()).collect()
+        inner.machines.iter().filter(|(_, m)| m.removed_at.is_none()).map(|(id, _)| id.clone()).collect()
     }
 
     /// How many machines were ever rented.
@@ -134,15 +134,15 @@
 
     /// A machine dies, or is taken, without a word.
     pub fn take(&self, id: &str) {
-        self.remove(&[id.to_string()]);
+        self.remove_machines(&[id.to_string()]);
     }
 
-    fn remove(&self, ids: &[String]) {
+    fn remove_machines(&self, ids: &[String]) {
         let mut inner = self.inner.lock().unwrap();
         for id in ids {
             if let Some(machine) = inner.machines.get_mut(id) {
-                machine.gone.get_or_insert(Instant::now());
-                self.referee.machine(id, None);
+                machine.removed_at.get_or_insert(Instant::now());
+                self.checker.machine(id, None);
                 if let Some(worker) = machine.worker.take() {
                     worker.destroy();
                 }
@@ -150,87 +150,86 @@
         }
     }
 
-    fn rent(&self, request: &RentRequest) -> Response {
+    fn rent_machines(&self, request: &RentRequest) -> Response {
         let mut inner = self.inner.lock().unwrap();
-        if let Some(ids) = inner.charters.get(&request.request) {
-            return answer(200, json!({"holdings": ids}));
+        if let Some(ids) = inner.machines_by_request.get(&request.request) {
+            return json_response(200, json!({"holdings": ids}));
         }
-        let used = inner.machines.values().filter(|m| m.gone.is_none()).count();
+        let used = inner.machines.values().filter(|m| m.removed_at.is_none()).count();
         let count = (request.count as usize).min(inner.capacity.saturating_sub(used));
         if count == 0 {
-            return answer(503, json!({"error": "no capacity"}));
+            return json_response(503, json!({"error": "no capacity"}));
         }
         let mut ids = Vec::new();
         for _ in 0..count {
-            inner.next += 1;
-            let n = inner.next;
-            let id = format!("i-{n:06}");
-            let rented = Rented {
+            inner.last_machine_number += 1;
+            let number = inner.last_machine_number;
+            let id = format!("i-{number:06}");
+            let rented = RentedMachine {
                 machine_type: request.machine_type.clone(),
                 zone: request.zone.clone(),
                 spot: request.spot,
-                since: Instant::now(),
-                gone: None,
+                rented_at: Instant::now(),
+                removed_at: None,
                 worker: None,
             };
             inner.machines.insert(id.clone(), rented);
-            if !inner.never_up.contains(&n) {
-                let (cloud, id) = (self.own.upgrade().unwrap(), id.clone());
-                tokio::spawn(async move { cloud.boot(&id).await });
+            if !inner.never_booting.contains(&number) {
+                let (cloud, id) = (self.weak_self.upgrade().unwrap(), id.clone());
+                tokio::spawn(async move { cloud.boot_machine(&id).await });
             }
             ids.push(id);
         }
-        inner.charters.insert(request.request.clone(), ids.clone());
-        answer(200, json!({"holdings": ids}))
+        inner.machines_by_request.insert(request.request.clone(), ids.clone());
+        json_response(200, json!({"holdings": ids}))
     }
 
-    async fn boot(&self, id: &str) {
-        let boot = self.inner.lock().unwrap().boot.unwrap_or(self.boot);
-        sleep(boot).await;
+    async fn boot_machine(&self, id: &str) {
+        let boot_time = self.inner.lock().unwrap().boot_time_override.unwrap_or(self.default_boot_time);
+        sleep(boot_time).await;
         let mut inner = self.inner.lock().unwrap();
-        let Some(machine) = inner.machines.get_mut(id).filter(|m| m.gone.is_none()) else { return };
+        let Some(machine) = inner.machines.get_mut(id).filter(|m| m.removed_at.is_none()) else { return };
         let worker = FakeWorker::start(
             &self.net,
-            &self.referee,
-            &self.nodes,
+            &self.checker,
+            &self.controllers,
             &self.timing,
             id,
             &machine.machine_type,
             &machine.zone,
             machine.spot,
         );
-        self.referee.zone(id, &machine.zone);
+        self.checker.zone(id, &machine.zone);
         machine.worker = Some(worker);
-        self.referee.machine(id, Some(16.0));
+        self.checker.machine(id, Some(16.0));
     }
 
-    fn yards(&self) -> Vec<String> {
+    fn zones(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        std::iter::once("z".to_string()).chain(inner.zones.iter().cloned()).collect()
+        std::iter::once("z".to_string()).chain(inner.extra_zones.iter().cloned()).collect()
     }
 
     /// A page of the list: what follows `from`, and no more than the protocol allows.
-    fn list(&self, path: &str) -> Response {
+    fn list_machines(&self, path: &str) -> Response {
         let inner = self.inner.lock().unwrap();
-        let Some(at) = Instant::now().checked_sub(self.lag + inner.older) else {
-            return answer(200, json!({"holdings": [], "truncated": false}));
+        let Some(at) = Instant::now().checked_sub(self.list_lag + inner.extra_list_lag) else {
+            return json_response(200, json!({"holdings": [], "truncated": false}));
         };
         let query = Query::new(path);
         let from = query.text("from");
         let limit = usize::try_from(query.number("limit")).unwrap_or(MAX_LISTED).clamp(1, MAX_LISTED);
-        let mut listed = inner
-            .machines
-            .iter()
-            .filter(|(id, m)| **id > from && m.since <= at && m.gone.is_none_or(|gone| gone > at));
-        let list: Vec<Value> = listed
+        let mut listed = inner.machines.iter().filter(|(id, m)| {
+            **id > from && m.rented_at <= at && m.removed_at.is_none_or(|removed_at| removed_at > at)
+        });
+        let page: Vec<Value> = listed
             .by_ref()
             .take(limit)
             .map(|(id, m)| {
                 json!({"id": id, "address": format!("w:{id}"), "hull": m.machine_type, "yard": m.zone,
-                    "loaners": m.spot, "stage": "running", "held_s": (at - m.since).as_secs_f64()})
+                    "loaners": m.spot, "stage": "running", "held_s": (at - m.rented_at).as_secs_f64()})
             })
             .collect();
-        answer(200, json!({"holdings": list, "truncated": listed.next().is_some()}))
+        json_response(200, json!({"holdings": page, "truncated": listed.next().is_some()}))
     }
 }
 
@@ -239,26 +238,26 @@
     async fn handle(&self, _: &str, _: Method, path: &str, body: &[u8]) -> Response {
         sleep(Duration::from_millis(50)).await;
         if self.inner.lock().unwrap().outage {
-            return answer(503, json!({"error": "trouble"}));
+            return json_response(503, json!({"error": "trouble"}));
         }
         match path {
-            "/catalog" => answer(
+            "/catalog" => json_response(
                 200,
                 json!({"hulls": [{"name": "m", "cpus": 16.0, "gpus": 0, "memory_gb": 64.0, "local_gb": 50,
-                    "pull_gb_per_s": 1.0, "price": 1.0, "market_price": 0.3, "boot_s": 5, "yards": self.yards()}]}),
+                    "pull_gb_per_s": 1.0, "price": 1.0, "market_price": 0.3, "boot_s": 5, "yards": self.zones()}]}),
             ),
             "/rentals" => match serde_json::from_slice::<RentRequest>(body) {
-                Ok(request) => self.rent(&request),
-                Err(_) => answer(400, json!({"error": "malformed"})),
+                Ok(request) => self.rent_machines(&request),
+                Err(_) => json_response(400, json!({"error": "malformed"})),
             },
             "/rentals/release" => match serde_json::from_slice::<MachineNames>(body) {
                 Ok(names) => {
-                    self.remove(&names.machines);
-                    answer(200, json!({}))
+                    self.remove_machines(&names.machines);
+                    json_response(200, json!({}))
                 }
-                Err(_) => answer(400, json!({"error": "malformed"})),
+                Err(_) => json_response(400, json!({"error": "malformed"})),
             },
-            _ => self.list(path),
+            _ => self.list_machines(path),
         }
     }
 }
--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -23,12 +23,12 @@
     violations: Vec<String>,
     accepted_at: BTreeMap<String, Instant>,
     answered_at: HashMap<String, Instant>,
-    began_at: HashMap<String, Instant>,
+    first_started_at: HashMap<String, Instant>,
     faults_over_at: Option<Instant>,
     service_replicas: BTreeMap<String, u32>,
     missing_since: HashMap<String, Instant>,
     late_starts: Vec<String>,
-    reported: HashMap<String, Told>,
+    told_status: HashMap<String, Told>,
     machine_cpus: BTreeMap<String, f64>,
     machine_zones: HashMap<String, String>,
     constraints: HashMap<String, PlacementConstraint>,
@@ -80,7 +80,7 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     inner: Mutex<Inner>,
-    cancel_after: Mutex<Duration>,
+    cancellation_grace: Mutex<Duration>,
 }
 
 mod answers;
@@ -96,9 +96,9 @@
     /// A checker that allows tasks of a cancelled job to run this long after
     /// the cancellation.
     pub fn new(cancel_after: Duration) -> Arc<InvariantChecker> {
-        let referee = InvariantChecker::default();
-        *referee.cancel_after.lock().unwrap() = cancel_after;
-        Arc::new(referee)
+        let checker = InvariantChecker::default();
+        *checker.cancellation_grace.lock().unwrap() = cancel_after;
+        Arc::new(checker)
     }
 
     /// Records a violation found elsewhere.
@@ -110,19 +110,19 @@
     pub fn started(&self, task: &str, attempt: u64, machine: &str) {
         let mut inner = self.inner.lock().unwrap();
         if let Some(other) = inner.placements.get(task) {
-            let note = format!("ran_twice: {task} starts on {machine} while on {other}");
-            inner.violations.push(note);
+            let violation = format!("ran_twice: {task} starts on {machine} while on {other}");
+            inner.violations.push(violation);
         }
         if let Some(at) = inner.cancelled_at.get(job_of(task))
-            && at.elapsed() > *self.cancel_after.lock().unwrap()
+            && at.elapsed() > *self.cancellation_grace.lock().unwrap()
         {
             inner.violations.push(format!("ran_cancelled: {task} starts on {machine}"));
         }
         if inner.cancelled_at.contains_key(job_of(task)) {
             inner.late_starts.push(format!("{task} starts on {machine}"));
         }
-        if let Some(note) = inner.placement_violation(task, machine) {
-            inner.violations.push(note);
+        if let Some(violation) = inner.placement_violation(task, machine) {
+            inner.violations.push(violation);
         }
         let key = (task.to_string(), attempt);
         if let Some(other) = inner.attempts.insert(key, machine.into()) {
@@ -136,7 +136,7 @@
             from: Instant::now(),
             until: None,
         });
-        inner.began_at.entry(job_of(task).into()).or_insert_with(Instant::now);
+        inner.first_started_at.entry(job_of(task).into()).or_insert_with(Instant::now);
         *inner.start_counts.entry(task.into()).or_default() += 1;
         let team = inner.jobs.get(job_of(task)).map(|job| job.team.clone());
         if let Some(team) = team {
@@ -166,9 +166,10 @@
         if inner.placements.get(task).is_some_and(|m| m == machine) {
             inner.placements.remove(task);
         }
-        let stays = inner.placement_history.iter_mut().rev();
-        let mut open = stays.filter(|s| s.until.is_none() && s.task == task && s.machine == machine);
-        if let Some(stay) = open.next() {
+        let newest_first = inner.placement_history.iter_mut().rev();
+        let mut ongoing =
+            newest_first.filter(|s| s.until.is_none() && s.task == task && s.machine == machine);
+        if let Some(stay) = ongoing.next() {
             stay.until = Some(Instant::now());
         }
     }
@@ -192,9 +193,9 @@
     pub fn broken(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         let mut broken = inner.violations.clone();
-        let limit = *self.cancel_after.lock().unwrap();
+        let grace = *self.cancellation_grace.lock().unwrap();
         for (task, machine) in &inner.placements {
-            if inner.cancelled_at.get(job_of(task)).is_some_and(|at| at.elapsed() > limit) {
+            if inner.cancelled_at.get(job_of(task)).is_some_and(|at| at.elapsed() > grace) {
                 broken.push(format!("ran_cancelled: {task} is on {machine}"));
             }
         }
--- a/crates/dapplecroft-fakes/src/invariants/answers.rs
+++ b/crates/dapplecroft-fakes/src/invariants/answers.rs
@@ -7,15 +7,15 @@
 
 /// A job about which no question is answered for so long after the end of all
 /// troubles is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(75);
+const FORGOTTEN_JOB_TIMEOUT: Duration = Duration::from_secs(75);
 /// Even the largest jobs must begin within this time.
-const BEGIN_WITHIN: Duration = Duration::from_secs(240);
+const JOB_START_DEADLINE: Duration = Duration::from_secs(240);
 
 impl InvariantChecker {
     /// What users have been told of a job so far; to be asked before a question
     /// is sent, and handed to [`InvariantChecker::heard`] with its answer.
     pub fn known(&self, id: &str) -> Told {
-        self.inner.lock().unwrap().reported.get(id).cloned().unwrap_or_default()
+        self.inner.lock().unwrap().told_status.get(id).cloned().unwrap_or_default()
     }
 
     /// A user heard this of a job, in answer to a question that was sent when so
@@ -28,22 +28,22 @@
             _ => return,
         };
         let mut inner = self.inner.lock().unwrap();
-        let older = match before {
+        let went_back = match before {
             Told::Nothing => false,
             Told::Accepted => now == Told::Nothing,
             Told::Final(_) => now != *before,
         };
-        if older {
+        if went_back {
             inner.violations.push(format!("went_back: {id} is told to be {now:?} after {before:?}"));
         }
-        let known = inner.reported.entry(id.into()).or_default();
-        match (&known, &now) {
+        let told = inner.told_status.entry(id.into()).or_default();
+        match (&told, &now) {
             (Told::Final(old), Told::Final(new)) if old != new => {
                 let what = format!("went_back: {id} is told to be {new} and {old}");
                 inner.violations.push(what);
             }
             (Told::Final(_), _) | (Told::Accepted, Told::Nothing) => {}
-            _ => *known = now,
+            _ => *told = now,
         }
     }
 
@@ -75,28 +75,28 @@
         let mut broken = Vec::new();
         let mut teams: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for (id, at) in &inner.accepted_at {
-            if let Some(calm) = inner.faults_over_at
-                && calm.elapsed() > FORGOTTEN_AFTER
-                && inner.answered_at.get(id).is_none_or(|at| *at < calm)
+            if let Some(faults_over_at) = inner.faults_over_at
+                && faults_over_at.elapsed() > FORGOTTEN_JOB_TIMEOUT
+                && inner.answered_at.get(id).is_none_or(|at| *at < faults_over_at)
             {
                 broken.push(format!("forgotten: {id}"));
             }
             if inner.cancelled_at.contains_key(id) {
                 continue;
             }
-            let began = inner.began_at.get(id);
-            if began.map_or(at.elapsed(), |b| *b - *at) > BEGIN_WITHIN {
+            let started_at = inner.first_started_at.get(id);
+            if started_at.map_or(at.elapsed(), |b| *b - *at) > JOB_START_DEADLINE {
                 broken.push(format!("late: {id} did not begin in time"));
             }
             if let Some(JobDemand { team, .. }) = inner.jobs.get(id) {
-                let served = teams.entry(team).or_default();
-                served.0 += usize::from(began.is_some());
-                served.1 += 1;
+                let counts = teams.entry(team).or_default();
+                counts.0 += usize::from(started_at.is_some());
+                counts.1 += 1;
             }
         }
-        for (team, (begun, all)) in teams {
-            if begun * 2 < all {
-                broken.push(format!("unserved: {begun} of {all} jobs of {team}"));
+        for (team, (started_jobs, all)) in teams {
+            if started_jobs * 2 < all {
+                broken.push(format!("unserved: {started_jobs} of {all} jobs of {team}"));
             }
         }
         broken
--- a/crates/dapplecroft-fakes/src/invariants/placement.rs
+++ b/crates/dapplecroft-fakes/src/invariants/placement.rs
@@ -6,7 +6,7 @@
     /// What is wrong with where a task starts, given the job's other tasks, those on
     /// machines that nobody reaches too.
     pub(super) fn placement_violation(&self, task: &str, machine: &str) -> Option<String> {
-        let bound = self.constraints.get(job_of(task))?;
+        let constraint = self.constraints.get(job_of(task))?;
         let zone_of = |machine: &str| self.machine_zones.get(machine).cloned().unwrap_or_default();
         let zone = zone_of(machine);
         let others: Vec<String> = self
@@ -15,11 +15,11 @@
             .filter(|(t, _)| *t != task && job_of(t) == job_of(task))
             .map(|(_, m)| zone_of(m))
             .collect();
-        let here = others.iter().filter(|z| **z == zone).count();
-        let wrong = bound.zone.as_ref().is_some_and(|z| *z != zone)
-            || (bound.same_place && here < others.len())
-            || bound.apart.is_some_and(|tasks| here + 1 > tasks.div_ceil(2));
-        wrong.then(|| format!("wrong_place: {task} starts in {zone}, others are in {others:?}"))
+        let same_zone_count = others.iter().filter(|z| **z == zone).count();
+        let violated = constraint.zone.as_ref().is_some_and(|z| *z != zone)
+            || (constraint.same_place && same_zone_count < others.len())
+            || constraint.apart.is_some_and(|tasks| same_zone_count + 1 > tasks.div_ceil(2));
+        violated.then(|| format!("wrong_place: {task} starts in {zone}, others are in {others:?}"))
     }
 }
 
--- a/crates/dapplecroft-fakes/src/invariants/quota.rs
+++ b/crates/dapplecroft-fakes/src/invariants/quota.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// A job that has not begun waits no longer than this while there is room.
-const NEGLECTED_AFTER: Duration = Duration::from_secs(90);
+const NEGLECTED_JOB_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl InvariantChecker {
     /// Makes a team's limit known.
@@ -40,25 +40,25 @@
             *free.entry(machine.clone()).or_default() -= cpus;
             *used.entry(team.clone()).or_default() += cpus;
         }
-        let most = free.into_values().fold(0.0, f64::max);
-        let waits = |id: &&String| {
+        let largest_free_cpus = free.into_values().fold(0.0, f64::max);
+        let is_waiting = |id: &&String| {
             let Some(JobDemand { team, cpus }) = inner.jobs.get(*id) else { return false };
-            let under = inner
+            let below_limit = inner
                 .quotas
                 .get(team)
                 .is_none_or(|limit| used.get(team).copied().unwrap_or(0.0) + cpus <= limit + CPU_TOLERANCE);
-            !inner.began_at.contains_key(*id)
+            !inner.first_started_at.contains_key(*id)
                 && !inner.cancelled_at.contains_key(*id)
-                && under
-                && *cpus <= most
+                && below_limit
+                && *cpus <= largest_free_cpus
         };
-        let waiting: Vec<String> = inner.accepted_at.keys().filter(waits).cloned().collect();
-        let Some(calm) = inner.faults_over_at else { return Vec::new() };
+        let waiting: Vec<String> = inner.accepted_at.keys().filter(is_waiting).cloned().collect();
+        let Some(faults_over_at) = inner.faults_over_at else { return Vec::new() };
         inner.neglected_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
             inner.neglected_since.entry(id).or_insert_with(Instant::now);
         }
-        let long = |at: &Instant| (*at).max(calm).elapsed() > NEGLECTED_AFTER;
-        inner.neglected_since.iter().filter(|(_, at)| long(at)).map(|(id, _)| id.clone()).collect()
+        let too_long = |at: &Instant| (*at).max(faults_over_at).elapsed() > NEGLECTED_JOB_TIMEOUT;
+        inner.neglected_since.iter().filter(|(_, at)| too_long(at)).map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/dapplecroft-fakes/src/invariants/services.rs
+++ b/crates/dapplecroft-fakes/src/invariants/services.rs
@@ -22,8 +22,8 @@
     /// Replicas that do not run now, of services that are not cancelled.
     pub fn missing(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
-        let open = inner.service_replicas.iter().filter(|(id, _)| !inner.cancelled_at.contains_key(*id));
-        let all = open.flat_map(|(id, n)| (0..*n).map(move |i| format!("{id}/{i}")));
+        let active = inner.service_replicas.iter().filter(|(id, _)| !inner.cancelled_at.contains_key(*id));
+        let all = active.flat_map(|(id, n)| (0..*n).map(move |i| format!("{id}/{i}")));
         all.filter(|task| !inner.placements.contains_key(task)).collect()
     }
 
@@ -32,12 +32,12 @@
     pub fn lost(&self, longer_than: Duration) -> Vec<String> {
         let missing = self.missing();
         let mut inner = self.inner.lock().unwrap();
-        let calm = inner.faults_over_at.unwrap_or_else(Instant::now);
+        let faults_over_at = inner.faults_over_at.unwrap_or_else(Instant::now);
         inner.missing_since.retain(|task, _| missing.contains(task));
         for task in &missing {
             inner.missing_since.entry(task.clone()).or_insert_with(Instant::now);
         }
-        let lost = |at: &Instant| (*at).max(calm).elapsed() > longer_than;
-        inner.missing_since.iter().filter(|(_, at)| lost(at)).map(|(task, _)| task.clone()).collect()
+        let is_lost = |at: &Instant| (*at).max(faults_over_at).elapsed() > longer_than;
+        inner.missing_since.iter().filter(|(_, at)| is_lost(at)).map(|(task, _)| task.clone()).collect()
     }
 }
--- a/crates/dapplecroft-fakes/src/net.rs
+++ b/crates/dapplecroft-fakes/src/net.rs
@@ -94,7 +94,7 @@
     inner: Mutex<Inner>,
 }
 
-struct Port {
+struct HostTransport {
     net: Arc<Net>,
     host: String,
 }
@@ -147,7 +147,7 @@
         let held = std::mem::take(&mut self.inner.lock().unwrap().held);
         let mut codes = Vec::new();
         for (from, request) in held {
-            codes.extend(self.hand_over(&from, &request.address, &request).await);
+            codes.extend(self.deliver_request(&from, &request.address, &request).await);
         }
         codes
     }
@@ -159,7 +159,7 @@
         let mut codes = Vec::new();
         for (from, request) in held {
             for address in addresses {
-                codes.extend(self.hand_over(&from, address, &request).await);
+                codes.extend(self.deliver_request(&from, address, &request).await);
             }
         }
         codes
@@ -172,25 +172,25 @@
         for (from, request) in held {
             if request.path == "/hello" {
                 for address in addresses {
-                    self.hand_over(&from, address, &request).await;
+                    self.deliver_request(&from, address, &request).await;
                 }
             } else {
-                self.hand_over(&from, &request.address, &request).await;
+                self.deliver_request(&from, &request.address, &request).await;
             }
         }
     }
 
-    async fn hand_over(&self, from: &str, address: &str, request: &Request) -> Option<u16> {
+    async fn deliver_request(&self, from: &str, address: &str, request: &Request) -> Option<u16> {
         let handler = self.inner.lock().unwrap().handlers.get(address).cloned()?;
         Some(handler.handle(from, request.method.clone(), &request.path, &request.body).await.status)
     }
 
     /// A host's connection to the network.
     pub fn port(self: &Arc<Self>, host: &str) -> Arc<dyn Transport> {
-        Arc::new(Port { net: self.clone(), host: host.into() })
+        Arc::new(HostTransport { net: self.clone(), host: host.into() })
     }
 
-    fn matching(&self, host: &str, request: &Request) -> Option<Action> {
+    fn apply_matching_rule(&self, host: &str, request: &Request) -> Option<Action> {
         let mut inner = self.inner.lock().unwrap();
         let body = String::from_utf8_lossy(&request.body).into_owned();
         let rule = inner.rules.iter_mut().find(|r| {
@@ -211,16 +211,16 @@
 }
 
 #[async_trait]
-impl Transport for Port {
+impl Transport for HostTransport {
     async fn send(&self, request: Request) -> Result<Response, Failure> {
         sleep(Duration::from_millis(1)).await;
-        let action = self.net.matching(&self.host, &request);
-        let silence = || async {
+        let action = self.net.apply_matching_rule(&self.host, &request);
+        let wait_out_timeout = || async {
             sleep(request.timeout).await;
             Err(Failure::Unknown("silence".into()))
         };
         match action {
-            Some(Action::Hold | Action::Drop) => return silence().await,
+            Some(Action::Hold | Action::Drop) => return wait_out_timeout().await,
             Some(Action::NoConnection) => return Err(Failure::NotSent("refused".into())),
             Some(Action::Refuse) => return Ok(Response { status: 503, body: Default::default() }),
             Some(Action::LoseAnswer | Action::Copy) | None => {}
@@ -231,7 +231,7 @@
         let answer = timeout(request.timeout, work).await;
         sleep(Duration::from_millis(1)).await;
         match answer {
-            Ok(_) if action == Some(Action::LoseAnswer) => silence().await,
+            Ok(_) if action == Some(Action::LoseAnswer) => wait_out_timeout().await,
             Ok(answer) => Ok(answer),
             Err(_) => Err(Failure::Unknown("no answer in time".into())),
         }
--- a/crates/dapplecroft-fakes/src/state.rs
+++ b/crates/dapplecroft-fakes/src/state.rs
@@ -102,8 +102,8 @@
         let mut inner = self.inner.lock().unwrap();
         inner.expire_leases();
         inner.outage = on;
-        for (life, end) in inner.leases.values_mut() {
-            *end = Instant::now() + *life;
+        for (ttl, expires_at) in inner.leases.values_mut() {
+            *expires_at = Instant::now() + *ttl;
         }
     }
 
@@ -149,8 +149,8 @@
     /// Ends every lease at once, as if none had been renewed in time.
     pub fn end_leases(&self) {
         let mut inner = self.inner.lock().unwrap();
-        for (_, end) in inner.leases.values_mut() {
-            *end = Instant::now();
+        for (_, expires_at) in inner.leases.values_mut() {
+            *expires_at = Instant::now();
         }
         inner.expire_leases();
     }
@@ -172,9 +172,9 @@
     pub fn put(&self, key: &str, data: Value) {
         let mut inner = self.inner.lock().unwrap();
         inner.revision += 1;
-        let stamp = inner.revision;
-        inner.changelog.push((stamp, key.into(), Some(data.clone())));
-        inner.entries.insert(key.into(), Entry { value: data, version: stamp, lease: None });
+        let revision = inner.revision;
+        inner.changelog.push((revision, key.into(), Some(data.clone())));
+        inner.entries.insert(key.into(), Entry { value: data, version: revision, lease: None });
     }
 
     /// The most changes that a transaction has had.
@@ -194,21 +194,21 @@
         if path.starts_with("/follow") {
             return self.watch(from, path).await;
         }
-        let half = self.inner.lock().unwrap().delays.get(from).copied().unwrap_or_default() / 2;
-        sleep_unless_zero(half).await;
+        let half_delay = self.inner.lock().unwrap().delays.get(from).copied().unwrap_or_default() / 2;
+        sleep_unless_zero(half_delay).await;
         let answer = {
             let mut inner = self.inner.lock().unwrap();
             inner.expire_leases();
-            let shut = inner.outage || inner.refused_hosts.contains(from);
-            inner.rejected_requests += usize::from(shut);
-            shut.then(outage_response)
+            let rejected = inner.outage || inner.refused_hosts.contains(from);
+            inner.rejected_requests += usize::from(rejected);
+            rejected.then(outage_response)
         };
         let answer = answer.unwrap_or_else(|| match path {
             "/multi" => self.transact(body),
             p if p.starts_with("/grants") => self.serve_lease(&method, p, body),
             p => self.read(p),
         });
-        sleep_unless_zero(half).await;
+        sleep_unless_zero(half_delay).await;
         answer
     }
 }
--- a/crates/dapplecroft-fakes/src/state/leases.rs
+++ b/crates/dapplecroft-fakes/src/state/leases.rs
@@ -12,24 +12,24 @@
         let mut inner = self.inner.lock().unwrap();
         if path == "/grants" {
             let body: Value = serde_json::from_slice(body).unwrap();
-            let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
+            let ttl = Duration::from_millis(body["life_ms"].as_u64().unwrap());
             inner.next_lease += 1;
             let id = inner.next_lease;
-            inner.leases.insert(id, (life, Instant::now() + life));
+            inner.leases.insert(id, (ttl, Instant::now() + ttl));
             return json_response(200, json!({"tenancy": id}));
         }
         let rest = path.trim_start_matches("/grants/");
         let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
         if *method == Method::DELETE {
-            if let Some((_, end)) = inner.leases.get_mut(&id) {
-                *end = Instant::now();
+            if let Some((_, expires_at)) = inner.leases.get_mut(&id) {
+                *expires_at = Instant::now();
             }
             inner.expire_leases();
             return json_response(200, json!({}));
         }
         match inner.leases.get_mut(&id) {
-            Some((life, end)) => {
-                *end = Instant::now() + *life;
+            Some((ttl, expires_at)) => {
+                *expires_at = Instant::now() + *ttl;
                 json_response(200, json!({}))
             }
             None => json_response(404, json!({"error": "no such lease"})),
@@ -43,17 +43,17 @@
             return;
         }
         let now = Instant::now();
-        let ended: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(id, _)| *id).collect();
-        for id in ended {
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, (_, expires_at))| *expires_at <= now).map(|(id, _)| *id).collect();
+        for id in expired {
             self.leases.remove(&id);
             let keys: Vec<String> =
                 self.entries.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
             for key in keys {
                 self.revision += 1;
                 self.entries.remove(&key);
-                let stamp = self.revision;
-                self.changelog.push((stamp, key, None));
+                let revision = self.revision;
+                self.changelog.push((revision, key, None));
             }
         }
     }
--- a/crates/dapplecroft-fakes/src/state/reads.rs
+++ b/crates/dapplecroft-fakes/src/state/reads.rs
@@ -47,7 +47,7 @@
     pub(super) async fn watch(&self, from_host: &str, path: &str) -> Response {
         let query = Query::new(path);
         let (prefix, from) = (query.text("starts"), query.number("from"));
-        let end = Instant::now() + Duration::from_millis(query.number("wait_ms"));
+        let deadline = Instant::now() + Duration::from_millis(query.number("wait_ms"));
         loop {
             {
                 let mut inner = self.inner.lock().unwrap();
@@ -55,21 +55,21 @@
                 // In no useful order, and of each key only the last change: the
                 // protocol promises no more.
                 let mut last: BTreeMap<&String, &(u64, String, Option<Value>)> = BTreeMap::new();
-                let begin = inner.changelog.partition_point(|(stamp, _, _)| *stamp <= from);
+                let begin = inner.changelog.partition_point(|(revision, _, _)| *revision <= from);
                 for change in inner.changelog[begin..].iter().filter(|(_, key, _)| key.starts_with(&prefix)) {
                     last.insert(&change.1, change);
                 }
                 let log: Vec<Value> = last
                     .into_values()
                     .rev()
-                    .map(|(stamp, key, data)| match data {
-                        Some(data) => json!({"set": key, "data": data, "stamp": stamp}),
-                        None => json!({"drop": key, "stamp": stamp}),
+                    .map(|(revision, key, data)| match data {
+                        Some(data) => json!({"set": key, "data": data, "stamp": revision}),
+                        None => json!({"drop": key, "stamp": revision}),
                     })
                     .collect();
                 // An open watch remains open through an outage.
-                let shut = inner.outage || inner.refused_hosts.contains(from_host);
-                if !shut && (!log.is_empty() || Instant::now() >= end) {
+                let rejected = inner.outage || inner.refused_hosts.contains(from_host);
+                if !rejected && (!log.is_empty() || Instant::now() >= deadline) {
                     return json_response(200, json!({"ledger": inner.revision, "log": log}));
                 }
             }
--- a/crates/dapplecroft-fakes/src/state/transaction.rs
+++ b/crates/dapplecroft-fakes/src/state/transaction.rs
@@ -42,32 +42,32 @@
         if !transaction.changes.is_empty() {
             inner.revision += 1;
         }
-        let stamp = inner.revision;
+        let revision = inner.revision;
         for change in transaction.changes {
             match change {
                 Change::Set { key, value, lease } => {
-                    inner.changelog.push((stamp, key.clone(), Some(value.clone())));
-                    inner.entries.insert(key, Entry { value, version: stamp, lease });
+                    inner.changelog.push((revision, key.clone(), Some(value.clone())));
+                    inner.entries.insert(key, Entry { value, version: revision, lease });
                 }
                 Change::Drop { key } => {
                     if inner.entries.remove(&key).is_some() {
-                        inner.changelog.push((stamp, key, None));
+                        inner.changelog.push((revision, key, None));
                     }
                 }
             }
         }
-        json_response(200, json!({"ledger": stamp}))
+        json_response(200, json!({"ledger": revision}))
     }
 }
 
 impl Inner {
     fn check_limits(&mut self, transaction: &Transaction) -> Option<Response> {
         let limits = self.limits?;
-        let large = |c: &Change| match c {
+        let too_large = |c: &Change| match c {
             Change::Set { value, .. } => value.to_string().len() > limits.value,
             Change::Drop { .. } => false,
         };
-        if transaction.changes.iter().any(large) {
+        if transaction.changes.iter().any(too_large) {
             self.rejections.values += 1;
             return Some(json_response(400, json!({"error": "the value is too large"})));
         }
@@ -77,8 +77,8 @@
             return Some(json_response(400, json!({"error": "too many operations"})));
         }
         let now = Instant::now();
-        let passed = self.rate_budget_updated_at.replace(now).map_or(0.0, |at| (now - at).as_secs_f64());
-        self.rate_budget = (self.rate_budget + passed * limits.rate).min(limits.rate);
+        let elapsed_s = self.rate_budget_updated_at.replace(now).map_or(0.0, |at| (now - at).as_secs_f64());
+        self.rate_budget = (self.rate_budget + elapsed_s * limits.rate).min(limits.rate);
         if self.rate_budget < changes as f64 {
             self.rejections.rate += 1;
             return Some(json_response(429, json!({"error": "too many changes"})));
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -19,7 +19,7 @@
 
 /// How long after its lease ends the agent drops its tasks: the lease counts
 /// as expired only once its time has fully passed.
-const PAST_LEASE_END: Duration = Duration::from_millis(1);
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1);
 
 /// Timing of a worker agent and of the tasks it runs.
 #[derive(Debug, Clone)]
@@ -88,12 +88,12 @@
     zone: String,
     spot: bool,
     timing: WorkerTiming,
-    nodes: Vec<(String, String)>,
-    port: Arc<dyn Transport>,
+    controllers: Vec<(String, String)>,
+    transport: Arc<dyn Transport>,
     net: Arc<Net>,
-    referee: Arc<InvariantChecker>,
+    checker: Arc<InvariantChecker>,
     inner: Mutex<Inner>,
-    changed: Notify,
+    status_changed: Notify,
     weak_self: Weak<FakeWorker>,
     background_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -104,8 +104,8 @@
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         net: &Arc<Net>,
-        referee: &Arc<InvariantChecker>,
-        nodes: &[(String, String)],
+        checker: &Arc<InvariantChecker>,
+        controllers: &[(String, String)],
         timing: &WorkerTiming,
         machine: &str,
         machine_type: &str,
@@ -120,10 +120,10 @@
             zone: zone.into(),
             spot,
             timing: timing.clone(),
-            nodes: nodes.to_vec(),
-            port: net.port(machine),
+            controllers: controllers.to_vec(),
+            transport: net.port(machine),
             net: net.clone(),
-            referee: referee.clone(),
+            checker: checker.clone(),
             inner: Mutex::new(Inner {
                 tasks: BTreeMap::new(),
                 epoch: 1,
@@ -136,16 +136,16 @@
                 hung_until: None,
                 hung_total: Duration::ZERO,
             }),
-            changed: Notify::new(),
+            status_changed: Notify::new(),
             weak_self: weak_self.clone(),
             background_tasks: Mutex::default(),
         });
         net.serve(&address, worker.clone());
-        let reporter = worker.clone();
-        let watch = worker.clone();
+        let heartbeat_sender = worker.clone();
+        let lease_watcher = worker.clone();
         *worker.background_tasks.lock().unwrap() = vec![
-            tokio::spawn(async move { reporter.heartbeat_loop().await }),
-            tokio::spawn(async move { watch.lease_expiry_loop().await }),
+            tokio::spawn(async move { heartbeat_sender.heartbeat_loop().await }),
+            tokio::spawn(async move { lease_watcher.lease_expiry_loop().await }),
         ];
         worker
     }
@@ -153,7 +153,7 @@
     /// The machine and all its tasks are gone; the agent stops.
     pub fn destroy(&self) {
         self.net.remove(&self.address);
-        self.background_tasks.lock().unwrap().drain(..).for_each(|work| work.abort());
+        self.background_tasks.lock().unwrap().drain(..).for_each(|runner| runner.abort());
         let mut inner = self.inner.lock().unwrap();
         inner.destroyed = true;
         self.drop_all_tasks(&mut inner);
@@ -166,7 +166,7 @@
         self.drop_all_tasks(&mut inner);
         inner.epoch += 1;
         inner.lease_renewed_at = Instant::now();
-        self.changed.notify_one();
+        self.status_changed.notify_one();
     }
 
     /// The machine hangs for so long and then goes on where it was, unless its
@@ -191,13 +191,13 @@
     /// Runs for so long, not counting what the machine hangs.
     async fn run_for(&self, time: Duration) {
         let hung = || self.inner.lock().unwrap().hung_total;
-        let mut counted = hung();
+        let mut hung_total_counted = hung();
         sleep(time).await;
         self.wait_while_hung().await;
-        while hung() > counted {
-            let more = hung() - counted;
-            counted += more;
-            sleep(more).await;
+        while hung() > hung_total_counted {
+            let newly_hung = hung() - hung_total_counted;
+            hung_total_counted += newly_hung;
+            sleep(newly_hung).await;
             self.wait_while_hung().await;
         }
     }
@@ -205,7 +205,7 @@
     /// The cloud preempts the machine in so many seconds (spot notice).
     pub fn notice(&self, seconds: f64) {
         self.inner.lock().unwrap().preemption_at = Some(Instant::now() + Duration::from_secs_f64(seconds));
-        self.changed.notify_one();
+        self.status_changed.notify_one();
     }
 
     /// The agent's epoch (incarnation).
@@ -220,10 +220,10 @@
 
     fn drop_all_tasks(&self, inner: &mut Inner) {
         for (name, task) in std::mem::take(&mut inner.tasks) {
-            if let Some(work) = task.runner {
-                work.abort();
+            if let Some(runner) = task.runner {
+                runner.abort();
             }
-            self.referee.ended(&name, &self.machine);
+            self.checker.ended(&name, &self.machine);
         }
     }
 
@@ -239,7 +239,7 @@
     /// Ends its tasks at the very moment at which its lease ends.
     async fn lease_expiry_loop(&self) {
         loop {
-            let end = self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + PAST_LEASE_END;
+            let end = self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + LEASE_EXPIRY_MARGIN;
             sleep_until(end).await;
             self.expire_lease_if_due();
         }
--- a/crates/dapplecroft-fakes/src/worker/handler.rs
+++ b/crates/dapplecroft-fakes/src/worker/handler.rs
@@ -18,10 +18,10 @@
         }
         // What reaches a machine that hangs is carried out when it goes on,
         // whether anybody still waits for the answer or not.
-        let Some(me) = self.weak_self.upgrade() else { return self.answer_direct_commands(commands) };
+        let Some(worker) = self.weak_self.upgrade() else { return self.answer_direct_commands(commands) };
         let later = tokio::spawn(async move {
-            me.wait_while_hung().await;
-            me.answer_direct_commands(commands)
+            worker.wait_while_hung().await;
+            worker.answer_direct_commands(commands)
         });
         later.await.unwrap()
     }
@@ -40,7 +40,7 @@
                 status = 409;
             } else {
                 if commands.token > inner.fencing_token {
-                    self.changed.notify_one();
+                    self.status_changed.notify_one();
                 }
                 inner.fencing_token = commands.token;
                 self.execute_commands(&mut inner, &commands.commands);
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -48,61 +48,61 @@
 
     pub(super) async fn heartbeat_loop(&self) {
         loop {
-            let _ = timeout(self.timing.report, self.changed.notified()).await;
+            let _ = timeout(self.timing.report, self.status_changed.notified()).await;
             sleep(HEARTBEAT_BATCH_DELAY).await;
             self.wait_while_hung().await;
             self.expire_lease_if_due();
-            let sent = Instant::now();
-            let report = self.report();
+            let sent_at = Instant::now();
+            let heartbeat = self.report();
             let heartbeat_target = self.inner.lock().unwrap().heartbeat_target;
-            let (_, address) = &self.nodes[heartbeat_target % self.nodes.len()];
+            let (_, address) = &self.controllers[heartbeat_target % self.controllers.len()];
             let request = Request {
                 address: address.clone(),
                 method: Method::POST,
                 path: "/hello".into(),
-                body: serde_json::to_vec(&report).unwrap().into(),
+                body: serde_json::to_vec(&heartbeat).unwrap().into(),
                 timeout: HEARTBEAT_TIMEOUT,
                 one_of_many: false,
             };
-            let answer = self.port.send(request).await;
+            let answer = self.transport.send(request).await;
             self.wait_while_hung().await;
             // If it hung meanwhile, an answer as late as that counts for nothing.
-            let answer = answer.ok().filter(|_| sent.elapsed() < HEARTBEAT_TIMEOUT);
+            let answer = answer.ok().filter(|_| sent_at.elapsed() < HEARTBEAT_TIMEOUT);
             self.expire_lease_if_due();
             match answer {
                 Some(r) if r.status == 200 => {
                     let commands: HeartbeatReply = serde_json::from_slice(&r.body).unwrap();
                     let mut inner = self.inner.lock().unwrap();
-                    if commands.token >= inner.fencing_token && report.session == inner.epoch {
+                    if commands.token >= inner.fencing_token && heartbeat.session == inner.epoch {
                         if commands.token > inner.fencing_token {
-                            self.changed.notify_one();
+                            self.status_changed.notify_one();
                         }
                         inner.fencing_token = commands.token;
-                        inner.lease_renewed_at = sent;
+                        inner.lease_renewed_at = sent_at;
                         self.execute_commands(&mut inner, &commands.commands);
                     }
                 }
                 Some(r) if r.status == 421 => {
                     let redirect: Redirect = serde_json::from_slice(&r.body).unwrap_or_default();
-                    let named = redirect
+                    let redirect_target = redirect
                         .report_to
-                        .and_then(|host| self.nodes.iter().position(|(name, _)| *name == host));
-                    match named.filter(|n| *n != heartbeat_target) {
+                        .and_then(|host| self.controllers.iter().position(|(name, _)| *name == host));
+                    match redirect_target.filter(|n| *n != heartbeat_target) {
                         Some(n) => {
                             self.inner.lock().unwrap().heartbeat_target = n;
-                            self.changed.notify_one();
+                            self.status_changed.notify_one();
                         }
-                        None => self.try_next_node(heartbeat_target).await,
+                        None => self.try_next_controller(heartbeat_target).await,
                     }
                 }
-                _ => self.try_next_node(heartbeat_target).await,
+                _ => self.try_next_controller(heartbeat_target).await,
             }
         }
     }
 
-    async fn try_next_node(&self, heartbeat_target: usize) {
+    async fn try_next_controller(&self, heartbeat_target: usize) {
         sleep(NEXT_CONTROLLER_BACKOFF).await;
-        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.nodes.len();
-        self.changed.notify_one();
+        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.controllers.len();
+        self.status_changed.notify_one();
     }
 }
--- a/crates/dapplecroft-fakes/src/worker/tasks.rs
+++ b/crates/dapplecroft-fakes/src/worker/tasks.rs
@@ -24,11 +24,11 @@
                     }
                 }
                 Command::Clear { task, attempt } => {
-                    let exited = inner
+                    let has_exited = inner
                         .tasks
                         .get(task)
                         .is_some_and(|t| t.attempt == *attempt && t.state == TaskState::Exited);
-                    if exited {
+                    if has_exited {
                         inner.tasks.remove(task);
                     }
                 }
@@ -42,32 +42,31 @@
         if task.state == TaskState::Saving && grace > Duration::ZERO {
             return;
         }
-        if let Some(work) = task.runner.take() {
-            work.abort();
+        if let Some(runner) = task.runner.take() {
+            runner.abort();
         }
-        self.changed.notify_one();
+        self.status_changed.notify_one();
         if let (Some(saves), Some((since, before)), TaskState::Running) =
             (saves, task.running_since, task.state)
         {
-            let (me, name, attempt) = (self.weak_self.upgrade().unwrap(), name.to_string(), task.attempt);
+            let (worker, name, attempt) = (self.weak_self.upgrade().unwrap(), name.to_string(), task.attempt);
             let progress = before + since.elapsed();
             task.state = TaskState::Saving;
-            task.runner =
-                Some(tokio::spawn(
-                    async move { me.checkpoint_and_exit(name, attempt, saves, progress).await },
-                ));
+            task.runner = Some(tokio::spawn(async move {
+                worker.checkpoint_and_exit(name, attempt, saves, progress).await
+            }));
             return;
         }
         task.state = TaskState::Exited;
         task.exit_reason = Some(ExitReason::Stopped);
-        self.referee.ended(name, &self.machine);
+        self.checker.ended(name, &self.machine);
     }
 
     async fn checkpoint_and_exit(&self, name: String, attempt: u64, saves: Saves, progress: Duration) {
         sleep(saves.time).await;
         self.wait_while_hung().await;
         self.timing.saved.lock().unwrap().insert(name.clone(), progress);
-        self.referee.ended(&name, &self.machine);
+        self.checker.ended(&name, &self.machine);
         let mut inner = self.inner.lock().unwrap();
         if let Some(task) = inner.tasks.get_mut(&name).filter(|t| t.attempt == attempt) {
             task.checkpointed = Some(true);
@@ -82,13 +81,13 @@
     }
 
     /// Runs a task to its end from what was saved of it, saving by itself.
-    async fn run_with_checkpoints(&self, name: &str, attempt: u64, saves: Saves, total: Duration) {
+    async fn run_with_checkpoints(&self, name: &str, attempt: u64, saves: Saves, runtime: Duration) {
         let mut progress = self.timing.saved.lock().unwrap().get(name).copied().unwrap_or_default();
         if let Some(task) = self.inner.lock().unwrap().tasks.get_mut(name).filter(|t| t.attempt == attempt) {
             task.running_since = Some((Instant::now(), progress));
         }
-        while progress < total {
-            let step = saves.interval.min(total - progress);
+        while progress < runtime {
+            let step = saves.interval.min(runtime - progress);
             self.run_for(step).await;
             progress += step;
             self.timing.saved.lock().unwrap().insert(name.to_string(), progress);
@@ -96,47 +95,50 @@
     }
 
     fn start_task(&self, inner: &mut Inner, name: &str, attempt: u64) {
-        if let Some(old) = inner.tasks.get(name) {
-            if old.attempt != attempt {
-                self.referee.note(format!("{name} started on {} with another attempt", self.machine));
+        if let Some(existing) = inner.tasks.get(name) {
+            if existing.attempt != attempt {
+                self.checker.note(format!("{name} started on {} with another attempt", self.machine));
             }
             return;
         }
-        let (me, task) = (self.weak_self.upgrade().unwrap(), name.to_string());
-        let work = tokio::spawn(async move { me.run_task(task, attempt).await });
+        let (worker, task) = (self.weak_self.upgrade().unwrap(), name.to_string());
+        let runner = tokio::spawn(async move { worker.run_task(task, attempt).await });
         let task = Task {
             attempt,
             state: TaskState::Fetching,
             exit_reason: None,
-            runner: Some(work),
+            runner: Some(runner),
             running_since: None,
             checkpointed: None,
         };
         inner.tasks.insert(name.into(), task);
-        self.changed.notify_one();
+        self.status_changed.notify_one();
     }
 
     async fn run_task(&self, name: String, attempt: u64) {
         self.run_for(self.timing.fetch).await;
         let job = name.rsplit_once('/').unwrap().0.to_string();
         self.set_task_state(&name, attempt, TaskState::Running, None);
-        self.referee.started(&name, attempt, &self.machine);
+        self.checker.started(&name, attempt, &self.machine);
         if self.timing.fails.contains(&job) {
             sleep(FAILING_TASK_RUNTIME).await;
-            self.referee.ended(&name, &self.machine);
+            self.checker.ended(&name, &self.machine);
             self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Error));
             return;
         }
-        let named = self.timing.runs.get(&job).copied();
-        let usual = named.unwrap_or(DEFAULT_TASK_RUNTIME);
+        let own_runtime = self.timing.runs.get(&job).copied();
+        let base_runtime = own_runtime.unwrap_or(DEFAULT_TASK_RUNTIME);
         let index: u32 = name.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
-        let total =
-            if self.timing.per_task && named.is_some() { usual / 2 + usual * 2 * index } else { usual };
+        let runtime = if self.timing.per_task && own_runtime.is_some() {
+            base_runtime / 2 + base_runtime * 2 * index
+        } else {
+            base_runtime
+        };
         match self.checkpoint_policy(&name) {
-            Some(saves) => self.run_with_checkpoints(&name, attempt, saves, total).await,
-            None => self.run_for(total).await,
+            Some(saves) => self.run_with_checkpoints(&name, attempt, saves, runtime).await,
+            None => self.run_for(runtime).await,
         }
-        self.referee.ended(&name, &self.machine);
+        self.checker.ended(&name, &self.machine);
         self.set_task_state(&name, attempt, TaskState::Exited, Some(ExitReason::Done));
     }
 
@@ -145,7 +147,7 @@
         if let Some(task) = inner.tasks.get_mut(name).filter(|t| t.attempt == attempt) {
             task.state = state;
             task.exit_reason = why;
-            self.changed.notify_one();
+            self.status_changed.notify_one();
         }
     }
 }
