--- a/crates/dapplecroft-fakes/src/cloud.rs
+++ b/crates/dapplecroft-fakes/src/cloud.rs
@@ -1,5 +1,6 @@
-//! An in-memory cloud provider: machines are scaled out and in, boot with a
-//! worker agent, and on demand fail to come up, vanish, or run out of capacity.
+//! An in-memory cloud provider: it rents machines, boots them with a worker
+//! agent and takes them back. Tests can make machines fail to boot or disappear,
+//! and make the cloud run out of capacity or have an outage.
 
 use crate::invariants::InvariantChecker;
 use crate::net::{Handler, Net, Query};
@@ -14,28 +15,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The most machines of one page of the list.
+/// Maximum number of machines on one page of the list of rented machines.
 const MAX_LISTED: usize = 500;
 
+/// A machine that was rented at some time, whether or not it still exists.
 struct RentedMachine {
     machine_type: String,
     zone: String,
     spot: bool,
     rented_at: Instant,
+    /// When the machine was released or disappeared; `None` while it exists.
     removed_at: Option<Instant>,
+    /// The machine's worker agent, from the end of the boot until the machine is removed.
     worker: Option<Arc<FakeWorker>>,
 }
 
 #[derive(Default)]
 struct Inner {
     machines: BTreeMap<String, RentedMachine>,
+    /// Machines rented for each request ID, so that a repeated request gets the same
+    /// machines instead of new ones.
     machines_by_request: BTreeMap<String, Vec<String>>,
     last_machine_number: u64,
+    /// Maximum number of machines that exist at the same time.
     capacity: usize,
+    /// Numbers of the machines that never boot.
     never_booting: Vec<u64>,
+    /// Added to `list_lag` on request of a test.
     extra_list_lag: Duration,
     outage: bool,
     boot_time_override: Option<Duration>,
+    /// Zones that offer machines besides `z`.
     extra_zones: Vec<String>,
 }
 
@@ -44,8 +54,10 @@
     inner: Mutex<Inner>,
     net: Arc<Net>,
     checker: Arc<InvariantChecker>,
+    /// Name and address of each controller, for the worker agents.
     controllers: Vec<(String, String)>,
     timing: WorkerTiming,
+    /// How far the list of machines lags behind the true state.
     list_lag: Duration,
     default_boot_time: Duration,
     weak_self: Weak<FakeCloud>,
@@ -56,7 +68,8 @@
 }
 
 impl FakeCloud {
-    /// A cloud with room for so many machines.
+    /// Creates a cloud that can rent out up to `capacity` machines at the same time.
+    /// The worker agents report to the controllers in `nodes` (name and address).
     pub fn new(
         net: &Arc<Net>,
         referee: &Arc<InvariantChecker>,
@@ -76,67 +89,70 @@
         })
     }
 
-    /// The n-th machine (from 1) never comes up.
+    /// Makes the `n`-th rented machine (counted from 1) never boot.
     pub fn never_up(&self, n: u64) {
         self.inner.lock().unwrap().never_booting.push(n);
     }
 
-    /// There is room for only so many machines from now on.
+    /// Sets the capacity from now on. Machines beyond it keep running, but none are
+    /// rented until the number is below it again.
     pub fn shrink(&self, capacity: usize) {
         self.inner.lock().unwrap().capacity = capacity;
     }
 
-    /// Machines are up so soon from now on.
+    /// Sets the boot time of machines rented from now on.
     pub fn boots_within(&self, time: Duration) {
         self.inner.lock().unwrap().boot_time_override = Some(time);
     }
 
-    /// Machines are to be had in these zones besides `z`.
+    /// Adds zones to the catalog, besides `z`.
     pub fn add_zones(&self, zones: &[&str]) {
         self.inner.lock().unwrap().extra_zones.extend(zones.iter().map(|z| z.to_string()));
     }
 
-    /// The zone of a machine.
+    /// Returns a machine's zone.
     pub fn zone(&self, id: &str) -> String {
         self.inner.lock().unwrap().machines[id].zone.clone()
     }
 
-    /// Lists describe a moment that much longer ago.
+    /// Makes the list of machines lag by this much more than it does by default.
     pub fn older_lists(&self, by: Duration) {
         self.inner.lock().unwrap().extra_list_lag = by;
     }
 
-    /// Begins or ends an outage.
+    /// Begins or ends an outage, during which every request is answered with status 503.
     pub fn outage(&self, on: bool) {
         self.inner.lock().unwrap().outage = on;
     }
 
-    /// Names of machines that exist.
+    /// Returns the names of the machines that currently exist, booted or not.
     pub fn machines(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         inner.machines.iter().filter(|(_, m)| m.removed_at.is_none()).map(|(id, _)| id.clone()).collect()
     }
 
-    /// How many machines were ever rented.
+    /// Returns how many machines have been rented in total, removed ones included.
     pub fn rented(&self) -> usize {
         self.inner.lock().unwrap().machines.len()
     }
 
-    /// Whether a machine is up.
+    /// Whether a machine has booted and still exists.
     pub fn has_worker(&self, id: &str) -> bool {
         self.inner.lock().unwrap().machines.get(id).is_some_and(|m| m.worker.is_some())
     }
 
-    /// A machine's worker.
+    /// Returns a machine's worker agent; panics unless the machine has booted and still exists.
     pub fn worker(&self, id: &str) -> Arc<FakeWorker> {
         self.inner.lock().unwrap().machines[id].worker.clone().unwrap()
     }
 
-    /// A machine dies, or is taken, without a word.
+    /// Removes a machine without notice, as when it fails or the cloud preempts it.
     pub fn take(&self, id: &str) {
         self.remove_machines(&[id.to_string()]);
     }
 
+    /// Removes machines and destroys their worker agents; machines that are already
+    /// removed or unknown are ignored.
     fn remove_machines(&self, ids: &[String]) {
         let mut inner = self.inner.lock().unwrap();
         for id in ids {
@@ -150,6 +166,7 @@
         }
     }
 
+    /// Rents the requested number of machines, or as many as the capacity allows.
     fn rent_machines(&self, request: &RentRequest) -> Response {
         let mut inner = self.inner.lock().unwrap();
         if let Some(ids) = inner.machines_by_request.get(&request.request) {
@@ -184,6 +201,8 @@
         json_response(200, json!({"holdings": ids}))
     }
 
+    /// Waits for the boot time, then starts the machine's worker agent if the machine
+    /// still exists.
     async fn boot_machine(&self, id: &str) {
         let boot_time = self.inner.lock().unwrap().boot_time_override.unwrap_or(self.default_boot_time);
         sleep(boot_time).await;
@@ -204,12 +223,14 @@
         self.checker.machine(id, Some(16.0));
     }
 
+    /// Zones that the catalog offers.
     fn zones(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         std::iter::once("z".to_string()).chain(inner.extra_zones.iter().cloned()).collect()
     }
 
-    /// A page of the list: what follows `from`, and no more than the protocol allows.
+    /// Returns one page of the rented machines as they were `list_lag` ago: the machines
+    /// whose names sort after `from`, at most as many as the protocol allows per page.
     fn list_machines(&self, path: &str) -> Response {
         let inner = self.inner.lock().unwrap();
         let Some(at) = Instant::now().checked_sub(self.list_lag + inner.extra_list_lag) else {
--- a/crates/dapplecroft-fakes/src/invariants.rs
+++ b/crates/dapplecroft-fakes/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariant checker: records where tasks run and what users were told, and
-//! reports each violation of the protocol's rules.
+//! Invariant checker: records where tasks run and what users were told about
+//! their jobs, and reports each violation of the scheduler's guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -14,72 +14,88 @@
 
 #[derive(Default)]
 struct Inner {
+    /// Machine that each running task is on.
     placements: BTreeMap<String, String>,
     jobs: HashMap<String, JobDemand>,
+    /// Quota limit of each team, in CPUs.
     quotas: HashMap<String, f64>,
     cancelled_at: HashMap<String, Instant>,
+    /// Machine that each attempt (task and attempt number) started on.
     attempts: HashMap<(String, u64), String>,
+    /// Number of starts of each task.
     start_counts: HashMap<String, usize>,
     violations: Vec<String>,
     accepted_at: BTreeMap<String, Instant>,
+    /// When a user's query of each job was last answered.
     answered_at: HashMap<String, Instant>,
+    /// When the first task of each job started.
     first_started_at: HashMap<String, Instant>,
+    /// When the test stopped injecting faults.
     faults_over_at: Option<Instant>,
+    /// Number of replicas of each service.
     service_replicas: BTreeMap<String, u32>,
+    /// Since when each missing service replica has been missing.
     missing_since: HashMap<String, Instant>,
+    /// Task starts after the job's cancellation was confirmed to the user.
     late_starts: Vec<String>,
+    /// The most advanced status that users have been told of each job.
     told_status: HashMap<String, Told>,
+    /// CPUs of each machine that is up.
     machine_cpus: BTreeMap<String, f64>,
     machine_zones: HashMap<String, String>,
     constraints: HashMap<String, PlacementConstraint>,
+    /// Since when each waiting job could have been started.
     neglected_since: HashMap<String, Instant>,
     placement_history: Vec<Stay>,
 }
 
-/// A task on a machine, from when it starts until it has left.
+/// One run of a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stay {
-    /// The task.
+    /// Name of the task, `JOB/INDEX`.
     pub task: String,
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// When it started.
+    /// When the task started on the machine.
     pub from: Instant,
-    /// When it left; `None`: it is there.
+    /// When the task ended; `None` while it is running.
     pub until: Option<Instant>,
 }
 
 /// Placement constraint of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementConstraint {
-    /// The only allowed zone.
+    /// Zone that all tasks must run in.
     pub zone: Option<String>,
-    /// All in one zone.
+    /// Whether all tasks must run in the same zone.
     pub same_place: bool,
-    /// Of so many tasks at most half, rounded up, in one zone.
+    /// Number of tasks of a job that must be spread out: no zone may have more than half
+    /// of them, rounded up.
     pub apart: Option<usize>,
 }
 
-/// The most advanced status users have been told of a job; a later answer
-/// must not report an earlier one.
+/// The most advanced status that users have been told of a job. A later answer
+/// must not go back behind it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Told {
-    /// Nothing yet.
+    /// Users have not been told that the job exists.
     #[default]
     Nothing,
-    /// That it is accepted.
+    /// Users have been told that the job is accepted, waiting or running.
     Accepted,
-    /// That it is done, or withdrawn.
+    /// Users have been told this final stage: `done` or `withdrawn` (cancelled).
     Final(String),
 }
 
-/// Slack for rounding when sums of CPUs are compared with a quota.
+/// Tolerance for rounding errors when a sum of CPUs is compared with a quota limit.
 const CPU_TOLERANCE: f64 = 1e-9;
 
-/// Checks the protocol's invariants over the events that tests report.
+/// Checks the scheduler's guarantees against the events reported by the worker
+/// agents, the cloud and the tests.
 #[derive(Default)]
 pub struct InvariantChecker {
     inner: Mutex<Inner>,
+    /// How long tasks may still run after the cancellation of their job is confirmed.
     cancellation_grace: Mutex<Duration>,
 }
 
@@ -88,25 +104,28 @@
 mod quota;
 mod services;
 
+/// The job of a task named `JOB/INDEX`.
 fn job_of(task: &str) -> &str {
     task.rsplit_once('/').map_or(task, |(job, _)| job)
 }
 
 impl InvariantChecker {
-    /// A checker that allows tasks of a cancelled job to run this long after
-    /// the cancellation.
+    /// Creates a checker that allows tasks to run for `cancel_after` after the
+    /// cancellation of their job is confirmed to the user.
     pub fn new(cancel_after: Duration) -> Arc<InvariantChecker> {
         let checker = InvariantChecker::default();
         *checker.cancellation_grace.lock().unwrap() = cancel_after;
         Arc::new(checker)
     }
 
-    /// Records a violation found elsewhere.
+    /// Records a violation that the caller detected.
     pub fn note(&self, what: String) {
         self.inner.lock().unwrap().violations.push(what);
     }
 
-    /// A task starts on a machine.
+    /// Records that a task starts on a machine, and checks that it does not already run
+    /// elsewhere, its job is not cancelled, its placement constraint holds, the attempt is
+    /// new, and its team stays within the quota limit.
     pub fn started(&self, task: &str, attempt: u64, machine: &str) {
         let mut inner = self.inner.lock().unwrap();
         if let Some(other) = inner.placements.get(task) {
@@ -154,13 +173,14 @@
         }
     }
 
-    /// Tasks that started after their user was told that the job is cancelled. No
-    /// rule is broken by one whose command was on its way, if it is gone in time.
+    /// Returns the tasks that started after a user was told that their job is cancelled.
+    /// Such a start is not a violation in itself, since the start command may have been in
+    /// flight; the task must only be gone within the cancellation grace period.
     pub fn late_starts(&self) -> Vec<String> {
         self.inner.lock().unwrap().late_starts.clone()
     }
 
-    /// A task has left its machine.
+    /// Records that a task has ended on a machine.
     pub fn ended(&self, task: &str, machine: &str) {
         let mut inner = self.inner.lock().unwrap();
         if inner.placements.get(task).is_some_and(|m| m == machine) {
@@ -174,22 +194,23 @@
         }
     }
 
-    /// Every stay of a task on a machine, in the order of their starts.
+    /// Returns every run of a task on a machine, in the order of the starts.
     pub fn history(&self) -> Vec<Stay> {
         self.inner.lock().unwrap().placement_history.clone()
     }
 
-    /// Where tasks are now.
+    /// Returns the machine of each task that is running now.
     pub fn on(&self) -> BTreeMap<String, String> {
         self.inner.lock().unwrap().placements.clone()
     }
 
-    /// How often a task was started.
+    /// Returns how often a task has been started.
     pub fn starts(&self, task: &str) -> usize {
         self.inner.lock().unwrap().start_counts.get(task).copied().unwrap_or(0)
     }
 
-    /// Rules broken so far, cancelled tasks that are still there included.
+    /// Returns all violations so far, including tasks that are still running although
+    /// the grace period after their job's cancellation is over.
     pub fn broken(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         let mut broken = inner.violations.clone();
--- a/crates/dapplecroft-fakes/src/invariants/answers.rs
+++ b/crates/dapplecroft-fakes/src/invariants/answers.rs
@@ -1,25 +1,27 @@
-//! What users are told of their jobs, and the checks at the end of a day.
+//! Checks of what users are told about their jobs, and of how jobs and teams were
+//! served at the end of a test run.
 
 use super::{InvariantChecker, JobDemand, Told};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A job about which no question is answered for so long after the end of all
-/// troubles is forgotten.
+/// A job counts as forgotten if no query about it has been answered since the end of
+/// all injected faults, and this much time has passed since then.
 const FORGOTTEN_JOB_TIMEOUT: Duration = Duration::from_secs(75);
-/// Even the largest jobs must begin within this time.
+/// Every job, even the largest, must start within this time after its acceptance.
 const JOB_START_DEADLINE: Duration = Duration::from_secs(240);
 
 impl InvariantChecker {
-    /// What users have been told of a job so far; to be asked before a question
-    /// is sent, and handed to [`InvariantChecker::heard`] with its answer.
+    /// Returns what users have been told of a job so far. Call it before a query is sent,
+    /// and pass the result to [`InvariantChecker::heard`] with the query's response.
     pub fn known(&self, id: &str) -> Told {
         self.inner.lock().unwrap().told_status.get(id).cloned().unwrap_or_default()
     }
 
-    /// A user heard this of a job, in answer to a question that was sent when so
-    /// much was known: nobody may say less, and nothing else once it is final.
+    /// Records the response (status code and stage) to a user's query of a job. `before` is
+    /// what users had been told when the query was sent. It is a violation (`went_back`) if
+    /// the response says less than that, or contradicts a final stage.
     pub fn heard(&self, id: &str, before: &Told, status: u16, stage: &str) {
         let now = match (status, stage) {
             (200 | 201, "done" | "withdrawn") => Told::Final(stage.into()),
@@ -47,32 +49,34 @@
         }
     }
 
-    /// A user was told that a job is cancelled.
+    /// Records that a user was told that a job is cancelled.
     pub fn cancelled(&self, id: &str) {
         self.inner.lock().unwrap().cancelled_at.insert(id.into(), Instant::now());
     }
 
-    /// A user was told that a job is accepted.
+    /// Records that a user was told that a job is accepted.
     pub fn accepted(&self, id: &str) {
         self.inner.lock().unwrap().accepted_at.entry(id.into()).or_insert_with(Instant::now);
     }
 
-    /// A user's question about a job was answered with what is known of it.
+    /// Records that a user's query of a job was answered with the job's status.
     pub fn answered(&self, id: &str) {
         self.inner.lock().unwrap().answered_at.insert(id.into(), Instant::now());
     }
 
-    /// All troubles are over.
+    /// Records that the test has stopped injecting faults.
     pub fn calm(&self) {
         self.inner.lock().unwrap().faults_over_at = Some(Instant::now());
     }
 
-    /// What is checked at the end of a day: jobs about which nothing was
-    /// answered since the troubles ended, jobs that began too late or not at
-    /// all, and teams of which less than half was begun.
+    /// Returns the violations found by the checks at the end of a test run: jobs whose
+    /// queries have all failed since the end of the injected faults (`forgotten`), jobs that
+    /// started too late or not at all (`late`), and teams that had less than half of their
+    /// jobs started (`unserved`). Cancelled jobs only count for the first check.
     pub fn day_ends(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         let mut broken = Vec::new();
+        // Number of started jobs and of all jobs, by team.
         let mut teams: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for (id, at) in &inner.accepted_at {
             if let Some(faults_over_at) = inner.faults_over_at
--- a/crates/dapplecroft-fakes/src/invariants/placement.rs
+++ b/crates/dapplecroft-fakes/src/invariants/placement.rs
@@ -1,10 +1,11 @@
-//! Where the tasks of a job may run: zones and spread.
+//! Check of placement constraints: the zones that a job's tasks run in and their spread.
 
 use super::{Inner, InvariantChecker, PlacementConstraint, job_of};
 
 impl Inner {
-    /// What is wrong with where a task starts, given the job's other tasks, those on
-    /// machines that nobody reaches too.
+    /// Returns the violation if a task that starts on this machine breaks its job's
+    /// placement constraint. The job's other tasks count wherever they run, including on
+    /// machines that the controllers cannot reach.
     pub(super) fn placement_violation(&self, task: &str, machine: &str) -> Option<String> {
         let constraint = self.constraints.get(job_of(task))?;
         let zone_of = |machine: &str| self.machine_zones.get(machine).cloned().unwrap_or_default();
@@ -24,12 +25,12 @@
 }
 
 impl InvariantChecker {
-    /// A job's tasks may be there alone.
+    /// Sets the placement constraint of a job's tasks.
     pub fn bind(&self, id: &str, bound: PlacementConstraint) {
         self.inner.lock().unwrap().constraints.insert(id.into(), bound);
     }
 
-    /// A machine is in a zone.
+    /// Records a machine's zone.
     pub fn zone(&self, machine: &str, zone: &str) {
         self.inner.lock().unwrap().machine_zones.insert(machine.into(), zone.into());
     }
--- a/crates/dapplecroft-fakes/src/invariants/quota.rs
+++ b/crates/dapplecroft-fakes/src/invariants/quota.rs
@@ -1,25 +1,26 @@
-//! Team limits and machines' room: whether waiting jobs are neglected.
+//! Quota limits and the capacity of machines, and the check that no job waits
+//! although it could run.
 
 use super::{CPU_TOLERANCE, InvariantChecker, JobDemand, job_of};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A job that has not begun waits no longer than this while there is room.
+/// A job that could run must not wait longer than this for its first start.
 const NEGLECTED_JOB_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl InvariantChecker {
-    /// Makes a team's limit known.
+    /// Sets a team's quota limit in CPUs.
     pub fn limit(&self, team: &str, cpus: f64) {
         self.inner.lock().unwrap().quotas.insert(team.into(), cpus);
     }
 
-    /// Makes a job known.
+    /// Records a job, its team and the CPUs that each of its tasks takes.
     pub fn job(&self, id: &str, team: &str, cpus: f64) {
         self.inner.lock().unwrap().jobs.insert(id.into(), JobDemand { team: team.into(), cpus });
     }
 
-    /// A machine is up that has so many processors, or (`None`) is gone.
+    /// Records that a machine with this many CPUs is up, or (`None`) that it is gone.
     pub fn machine(&self, id: &str, cpus: Option<f64>) {
         let mut inner = self.inner.lock().unwrap();
         match cpus {
@@ -28,9 +29,10 @@
         };
     }
 
-    /// Jobs that have not begun and have waited for too long, all troubles being
-    /// over, while some machine had room for a task all that time and their team
-    /// was under its limit; to be asked again and again.
+    /// Returns the jobs that have not started although, for too long since the end of the
+    /// injected faults, some machine had room for one of their tasks and their team was
+    /// below its quota limit. The check samples the state at each call, so it must be
+    /// called repeatedly.
     pub fn neglected(&self) -> Vec<String> {
         let mut inner = self.inner.lock().unwrap();
         let mut free = inner.machine_cpus.clone();
--- a/crates/dapplecroft-fakes/src/invariants/services.rs
+++ b/crates/dapplecroft-fakes/src/invariants/services.rs
@@ -1,17 +1,19 @@
-//! Services: their replicas must keep running and are never called done.
+//! Checks of services: their replicas must keep running, and users must never be
+//! told that a service is done.
 
 use super::InvariantChecker;
 use std::time::Duration;
 use tokio::time::Instant;
 
 impl InvariantChecker {
-    /// Makes a service known that has so many replicas.
+    /// Records a service, its team, the CPUs of each replica and the number of replicas.
     pub fn service(&self, id: &str, team: &str, cpus: f64, replicas: u32) {
         self.job(id, team, cpus);
         self.inner.lock().unwrap().service_replicas.insert(id.into(), replicas);
     }
 
-    /// A user was told a job's stage, and how many tasks are done.
+    /// Records that a user was told a job's stage and how many of its tasks are done.
+    /// For a service, a stage of `done` or a task that is done is a violation (`not_done`).
     pub fn told(&self, id: &str, stage: &str, done: u64) {
         let mut inner = self.inner.lock().unwrap();
         if inner.service_replicas.contains_key(id) && (stage == "done" || done > 0) {
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Replicas that do not run now, of services that are not cancelled.
+    /// Returns the replicas that are not running now, of services that are not cancelled.
     pub fn missing(&self) -> Vec<String> {
         let inner = self.inner.lock().unwrap();
         let active = inner.service_replicas.iter().filter(|(id, _)| !inner.cancelled_at.contains_key(*id));
@@ -27,8 +29,9 @@
         all.filter(|task| !inner.placements.contains_key(task)).collect()
     }
 
-    /// Replicas that have been missing for longer than this, all troubles being
-    /// over; to be asked again and again.
+    /// Returns the replicas that have been missing for longer than this since the end of
+    /// the injected faults. The check samples the state at each call, so it must be called
+    /// repeatedly.
     pub fn lost(&self, longer_than: Duration) -> Vec<String> {
         let missing = self.missing();
         let mut inner = self.inner.lock().unwrap();
--- a/crates/dapplecroft-fakes/src/invariants/tests.rs
+++ b/crates/dapplecroft-fakes/src/invariants/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
 use tokio::time::sleep;
 
+/// The checks at the end of a test run must report a job whose queries all failed after the
+/// faults, a job that started too late or never, and a team with less than half of its jobs
+/// started. They must not report a job that started and was answered in time.
 #[tokio::test(start_paused = true)]
 async fn day_ends_reports_forgotten_late_and_unserved_jobs() {
     let checker = InvariantChecker::new(Duration::from_secs(47));
@@ -24,6 +27,8 @@
     assert!(!ends.iter().any(|e| e.contains("run-1")), "{ends:?}");
 }
 
+/// A service replica that stays away after the end of the faults and a service that users
+/// are told is done must be reported, and the quota check must count replicas.
 #[tokio::test(start_paused = true)]
 async fn missing_replicas_and_services_called_done_are_reported() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
@@ -47,6 +52,8 @@
     assert!(checker.missing().is_empty());
 }
 
+/// A task that starts while it still runs on another machine, a team above its quota limit
+/// and a task that outlives the cancellation's grace period must each be reported.
 #[tokio::test(start_paused = true)]
 async fn double_run_quota_and_cancellation_violations_are_reported() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
@@ -64,12 +71,15 @@
     }
 }
 
+/// A response that says less than users had been told when the query was sent must be
+/// reported. A query sent earlier may be overtaken by a newer response, and an error status
+/// says nothing about the job.
 #[tokio::test(start_paused = true)]
 async fn a_status_that_goes_back_is_reported() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
     let known_when_asked = checker.known("run-1");
     checker.heard("run-1", &known_when_asked, 201, "queued");
-    // Sent before the job was accepted, answered after: no fault.
+    // The query was sent before the job was accepted, so 404 is a correct response.
     checker.heard("run-1", &known_when_asked, 404, "");
     checker.heard("run-1", &checker.known("run-1"), 503, "");
     checker.heard("run-1", &checker.known("run-1"), 200, "running");
@@ -79,14 +89,16 @@
     let known_when_asked = checker.known("run-1");
     checker.heard("run-1", &known_when_asked, 200, "withdrawn");
     checker.heard("run-1", &known_when_asked, 200, "running");
-    assert_eq!(checker.broken().len(), 1, "asked before it was withdrawn");
+    assert_eq!(checker.broken().len(), 1, "the query was sent before the job was cancelled");
     checker.heard("run-1", &checker.known("run-1"), 200, "running");
     assert_eq!(checker.broken().len(), 2);
-    // Two final answers, whoever asked first.
+    // Two different final stages are a violation whichever query was sent first.
     checker.heard("run-1", &known_when_asked, 200, "done");
     assert_eq!(checker.broken().len(), 3);
 }
 
+/// A job must be reported only if it waited for the whole time while a machine had room and
+/// its team was below the quota limit.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_waits_despite_free_capacity_is_reported() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
@@ -102,7 +114,8 @@
     checker.calm();
     assert!(checker.neglected().is_empty());
     sleep(Duration::from_secs(91)).await;
-    // run-2: its team is at its limit; run-3 and run-4: no machine has room.
+    // run-2 waits because its team is at its quota limit, run-3 and run-4 because no
+    // machine has room for them.
     assert!(checker.neglected().is_empty());
     checker.ended("run-1/0", "m");
     assert!(checker.neglected().is_empty());
@@ -115,6 +128,8 @@
     assert!(checker.neglected().is_empty());
 }
 
+/// A task start after the cancellation was confirmed is listed as late but is not a violation
+/// within the grace period, since the start command may have been in flight.
 #[tokio::test(start_paused = true)]
 async fn a_start_after_a_confirmed_cancellation_is_a_late_start() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
@@ -123,9 +138,11 @@
     assert!(checker.late_starts().is_empty());
     checker.started("run-1/1", 1, "m");
     assert_eq!(checker.late_starts(), ["run-1/1 starts on m"]);
-    assert!(checker.broken().is_empty(), "it may have been on its way");
+    assert!(checker.broken().is_empty(), "the start command may have been in flight");
 }
 
+/// Starts that break a fixed zone, the one-zone rule or the spread over zones must each be
+/// reported, and starts that comply must not.
 #[tokio::test(start_paused = true)]
 async fn a_start_that_violates_a_placement_constraint_is_reported() {
     let checker = InvariantChecker::new(Duration::from_secs(10));
--- a/crates/dapplecroft-fakes/src/lib.rs
+++ b/crates/dapplecroft-fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! In-memory stand-ins for tests: a network with fault rules, the
-//! consensus-backed key-value store, a cloud with its worker agents, and an
-//! invariant checker over what happened. They run on tokio's paused clock, so
-//! simulated time passes without real waiting.
+//! In-memory test doubles: a network with fault injection rules, the
+//! consensus-backed key-value store (the state service), a cloud provider with
+//! its worker agents, and a checker of the scheduler's invariants. They run on
+//! tokio's paused clock, so simulated time passes without real waiting.
 #![allow(clippy::unwrap_used)]
 
 mod cloud;
--- a/crates/dapplecroft-fakes/src/net.rs
+++ b/crates/dapplecroft-fakes/src/net.rs
@@ -1,5 +1,5 @@
-//! A network between named hosts, with rules that hold, lose or refuse what
-//! they match.
+//! An in-memory network between named hosts, with rules that delay, drop,
+//! duplicate or refuse the requests they match.
 
 use async_trait::async_trait;
 use dapplecroft_net::{Failure, Request, Response, Transport};
@@ -9,50 +9,52 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Something that answers at an address.
+/// A server that handles the requests sent to an address.
 #[async_trait]
 pub trait Handler: Send + Sync {
-    /// Answers a request from a host.
+    /// Handles a request sent by the host `from` and returns the response.
     async fn handle(&self, from: &str, method: Method, path: &str, body: &[u8]) -> Response;
 }
 
-/// What becomes of a request that a rule matches.
+/// What the network does with a request that a rule matches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// It is kept until [`Net::deliver`]; the sender hears nothing.
+    /// The request is held until [`Net::deliver`], [`Net::deliver_to`] or
+    /// [`Net::deliver_hellos_to`] is called; the sender's request times out.
     Hold,
-    /// It is carried out, but the sender hears nothing.
+    /// The request is handled, but its response is lost: the sender times out.
     LoseAnswer,
-    /// It is carried out and answered, and a copy is kept until
-    /// [`Net::deliver`] or [`Net::deliver_to`].
+    /// The request is handled and answered, and a duplicate of it is held like
+    /// one that matches [`Action::Hold`].
     Copy,
-    /// It is answered 503 and not carried out.
+    /// The request is answered with status 503 and not handled.
     Refuse,
-    /// It never arrives.
+    /// The request is lost before it arrives; the sender times out.
     Drop,
-    /// The connection is refused.
+    /// The connection is refused, so the sender knows that the request was not sent.
     NoConnection,
 }
 
-/// Matches requests by sender, address and path; empty texts match all.
+/// A fault injection rule: matches requests by sender, address, path and body.
+/// Empty strings match everything.
 #[derive(Debug, Clone)]
 pub struct Rule {
-    /// Sender.
+    /// Host that sends the request.
     pub from: String,
-    /// Address.
+    /// Address that the request is sent to.
     pub to: String,
-    /// Beginning of the path.
+    /// Prefix of the request's path.
     pub path: String,
-    /// Text that the body must contain.
+    /// Substring of the request's body.
     pub body: String,
-    /// What becomes of it.
+    /// What the network does with a matching request.
     pub action: Action,
-    /// How many requests it still matches.
+    /// How many more requests the rule applies to.
     pub times: usize,
 }
 
 impl Rule {
-    /// A rule for all requests from one host to an address.
+    /// A rule that applies to all requests from a host to an address.
     pub fn all(from: &str, to: &str, action: Action) -> Rule {
         Rule {
             from: from.into(),
@@ -64,17 +66,17 @@
         }
     }
 
-    /// The same for paths that begin so.
+    /// Restricts the rule to paths that start with `path`.
     pub fn path(self, path: &str) -> Rule {
         Rule { path: path.into(), ..self }
     }
 
-    /// The same for bodies that contain a text.
+    /// Restricts the rule to bodies that contain `body`.
     pub fn body(self, body: &str) -> Rule {
         Rule { body: body.into(), ..self }
     }
 
-    /// The same for the next `times` requests.
+    /// Restricts the rule to the next `times` matching requests.
     pub fn times(self, times: usize) -> Rule {
         Rule { times, ..self }
     }
@@ -84,38 +86,41 @@
 struct Inner {
     handlers: HashMap<String, Arc<dyn Handler>>,
     rules: Vec<Rule>,
+    /// Held requests, each with the host that sent it.
     held: Vec<(String, Request)>,
+    /// Number of requests that rules have matched so far, by the rule's action.
     matched: HashMap<Action, usize>,
 }
 
-/// The network.
+/// An in-memory network that connects all hosts of a test.
 #[derive(Default)]
 pub struct Net {
     inner: Mutex<Inner>,
 }
 
+/// The transport that one host sends its requests through.
 struct HostTransport {
     net: Arc<Net>,
     host: String,
 }
 
 impl Net {
-    /// An empty network.
+    /// Creates a network without handlers and rules.
     pub fn new() -> Arc<Net> {
         Arc::default()
     }
 
-    /// Something answers at an address from now on.
+    /// Registers the handler of an address, replacing any earlier one.
     pub fn serve(&self, address: &str, handler: Arc<dyn Handler>) {
         self.inner.lock().unwrap().handlers.insert(address.into(), handler);
     }
 
-    /// Nothing answers there any more.
+    /// Removes the handler of an address; requests to it then fail as not sent.
     pub fn remove(&self, address: &str) {
         self.inner.lock().unwrap().handlers.remove(address);
     }
 
-    /// Adds a rule.
+    /// Adds a rule. The first rule that matches a request applies.
     pub fn rule(&self, rule: Rule) {
         self.inner.lock().unwrap().rules.push(rule);
     }
@@ -125,24 +130,24 @@
         self.inner.lock().unwrap().rules.clear();
     }
 
-    /// Removes the rules for a sender and a text in bodies.
+    /// Removes the rules that were set up with exactly this sender and body text.
     pub fn remove_rules(&self, from: &str, body: &str) {
         self.inner.lock().unwrap().rules.retain(|r| r.from != from || r.body != body);
     }
 
-    /// How many requests are held.
+    /// Returns the number of held requests.
     pub fn held(&self) -> usize {
         self.inner.lock().unwrap().held.len()
     }
 
-    /// How many requests a rule with this action has matched so far, so that a
-    /// story can tell that its trouble happened.
+    /// Returns how many requests the rules with this action have matched so far.
+    /// Tests use it to assert that the fault they inject did take place.
     pub fn matched(&self, action: Action) -> usize {
         self.inner.lock().unwrap().matched.get(&action).copied().unwrap_or(0)
     }
 
-    /// Delivers all that was held; nobody hears the answers. Returns their
-    /// status codes.
+    /// Delivers all held requests to their addresses and returns the status codes.
+    /// The senders do not receive the responses.
     pub async fn deliver(&self) -> Vec<u16> {
         let held = std::mem::take(&mut self.inner.lock().unwrap().held);
         let mut codes = Vec::new();
@@ -152,8 +157,8 @@
         codes
     }
 
-    /// Delivers all that was held to each of these addresses, wherever it was
-    /// sent. Returns the status codes.
+    /// Delivers every held request to each of the given addresses, whatever address
+    /// it was sent to, and returns the status codes.
     pub async fn deliver_to(&self, addresses: &[String]) -> Vec<u16> {
         let held = std::mem::take(&mut self.inner.lock().unwrap().held);
         let mut codes = Vec::new();
@@ -165,8 +170,8 @@
         codes
     }
 
-    /// Delivers the reports that were held to each of these addresses, and all
-    /// else where it was sent.
+    /// Delivers every held heartbeat (`/hello`) to each of the given addresses, and
+    /// all other held requests to the addresses they were sent to.
     pub async fn deliver_hellos_to(&self, addresses: &[String]) {
         let held = std::mem::take(&mut self.inner.lock().unwrap().held);
         for (from, request) in held {
@@ -180,16 +185,20 @@
         }
     }
 
+    /// Passes a request to the handler of an address and returns the status code,
+    /// or `None` if the address has no handler.
     async fn deliver_request(&self, from: &str, address: &str, request: &Request) -> Option<u16> {
         let handler = self.inner.lock().unwrap().handlers.get(address).cloned()?;
         Some(handler.handle(from, request.method.clone(), &request.path, &request.body).await.status)
     }
 
-    /// A host's connection to the network.
+    /// Returns the transport that a host sends its requests through.
     pub fn port(self: &Arc<Self>, host: &str) -> Arc<dyn Transport> {
         Arc::new(HostTransport { net: self.clone(), host: host.into() })
     }
 
+    /// Finds the first rule that matches the request, counts the match, holds the
+    /// request (or its duplicate) if the rule says so, and returns the rule's action.
     fn apply_matching_rule(&self, host: &str, request: &Request) -> Option<Action> {
         let mut inner = self.inner.lock().unwrap();
         let body = String::from_utf8_lossy(&request.body).into_owned();
@@ -226,7 +235,9 @@
             Some(Action::LoseAnswer | Action::Copy) | None => {}
         }
         let handler = self.net.inner.lock().unwrap().handlers.get(&request.address).cloned();
-        let Some(handler) = handler else { return Err(Failure::NotSent("nobody there".into())) };
+        let Some(handler) = handler else {
+            return Err(Failure::NotSent("no handler at this address".into()));
+        };
         let work = handler.handle(&self.host, request.method.clone(), &request.path, &request.body);
         let answer = timeout(request.timeout, work).await;
         sleep(Duration::from_millis(1)).await;
@@ -238,7 +249,7 @@
     }
 }
 
-/// The query of a path.
+/// Query parameters of a request's path.
 pub(crate) struct Query(Vec<(String, String)>);
 
 impl Query {
@@ -248,10 +259,12 @@
         Query(pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect())
     }
 
+    /// Returns the parameter's value, or an empty string if it is missing.
     pub(crate) fn text(&self, name: &str) -> String {
         self.0.iter().find(|(k, _)| k == name).map(|(_, v)| v.clone()).unwrap_or_default()
     }
 
+    /// Returns the parameter's value, or 0 if it is missing or not a number.
     pub(crate) fn number(&self, name: &str) -> u64 {
         self.text(name).parse().unwrap_or(0)
     }
--- a/crates/dapplecroft-fakes/src/state/leases.rs
+++ b/crates/dapplecroft-fakes/src/state/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: granted, renewed and revoked, and the keys dropped on lease expiry.
+//! Leases: granting, renewal and revocation, and deletion of a lease's keys when it expires.
 
 use super::{FakeState, Inner, json_response};
 use dapplecroft_net::Response;
@@ -8,6 +8,7 @@
 use tokio::time::Instant;
 
 impl FakeState {
+    /// Grants a lease, renews it (`touch`) or revokes it.
     pub(super) fn serve_lease(&self, method: &Method, path: &str, body: &[u8]) -> Response {
         let mut inner = self.inner.lock().unwrap();
         if path == "/grants" {
@@ -38,6 +39,8 @@
 }
 
 impl Inner {
+    /// Drops the leases whose time has passed and deletes their keys. During an outage
+    /// no lease expires.
     pub(super) fn expire_leases(&mut self) {
         if self.outage {
             return;
--- a/crates/dapplecroft-fakes/src/state/reads.rs
+++ b/crates/dapplecroft-fakes/src/state/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: single keys, listings in pages, and watches of changes.
+//! Reads: single keys, paginated lists of keys, and watches for changes.
 
 use super::{FakeState, json_response};
 use crate::net::Query;
@@ -8,14 +8,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often an open watch looks for new changes.
+/// How often an open watch checks for new changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The most keys of one page of a listing.
+/// Maximum number of keys on one page of a list.
 const MAX_LISTED: usize = 1000;
-/// The most bytes of one page of a listing.
+/// Maximum size of one page of a list, in bytes.
 const MAX_LISTED_BYTES: usize = 512 * 1024;
 
 impl FakeState {
+    /// Answers a read of one key (`/store/KEY`) or one page of a list of keys by prefix.
     pub(super) fn read(&self, path: &str) -> Response {
         let inner = self.inner.lock().unwrap();
         if let Some(key) = path.strip_prefix("/store/") {
@@ -44,6 +45,8 @@
         json_response(200, json!({"items": items, "truncated": truncated, "ledger": inner.revision}))
     }
 
+    /// Answers a watch as soon as there is a change of a key with the prefix after the
+    /// revision `from`, or without changes once the request's waiting time is over.
     pub(super) async fn watch(&self, from_host: &str, path: &str) -> Response {
         let query = Query::new(path);
         let (prefix, from) = (query.text("starts"), query.number("from"));
@@ -52,8 +55,9 @@
             {
                 let mut inner = self.inner.lock().unwrap();
                 inner.expire_leases();
-                // In no useful order, and of each key only the last change: the
-                // protocol promises no more.
+                // Only the last change of each key, in reverse order of keys: the protocol
+                // guarantees neither an order nor the intermediate changes, and clients
+                // must not rely on them.
                 let mut last: BTreeMap<&String, &(u64, String, Option<Value>)> = BTreeMap::new();
                 let begin = inner.changelog.partition_point(|(revision, _, _)| *revision <= from);
                 for change in inner.changelog[begin..].iter().filter(|(_, key, _)| key.starts_with(&prefix)) {
@@ -67,7 +71,7 @@
                         None => json!({"drop": key, "stamp": revision}),
                     })
                     .collect();
-                // An open watch remains open through an outage.
+                // An open watch stays open during an outage but reports nothing.
                 let rejected = inner.outage || inner.refused_hosts.contains(from_host);
                 if !rejected && (!log.is_empty() || Instant::now() >= deadline) {
                     return json_response(200, json!({"ledger": inner.revision, "log": log}));
--- a/crates/dapplecroft-fakes/src/state/tests.rs
+++ b/crates/dapplecroft-fakes/src/state/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 
+/// Guards against tests of the limits passing because the store does not enforce them:
+/// values, changes, conditions and rate beyond the limits must be rejected and counted,
+/// while a larger value stored before the limits were set must remain.
 #[tokio::test(start_paused = true)]
 async fn requests_over_a_limit_are_rejected_and_stored_values_stay() {
     let state = FakeState::new();
--- a/crates/dapplecroft-fakes/src/state/transaction.rs
+++ b/crates/dapplecroft-fakes/src/state/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: compare-and-swap on key versions, and the store's limits.
+//! Compare-and-swap transactions conditional on key versions, and the store's limits.
 
 use super::{Entry, FakeState, Inner, json_response};
 use dapplecroft_net::Response;
@@ -6,10 +6,13 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// A transaction may hold this many conditions for each change it may hold.
+/// Maximum number of conditions in a transaction, per change that the limits allow.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
 impl FakeState {
+    /// Applies all changes of a transaction at one revision if every key that it has a
+    /// condition on still has the expected version (0: the key does not exist).
+    /// Otherwise answers 409 with the keys that differ.
     pub(super) fn transact(&self, body: &[u8]) -> Response {
         let mut inner = self.inner.lock().unwrap();
         let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
@@ -61,6 +64,8 @@
 }
 
 impl Inner {
+    /// Returns the error response if the transaction exceeds a limit; otherwise takes
+    /// its changes from the rate budget.
     fn check_limits(&mut self, transaction: &Transaction) -> Option<Response> {
         let limits = self.limits?;
         let too_large = |c: &Change| match c {
--- a/crates/dapplecroft-fakes/src/worker.rs
+++ b/crates/dapplecroft-fakes/src/worker.rs
@@ -1,6 +1,6 @@
-//! An in-memory worker agent: it sends heartbeats with status, holds a lease
-//! and an agent epoch, runs tasks with checkpoints, and can hang, restart or
-//! be destroyed on demand.
+//! An in-memory worker agent: it sends heartbeats, loses its tasks when its lease
+//! expires, and simulates running tasks with checkpoints. Tests can make its
+//! machine hang, restart, receive a preemption notice or be destroyed.
 
 use crate::invariants::InvariantChecker;
 use crate::net::Net;
@@ -17,8 +17,8 @@
 mod heartbeat;
 mod tasks;
 
-/// How long after its lease ends the agent drops its tasks: the lease counts
-/// as expired only once its time has fully passed.
+/// How long after the end of its lease the agent checks for expiry. The lease
+/// counts as expired only once more than its full time has passed.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1);
 
 /// Timing of a worker agent and of the tasks it runs.
@@ -26,55 +26,67 @@
 pub struct WorkerTiming {
     /// Interval between heartbeats.
     pub report: Duration,
-    /// Lease: how long the agent keeps its tasks without an answered heartbeat.
+    /// Duration of the agent's lease: how long it keeps its tasks after it sent the
+    /// last heartbeat that was answered.
     pub lease: Duration,
-    /// How long pulling a task's image takes.
+    /// How long it takes to pull a task's image.
     pub fetch: Duration,
-    /// How long a task of a job runs; jobs not named run for 10 s.
+    /// How long each task runs, by job; tasks of other jobs run for 10 s.
     pub runs: BTreeMap<String, Duration>,
-    /// Jobs whose tasks fail.
+    /// Jobs whose tasks exit with an error shortly after their start.
     pub fails: Vec<String>,
-    /// Whether task n of a job that is named runs for 2n + 0.5 times as long, so
-    /// that they end far apart.
+    /// Whether task n of a job in `runs` runs for 2n + 0.5 times the job's run time, so
+    /// that the job's tasks exit far apart in time.
     pub per_task: bool,
-    /// Checkpoint policy by job; tasks of jobs not named never checkpoint.
+    /// Checkpoint policy, by job; tasks of other jobs never write checkpoints.
     pub saves: BTreeMap<String, Saves>,
-    /// Checkpointed progress by task; shared by all machines, as durable
-    /// storage would be.
+    /// Progress stored in each task's last checkpoint, by task. All machines share it,
+    /// as they would share durable storage.
     pub saved: Arc<Mutex<BTreeMap<String, Duration>>>,
 }
 
 /// How a job's tasks write checkpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct Saves {
-    /// Progress between two periodic checkpoints.
+    /// Run time between two periodic checkpoints.
     pub interval: Duration,
-    /// How long a final checkpoint takes when the task is stopped.
+    /// How long the final checkpoint of a task that is stopped takes. It is written
+    /// only if the task's grace period is at least this long.
     pub time: Duration,
 }
 
+/// A task on the machine, from its start command until it is cleared after its exit.
 struct Task {
     attempt: u64,
     state: TaskState,
     exit_reason: Option<ExitReason>,
+    /// The tokio task that simulates the run or the final checkpoint.
     runner: Option<JoinHandle<()>>,
-    /// Since when it runs, and the progress that it began with.
+    /// When a task with checkpoints started to run, and the progress that it resumed from.
     running_since: Option<(Instant, Duration)>,
+    /// `Some(true)` once the final checkpoint is written.
     checkpointed: Option<bool>,
 }
 
 struct Inner {
     tasks: BTreeMap<String, Task>,
+    /// Number of the agent's session: it increases when the machine restarts and when
+    /// the lease expires.
     epoch: u64,
+    /// Number of the last report.
     sequence: u64,
+    /// The highest fencing token accepted from a controller; commands with a lower one
+    /// are rejected.
     fencing_token: u64,
     lease_renewed_at: Instant,
+    /// When the cloud has announced to preempt the machine.
     preemption_at: Option<Instant>,
+    /// Index of the controller that heartbeats are sent to.
     heartbeat_target: usize,
     destroyed: bool,
-    /// Until when the machine hangs.
+    /// When the machine stops hanging; in the past or `None` if it does not hang.
     hung_until: Option<Instant>,
-    /// For how long it has been made to hang so far, in all.
+    /// Sum of the durations that the machine was made to hang for so far.
     hung_total: Duration,
 }
 
@@ -82,7 +94,7 @@
 pub struct FakeWorker {
     /// The machine's name.
     pub machine: String,
-    /// Where it listens.
+    /// Address that the agent listens on.
     pub address: String,
     machine_type: String,
     zone: String,
@@ -93,14 +105,15 @@
     net: Arc<Net>,
     checker: Arc<InvariantChecker>,
     inner: Mutex<Inner>,
+    /// Wakes the heartbeat loop to send the next heartbeat early.
     status_changed: Notify,
     weak_self: Weak<FakeWorker>,
     background_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl FakeWorker {
-    /// Starts an agent that sends heartbeats to these controllers (name and
-    /// address), serving its address on the network.
+    /// Starts an agent that sends heartbeats to one of the controllers (given by name
+    /// and address) and registers it at its address in the network.
     #[allow(clippy::too_many_arguments)]
     pub fn start(
         net: &Arc<Net>,
@@ -150,7 +163,7 @@
         worker
     }
 
-    /// The machine and all its tasks are gone; the agent stops.
+    /// Destroys the machine: the agent stops and all its tasks are gone.
     pub fn destroy(&self) {
         self.net.remove(&self.address);
         self.background_tasks.lock().unwrap().drain(..).for_each(|runner| runner.abort());
@@ -159,8 +172,8 @@
         self.drop_all_tasks(&mut inner);
     }
 
-    /// The machine restarts at once: its tasks are gone and the agent begins a
-    /// new epoch.
+    /// Restarts the machine without any downtime: its tasks are gone and the agent
+    /// begins a new session.
     pub fn blink(&self) {
         let mut inner = self.inner.lock().unwrap();
         self.drop_all_tasks(&mut inner);
@@ -169,15 +182,16 @@
         self.status_changed.notify_one();
     }
 
-    /// The machine hangs for so long and then goes on where it was, unless its
-    /// lease has ended by then. What arrives meanwhile is taken up afterwards.
+    /// Makes the machine hang for a time. Its tasks then continue where they stopped,
+    /// unless the lease has expired by then. Requests that arrive meanwhile are handled
+    /// when the machine resumes.
     pub fn hang(&self, time: Duration) {
         let mut inner = self.inner.lock().unwrap();
         inner.hung_until = Some(Instant::now() + time);
         inner.hung_total += time;
     }
 
-    /// Waits while the machine hangs.
+    /// Waits until the machine no longer hangs.
     async fn wait_while_hung(&self) {
         loop {
             let hung_until = self.inner.lock().unwrap().hung_until;
@@ -188,7 +202,7 @@
         }
     }
 
-    /// Runs for so long, not counting what the machine hangs.
+    /// Waits until the machine has run for this long, not counting the time it hangs.
     async fn run_for(&self, time: Duration) {
         let hung = || self.inner.lock().unwrap().hung_total;
         let mut hung_total_counted = hung();
@@ -202,18 +216,19 @@
         }
     }
 
-    /// The cloud preempts the machine in so many seconds (spot notice).
+    /// Gives the machine a spot preemption notice: the cloud will preempt it in this
+    /// many seconds. The agent only reports the notice; the machine is not removed.
     pub fn notice(&self, seconds: f64) {
         self.inner.lock().unwrap().preemption_at = Some(Instant::now() + Duration::from_secs_f64(seconds));
         self.status_changed.notify_one();
     }
 
-    /// The agent's epoch (incarnation).
+    /// Returns the number of the agent's current session.
     pub fn session(&self) -> u64 {
         self.inner.lock().unwrap().epoch
     }
 
-    /// The highest fencing token that the agent has accepted.
+    /// Returns the highest fencing token that the agent has accepted.
     pub fn token(&self) -> u64 {
         self.inner.lock().unwrap().fencing_token
     }
@@ -227,6 +242,7 @@
         }
     }
 
+    /// If the lease has expired, drops all tasks and begins a new session.
     fn expire_lease_if_due(&self) {
         let mut inner = self.inner.lock().unwrap();
         if inner.lease_renewed_at.elapsed() > self.timing.lease {
@@ -236,7 +252,8 @@
         }
     }
 
-    /// Ends its tasks at the very moment at which its lease ends.
+    /// Drops the tasks as soon as the lease expires, without waiting for a heartbeat or
+    /// a command.
     async fn lease_expiry_loop(&self) {
         loop {
             let end = self.inner.lock().unwrap().lease_renewed_at + self.timing.lease + LEASE_EXPIRY_MARGIN;
--- a/crates/dapplecroft-fakes/src/worker/handler.rs
+++ b/crates/dapplecroft-fakes/src/worker/handler.rs
@@ -1,4 +1,5 @@
-//! Orders sent straight to the worker, outside of its heartbeat.
+//! Commands that a controller sends directly to the worker agent, rather than in
+//! the response to a heartbeat.
 
 use super::FakeWorker;
 use crate::net::Handler;
@@ -16,8 +17,8 @@
         if self.inner.lock().unwrap().hung_until.is_none_or(|until| until <= Instant::now()) {
             return self.answer_direct_commands(commands);
         }
-        // What reaches a machine that hangs is carried out when it goes on,
-        // whether anybody still waits for the answer or not.
+        // A machine that hangs executes the request when it resumes, even if the sender
+        // has given up by then; hence the separate task, which outlives this call.
         let Some(worker) = self.weak_self.upgrade() else { return self.answer_direct_commands(commands) };
         let later = tokio::spawn(async move {
             worker.wait_while_hung().await;
@@ -28,6 +29,9 @@
 }
 
 impl FakeWorker {
+    /// Executes the commands, if the request has any, and answers with the agent's status.
+    /// The status code is 409 if the machine is destroyed, or if the commands have an
+    /// outdated fencing token or are meant for another session.
     fn answer_direct_commands(&self, commands: Option<Vec<u8>>) -> Response {
         self.expire_lease_if_due();
         let mut status = 200;
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -1,4 +1,5 @@
-//! The worker's heartbeat: it sends its status and takes the orders in the answer.
+//! The worker agent's heartbeat: sends the agent's status to a controller and
+//! executes the commands in the response.
 
 use super::FakeWorker;
 use dapplecroft_net::Request;
@@ -7,16 +8,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Wait before each heartbeat goes out, so that changes close together
-/// travel in one heartbeat.
+/// Delay before each heartbeat, so that changes in quick succession are sent in
+/// one heartbeat.
 const HEARTBEAT_BATCH_DELAY: Duration = Duration::from_millis(300);
-/// A heartbeat unanswered this long counts as lost.
+/// How long the agent waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Back-off before the agent tries the next controller.
+/// Backoff before the agent tries the next controller.
 const NEXT_CONTROLLER_BACKOFF: Duration = Duration::from_secs(1);
 
 impl FakeWorker {
-    /// A heartbeat with the agent's status as of now.
+    /// Returns a heartbeat with the agent's current status and the next sequence number.
     pub fn report(&self) -> Heartbeat {
         let mut inner = self.inner.lock().unwrap();
         inner.sequence += 1;
@@ -46,6 +47,8 @@
         }
     }
 
+    /// Sends a heartbeat at each interval, and earlier when the status has changed.
+    /// A response renews the lease from the moment at which the heartbeat was sent.
     pub(super) async fn heartbeat_loop(&self) {
         loop {
             let _ = timeout(self.timing.report, self.status_changed.notified()).await;
@@ -66,7 +69,8 @@
             };
             let answer = self.transport.send(request).await;
             self.wait_while_hung().await;
-            // If it hung meanwhile, an answer as late as that counts for nothing.
+            // If the machine hung meanwhile, the response may be older than the timeout and
+            // must be ignored like one that never arrived.
             let answer = answer.ok().filter(|_| sent_at.elapsed() < HEARTBEAT_TIMEOUT);
             self.expire_lease_if_due();
             match answer {
@@ -100,6 +104,7 @@
         }
     }
 
+    /// After a backoff, makes the agent report to the next controller in its list.
     async fn try_next_controller(&self, heartbeat_target: usize) {
         sleep(NEXT_CONTROLLER_BACKOFF).await;
         self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.controllers.len();
--- a/crates/dapplecroft-fakes/src/worker/tasks.rs
+++ b/crates/dapplecroft-fakes/src/worker/tasks.rs
@@ -1,13 +1,15 @@
-//! The worker's tasks: orders carried out, and each task's run from fetch to exit.
+//! The worker agent's tasks: executes the controllers' commands and simulates each
+//! task from the pull of its image to its exit.
 
 use super::{FakeWorker, Inner, Saves, Task};
 use dapplecroft_wire::workers::{Command, ExitReason, TaskState};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a task of a job that is set to fail runs before it exits.
+/// How long a task of a job in [`WorkerTiming::fails`](super::WorkerTiming::fails) runs
+/// before it exits with an error.
 const FAILING_TASK_RUNTIME: Duration = Duration::from_millis(200);
-/// How long a task runs when its job has no run time of its own.
+/// How long a task runs if its job is not in [`WorkerTiming::runs`](super::WorkerTiming::runs).
 const DEFAULT_TASK_RUNTIME: Duration = Duration::from_secs(10);
 
 impl FakeWorker {
@@ -36,7 +38,9 @@
         }
     }
 
-    /// Ends a task, or has it save first if it is given the time for that.
+    /// Stops a task. A running task with a checkpoint policy first writes a final
+    /// checkpoint if the grace period is long enough. While it does, only a stop
+    /// without a grace period ends it at once; others are ignored.
     fn stop_task(&self, name: &str, task: &mut Task, grace: Duration) {
         let saves = self.checkpoint_policy(name).filter(|saves| grace >= saves.time);
         if task.state == TaskState::Saving && grace > Duration::ZERO {
@@ -62,6 +66,7 @@
         self.checker.ended(name, &self.machine);
     }
 
+    /// Writes the final checkpoint of a task that is stopped, then ends the task.
     async fn checkpoint_and_exit(&self, name: String, attempt: u64, saves: Saves, progress: Duration) {
         sleep(saves.time).await;
         self.wait_while_hung().await;
@@ -80,7 +85,7 @@
         self.timing.saves.get(job).copied()
     }
 
-    /// Runs a task to its end from what was saved of it, saving by itself.
+    /// Runs a task from its last checkpoint to completion, with periodic checkpoints.
     async fn run_with_checkpoints(&self, name: &str, attempt: u64, saves: Saves, runtime: Duration) {
         let mut progress = self.timing.saved.lock().unwrap().get(name).copied().unwrap_or_default();
         if let Some(task) = self.inner.lock().unwrap().tasks.get_mut(name).filter(|t| t.attempt == attempt) {
@@ -94,6 +99,8 @@
         }
     }
 
+    /// Starts a task unless it is already on the machine; another attempt of a task that
+    /// is still there is a violation.
     fn start_task(&self, inner: &mut Inner, name: &str, attempt: u64) {
         if let Some(existing) = inner.tasks.get(name) {
             if existing.attempt != attempt {
@@ -115,6 +122,7 @@
         self.status_changed.notify_one();
     }
 
+    /// Simulates one attempt of a task: pulls the image, runs, and exits.
     async fn run_task(&self, name: String, attempt: u64) {
         self.run_for(self.timing.fetch).await;
         let job = name.rsplit_once('/').unwrap().0.to_string();
