--- a/crates/dapplecroft-controller/examples/admission_cost.rs
+++ b/crates/dapplecroft-controller/examples/admission_cost.rs
@@ -1,6 +1,6 @@
-//! What admission control costs a controller: changes, bytes and processor time a
-//! submission that is accepted, and processor time one that is refused. On stand-ins and
-//! their stopped clock; the time is real. Not a part of CI.
+//! Measures what admission control costs a controller: state service changes, bytes and
+//! CPU time per accepted submission, and CPU time per refused one. It runs on the in-memory
+//! stand-ins and their paused clock; the CPU time is real. CI does not run it.
 //!
 //!     cargo run --release -p dapplecroft-controller --example admission_cost
 
@@ -22,14 +22,15 @@
 use std::time::Instant;
 use tokio::task::JoinSet;
 
+/// Number of submissions per measurement.
 const SUBMISSIONS: usize = 2000;
-/// Submissions at a time.
+/// Number of submissions in flight at the same time.
 const BATCH_SIZE: usize = 50;
-/// The part of a core that a controller of the larger sites has.
+/// Fraction of a CPU core that a controller has on the larger sites.
 const CORE_SHARE: f64 = 0.08;
 
-/// Submits jobs at one controller; returns how many were accepted, and the seconds that
-/// each took on the average.
+/// Submits jobs to one controller. Returns how many were accepted, and the mean real time
+/// per submission in seconds.
 async fn submit_jobs(overload: &Overload, first_job: usize) -> (usize, f64) {
     let started_at = Instant::now();
     let mut accepted = 0;
@@ -48,6 +49,7 @@
     (accepted, started_at.elapsed().as_secs_f64() / SUBMISSIONS as f64)
 }
 
+/// Mean size of the job records in the state service.
 fn mean_job_record_bytes(overload: &Overload) -> f64 {
     let sizes: Vec<usize> = overload
         .cluster
@@ -59,6 +61,8 @@
     sizes.iter().sum::<usize>() as f64 / sizes.len().max(1) as f64
 }
 
+/// Measures one configuration and prints the result. `in_force`: whether to wait until
+/// the admission limit is in force.
 async fn measure(name: &str, options: Options, in_force: bool) {
     let overload = Overload::start(3, 0, options).await;
     if in_force {
@@ -69,8 +73,8 @@
     let (accepted, seconds_per_submission) = submit_jobs(&overload, 0).await;
     let changes = (overload.cluster.state.changes() - changes_before) as f64;
     println!(
-        "{name}: {accepted} of {SUBMISSIONS} accepted, {:.3} changes and {:.0} us for each submission, {:.0} bytes a record, \
-         {:.0} submissions a second with {CORE_SHARE} of a core",
+        "{name}: {accepted} of {SUBMISSIONS} accepted, {:.3} changes and {:.0} us per submission, \
+         {:.0} bytes per record, {:.0} submissions per second with {CORE_SHARE} of a core",
         changes / SUBMISSIONS as f64,
         seconds_per_submission * 1e6,
         mean_job_record_bytes(&overload),
--- a/crates/dapplecroft-controller/examples/admission_hour.rs
+++ b/crates/dapplecroft-controller/examples/admission_hour.rs
@@ -1,7 +1,9 @@
-//! An hour of overload, on stand-ins and their stopped clock: what each of eight teams is
-//! accepted of what it offers. Not a part of CI.
+//! Simulates an hour of overload and prints how many of its submissions each of eight teams
+//! had accepted. It runs on the in-memory stand-ins and their paused clock. CI does not run it.
 //!
 //!     cargo run --release -p dapplecroft-controller --example admission_hour -- SEED [SECONDS] [without]
+//!
+//! SECONDS is the simulated time (default: 3600); `without` switches admission control off.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/dapplecroft-controller/examples/cells_waiting.rs
+++ b/crates/dapplecroft-controller/examples/cells_waiting.rs
@@ -1,5 +1,6 @@
-//! What spilling is worth: a full cell beside two idle ones, on stand-ins and their
-//! stopped clock, with hand-overs and without. Not a part of CI.
+//! Measures the benefit of handing jobs over to other cells: how long tasks wait in a full
+//! cell beside two idle ones, without and with hand-overs. It runs on the in-memory
+//! stand-ins and their paused clock. CI does not run it.
 //!
 //!     cargo run --release -p dapplecroft-controller --example cells_waiting
 
@@ -22,10 +23,13 @@
 const TASK_RUNTIME_S: u64 = 60;
 const SUBMISSION_INTERVAL: Duration = Duration::from_secs(5);
 
+/// ID of the `job`-th job.
 fn job_id(job: usize) -> String {
     format!("run-{}", 1000 + job)
 }
 
+/// Submits all jobs to the first cell, waits until every task has run, and prints the
+/// result. `offers`: whether cells offer each other jobs.
 async fn measure(offers: bool) {
     let job_ids: Vec<String> = (0..JOBS).map(job_id).collect();
     let runs: Vec<(&str, u64)> = job_ids.iter().map(|id| (id.as_str(), TASK_RUNTIME_S)).collect();
@@ -51,10 +55,12 @@
     assert_eq!(three_cells.overlaps(), Vec::<String>::new());
 }
 
+/// Whether every task of the jobs has started at least once, in any cell.
 fn all_started(three_cells: &ThreeCells, job_ids: &[String]) -> bool {
     job_ids.iter().all(|id| (0..TASKS_PER_JOB).all(|i| three_cells.starts(&format!("{id}/{i}")) > 0))
 }
 
+/// Prints the waiting times of the tasks, and the load and state service changes of each cell.
 fn report(
     three_cells: &ThreeCells,
     offers: bool,
@@ -75,9 +81,9 @@
     waits_s.sort_by(f64::total_cmp);
     let quantile = |part: f64| waits_s[((waits_s.len() - 1) as f64 * part) as usize];
     let mean_wait_s = waits_s.iter().sum::<f64>() / waits_s.len() as f64;
-    println!("hand-overs {}: all done after {elapsed_s:.0} s", if offers { "on" } else { "off" });
+    println!("hand-overs {}: all tasks done after {elapsed_s:.0} s", if offers { "on" } else { "off" });
     println!(
-        "  a task waits {mean_wait_s:.0} s on the average, {:.0} s median, {:.0} s (95%), {:.0} s at most",
+        "  wait per task: {mean_wait_s:.0} s mean, {:.0} s median, {:.0} s 95th percentile, {:.0} s maximum",
         quantile(0.5),
         quantile(0.95),
         quantile(1.0)
@@ -86,7 +92,7 @@
         let changes = (cluster.state.changes() - changes_before[cell]) as f64;
         let tasks_run = cluster.referee.history().len();
         println!(
-            "  cell {cell}: {tasks_run} tasks, {:.0} task-seconds, {:.2} changes a second of 25",
+            "  cell {cell}: {tasks_run} tasks, {:.0} task-seconds, {:.2} changes per second of 25 allowed",
             task_seconds[cell],
             changes / elapsed_s
         );
--- a/crates/dapplecroft-controller/examples/fleet_cost.rs
+++ b/crates/dapplecroft-controller/examples/fleet_cost.rs
@@ -1,5 +1,6 @@
-//! What a large fleet costs a controller: processor time and memory for reading all
-//! records, and for one step of each fleet loop. Not a part of CI.
+//! Measures what a large fleet costs a controller: time and memory to load all records of
+//! the state service, and the time of one fleet step on each controller. The argument is the
+//! number of machines (default: 4000). CI does not run it.
 //!
 //!     cargo run --release -p dapplecroft-controller --example fleet_cost -- 4000
 
@@ -18,14 +19,16 @@
 use std::time::{Duration, Instant};
 
 const KIB: usize = 1024;
+/// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: usize = 4096;
 
-/// Resident memory of this process.
+/// Resident memory of this process, or 0 if it cannot be read.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
+/// Starts a cluster and one job whose tasks occupy every machine for an hour.
 async fn busy_cluster(machines: usize) -> Cluster {
     let adjust = |timing: &mut WorkerTiming| {
         timing.runs.insert("run-1".into(), Duration::from_secs(3600));
@@ -43,7 +46,9 @@
     let cluster = busy_cluster(machines).await;
     let leader = cluster.node(cluster.leader().unwrap());
     let client = StateClient::new(cluster.net.port("measure"), STATE.into(), 1e6, 1e6);
-    let Outcome::Done((items, revision)) = client.list("dc/").await else { panic!("no records") };
+    let Outcome::Done((items, revision)) = client.list("dc/").await else {
+        panic!("cannot list the records")
+    };
     let record_bytes: usize = items.iter().map(|item| item.value.to_string().len()).sum();
     println!("{machines} machines: {} records, {} KiB", items.len(), record_bytes / KIB);
 
@@ -52,8 +57,11 @@
     let started_at = Instant::now();
     let mut fresh_core = Core::new(settings, Options::default(), "fresh".into());
     fresh_core.load_snapshot(items, revision, started_at);
-    println!("a fresh controller reads them in {:?}", started_at.elapsed());
-    println!("and holds them in about {} KiB", resident_bytes().saturating_sub(resident_before) / KIB);
+    println!("a new controller loads them in {:?}", started_at.elapsed());
+    println!(
+        "and its replica of the records takes about {} KiB",
+        resident_bytes().saturating_sub(resident_before) / KIB
+    );
 
     for n in 0..3 {
         let node = cluster.node(n);
@@ -65,7 +73,7 @@
         let started_at = Instant::now();
         node.with(|core| core.fleet_step(now));
         println!(
-            "{}: {shards} blocks, {schedulable} machines, a fleet step takes {:?}",
+            "{}: {shards} shards, {schedulable} schedulable machines, a fleet step takes {:?}",
             host(n),
             started_at.elapsed()
         );
