--- a/crates/dapplecroft-controller/tests/stories/admission.rs
+++ b/crates/dapplecroft-controller/tests/stories/admission.rs
@@ -254,7 +254,7 @@
     let mut accepted = 0;
     for job in 0..600 {
         let id = format!("run-{job}");
-        o.cluster.referee.job(&id, "a", 4.0);
+        o.cluster.checker.job(&id, "a", 4.0);
         let (status, _) = o.cluster.call(0, Method::POST, "/v2/runs", &body(&id, "a", 1)).await;
         accepted += usize::from(status == 201);
         pause(0.2).await;
@@ -330,7 +330,7 @@
     let rollout = async {
         for n in 0..3 {
             pause(10.0).await;
-            o.cluster.own_options.lock().unwrap().insert(n, other.clone());
+            o.cluster.options_by_node.lock().unwrap().insert(n, other.clone());
             o.cluster.kill_node(n);
             pause(1.0).await;
             o.cluster.start_node(n);
@@ -351,7 +351,7 @@
 async fn no_credit_is_demanded_while_a_controller_knows_nothing_of_it() {
     let former = Options::default();
     let o = Overload::with(3, 4, options(LIMIT), |cluster| {
-        cluster.own_options.lock().unwrap().insert(2, former.clone());
+        cluster.options_by_node.lock().unwrap().insert(2, former.clone());
     })
     .await;
     let ids = o.flood(1, "a", every(200), Duration::from_secs(20)).await;
@@ -359,12 +359,12 @@
     assert!(!o.is_in_force());
     assert_eq!(o.accepted(&ids), ids.len(), "as before");
     // It is replaced; then another one goes back.
-    o.cluster.own_options.lock().unwrap().clear();
+    o.cluster.options_by_node.lock().unwrap().clear();
     o.cluster.kill_node(2);
     o.cluster.start_node(2);
     o.until_in_force().await;
     o.flood(2, "a", every(200), Duration::from_secs(20)).await;
-    o.cluster.own_options.lock().unwrap().insert(0, former);
+    o.cluster.options_by_node.lock().unwrap().insert(0, former);
     o.cluster.kill_node(0);
     o.cluster.start_node(0);
     o.cluster.until("credit is demanded no more", || !o.is_in_force()).await;
--- a/crates/dapplecroft-controller/tests/stories/cells.rs
+++ b/crates/dapplecroft-controller/tests/stories/cells.rs
@@ -1,7 +1,7 @@
 //! Several cells, each with its own controllers, state service, cloud and workers, and
 //! the links between them.
 
-use crate::cluster::{Cluster, Running, job};
+use crate::cluster::{Cluster, RunningNodes, job};
 use async_trait::async_trait;
 use dapplecroft_controller::{Cells, ExchangeError, Options};
 use dapplecroft_fakes::{Stay, WorkerTiming};
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 struct LinkState {
-    cells: BTreeMap<String, Running>,
+    cells: BTreeMap<String, RunningNodes>,
     /// Messages from one cell to another that never arrive.
     cut: BTreeSet<(usize, usize)>,
     /// Answers that are lost, of requests from one cell to another.
@@ -228,9 +228,9 @@
             let port = Port { links: links.clone(), cell };
             let prepare = |c: &Cluster| {
                 *c.cells.lock().unwrap() = Arc::new(port);
-                links.with(|state| state.cells.insert(NAMES[cell].into(), c.running()));
+                links.with(|state| state.cells.insert(NAMES[cell].into(), c.running_nodes()));
             };
-            cells.push(Cluster::custom(capacity, timing, options, Value::Null, prepare).await);
+            cells.push(Cluster::with_overrides(capacity, timing, options, Value::Null, prepare).await);
         }
         ThreeCells { cells, links, accepted: Mutex::default() }
     }
@@ -238,9 +238,9 @@
     /// Submits at a cell until it is accepted; every cell's referee knows the job.
     pub async fn submit(&self, cell: usize, id: &str, tasks: u32, cpus: f64) {
         for c in &self.cells {
-            c.referee.job(id, "free", cpus);
+            c.checker.job(id, "free", cpus);
         }
-        self.cells[cell].hand_in(id, &job(id, "free", tasks, cpus, "normal")).await;
+        self.cells[cell].submit_body(id, &job(id, "free", tasks, cpus, "normal")).await;
         self.accepted.lock().unwrap().insert(id.into(), cell);
     }
 
@@ -248,7 +248,7 @@
     pub async fn fill(&self, cell: usize, id: &str, tasks: u32, cpus: f64) {
         self.submit(cell, id, tasks, cpus).await;
         self.accepted.lock().unwrap().remove(id);
-        let running = || self.cells[cell].referee.on().keys().filter(|task| task.starts_with(id)).count();
+        let running = || self.cells[cell].checker.on().keys().filter(|task| task.starts_with(id)).count();
         self.until("the cell is full", || running() == tasks as usize).await;
     }
 
@@ -258,10 +258,10 @@
         loop {
             let n = (0..3).find(|n| self.cells[cell].is_up(*n)).unwrap_or(0);
             if self.cells[cell].is_up(n) {
-                let (status, stage) = self.cells[cell].ask_withdraw(n, id).await;
+                let (status, stage) = self.cells[cell].cancel_once(n, id).await;
                 if status == 200 {
                     if stage == "withdrawn" {
-                        self.cells.iter().for_each(|c| c.referee.cancelled(id));
+                        self.cells.iter().for_each(|c| c.checker.cancelled(id));
                     }
                     return stage;
                 }
@@ -334,7 +334,7 @@
     /// that.
     pub fn assert_rules_kept(&self) {
         for cell in &self.cells {
-            cell.assert_rules_kept();
+            cell.assert_invariants_hold();
         }
         assert_eq!(self.overlaps(), Vec::<String>::new());
     }
@@ -343,7 +343,7 @@
     pub fn overlaps(&self) -> Vec<String> {
         let mut stays: BTreeMap<String, Vec<(usize, Stay)>> = BTreeMap::new();
         for (cell, cluster) in self.cells.iter().enumerate() {
-            for stay in cluster.referee.history() {
+            for stay in cluster.checker.history() {
                 let job = stay.task.split('/').next().unwrap_or_default().to_string();
                 stays.entry(job).or_default().push((cell, stay));
             }
@@ -367,6 +367,6 @@
 
     /// How often a job's tasks were started, in all cells.
     pub fn starts(&self, task: &str) -> usize {
-        self.cells.iter().map(|c| c.referee.starts(task)).sum()
+        self.cells.iter().map(|c| c.checker.starts(task)).sum()
     }
 }
--- a/crates/dapplecroft-controller/tests/stories/checkpoints.rs
+++ b/crates/dapplecroft-controller/tests/stories/checkpoints.rs
@@ -28,7 +28,7 @@
             timing.runs.insert((*job).into(), Duration::from_secs_f64(*seconds));
         }
     };
-    let cluster = Cluster::with(machines, adjust, Options::default()).await;
+    let cluster = Cluster::with_options(machines, adjust, Options::default()).await;
     (cluster, saved)
 }
 
@@ -41,8 +41,8 @@
 }
 
 async fn begin(c: &Cluster, save_time: f64, cpus: f64, rank: &str) -> Instant {
-    c.referee.job("run-1", "free", cpus);
-    c.hand_in("run-1", &saving_job(save_time, cpus, rank)).await;
+    c.checker.job("run-1", "free", cpus);
+    c.submit_body("run-1", &saving_job(save_time, cpus, rank)).await;
     c.until_running(1).await;
     Instant::now()
 }
@@ -52,7 +52,7 @@
 }
 
 fn runs(c: &Cluster, task: &str) -> bool {
-    c.referee.on().contains_key(task)
+    c.checker.on().contains_key(task)
 }
 
 // After a minute nothing could be displaced, however little it would have lost.
@@ -69,7 +69,7 @@
     c.until_stage("run-1", "done").await;
     // Its own time, that of the urgent task, the save, two images and commits.
     assert!(began.elapsed() < Duration::from_secs(140), "{:?}", began.elapsed());
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -83,7 +83,7 @@
     assert!(asked.elapsed() < Duration::from_secs_f64(SAVE_TIME), "{:?}", asked.elapsed());
     assert_eq!(progress(&saved).round(), 60.0);
     c.until_stage("run-1", "done").await;
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 // The room of a task that saves is taken until it has ended, and so is its team's.
@@ -96,12 +96,12 @@
     let asked = Instant::now();
     c.submit("run-2", "free", 1, 16.0, "urgent").await;
     while asked.elapsed() < Duration::from_secs_f64(save_time) {
-        assert!(runs(&c, "run-1/0") && !runs(&c, "run-2/0"), "{:?}", c.referee.on());
+        assert!(runs(&c, "run-1/0") && !runs(&c, "run-2/0"), "{:?}", c.checker.on());
         pause(0.1).await;
     }
     c.until("the urgent task runs", || runs(&c, "run-2/0")).await;
     assert!(!runs(&c, "run-1/0"));
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 // What was left of a notice shrank while the task saved, until nothing was, and a
@@ -112,13 +112,13 @@
     let (c, saved) = cluster(2, save_time, &[("run-1", 120.0)]).await;
     begin(&c, save_time, 16.0, "normal").await;
     pause(30.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
+    let machine = c.checker.on()["run-1/0"].clone();
     c.cloud.worker(&machine).notice(5.0);
     c.until("it has ended", || !runs(&c, "run-1/0")).await;
     assert!(progress(&saved) > 29.0, "{}", progress(&saved));
     c.until_stage("run-1", "done").await;
-    assert_eq!(c.referee.starts("run-1/0"), 2);
-    c.assert_rules_kept();
+    assert_eq!(c.checker.starts("run-1/0"), 2);
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -126,7 +126,7 @@
     let (c, saved) = cluster(2, SAVE_TIME, &[("run-1", 100.0)]).await;
     let began = begin(&c, SAVE_TIME, 16.0, "normal").await;
     pause(50.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
+    let machine = c.checker.on()["run-1/0"].clone();
     let worker = c.cloud.worker(&machine);
     worker.notice(1.0);
     let noticed = Instant::now();
@@ -137,7 +137,7 @@
     c.cloud.take(&machine);
     c.until_stage("run-1", "done").await;
     assert!(began.elapsed() < Duration::from_secs(150), "{:?}", began.elapsed());
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -145,14 +145,14 @@
     let (c, saved) = cluster(2, SAVE_TIME, &[("run-1", 100.0)]).await;
     let began = begin(&c, SAVE_TIME, 16.0, "normal").await;
     pause(50.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
+    let machine = c.checker.on()["run-1/0"].clone();
     c.cloud.take(&machine);
     assert_eq!(progress(&saved).round(), 40.0);
     c.until_stage("run-1", "done").await;
     // Ten seconds are repeated; noticing the loss and a boot come on top.
     assert!(began.elapsed() < Duration::from_secs(160), "{:?}", began.elapsed());
-    assert_eq!(c.referee.starts("run-1/0"), 2);
-    c.assert_rules_kept();
+    assert_eq!(c.checker.starts("run-1/0"), 2);
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -164,12 +164,12 @@
     // Its checkpoint is 15 s old: it has to save to keep that.
     c.submit("run-2", "free", 1, 16.0, "urgent").await;
     pause(3.0).await;
-    c.withdraw(0, "run-1").await;
+    c.cancel(0, "run-1").await;
     let asked = Instant::now();
     c.until("it has ended", || !runs(&c, "run-1/0")).await;
     assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
     c.until_stage("run-2", "done").await;
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -185,25 +185,25 @@
         }
     };
     let options = Options { preempt: false, drain_interval: Duration::from_secs(20), ..Options::default() };
-    let c = Cluster::with(2, adjust, options).await;
+    let c = Cluster::with_options(2, adjust, options).await;
     // Two larger tasks bring both machines up, a small one that saves fills each;
     // then the larger ones end, and a task waits that needs a whole machine.
     c.submit("run-2", "free", 1, 12.0, "normal").await;
     c.submit("run-3", "free", 1, 12.0, "normal").await;
     c.until_running(2).await;
-    c.referee.job("run-1", "free", 4.0);
+    c.checker.job("run-1", "free", 4.0);
     let mut body = saving_job(SAVE_TIME, 4.0, "normal");
     body["shares"] = json!(2);
-    c.hand_in("run-1", &body).await;
+    c.submit_body("run-1", &body).await;
     c.until_running(4).await;
     c.until_stage("run-2", "done").await;
     c.until_stage("run-3", "done").await;
     c.submit("run-4", "free", 1, 16.0, "normal").await;
     c.until_stage("run-4", "done").await;
     let moved: Vec<&str> =
-        ["run-1/0", "run-1/1"].into_iter().filter(|task| c.referee.starts(task) > 1).collect();
+        ["run-1/0", "run-1/1"].into_iter().filter(|task| c.checker.starts(task) > 1).collect();
     assert_eq!(moved.len(), 1, "one small task was moved, once");
     assert!(saved.lock().unwrap()[moved[0]] > Duration::from_secs(2));
     c.until_stage("run-1", "done").await;
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
--- a/crates/dapplecroft-controller/tests/stories/federation.rs
+++ b/crates/dapplecroft-controller/tests/stories/federation.rs
@@ -26,12 +26,12 @@
     let c = spilled(10).await;
     c.until("it visits", || c.visited(0, "run-2").is_some()).await;
     let away = c.visited(0, "run-2").unwrap();
-    c.until("it runs there", || c.cells[away].referee.on().len() == 4).await;
+    c.until("it runs there", || c.cells[away].checker.on().len() == 4).await;
     pause(2.0).await;
-    let (status, answer) = c.cells[0].show(c.cells[0].leader().unwrap(), "run-2").await;
+    let (status, answer) = c.cells[0].job_status(c.cells[0].leader().unwrap(), "run-2").await;
     assert_eq!((status, answer["stage"].as_str()), (200, Some("running")));
     // Only its home cell tells how it stands.
-    let (status, _) = c.cells[away].show(0, "run-2").await;
+    let (status, _) = c.cells[away].job_status(0, "run-2").await;
     assert_eq!(status, 503);
     c.cells[0].until_stage("run-2", "done").await;
     assert!((0..4).all(|i| c.starts(&format!("run-2/{i}")) == 1));
@@ -206,11 +206,11 @@
         }
         pause(60.0).await;
         c.assert_rules_kept();
-        let running = c.cells.iter().flat_map(|cell| cell.referee.on().into_keys());
+        let running = c.cells.iter().flat_map(|cell| cell.checker.on().into_keys());
         let left = running.filter(|task| task.starts_with("run-2/")).count();
         assert_eq!(left, 0, "tasks that run on after {moment}");
         for n in 0..3 {
-            let (status, answer) = c.cells[0].show(n, "run-2").await;
+            let (status, answer) = c.cells[0].job_status(n, "run-2").await;
             assert_eq!((status, answer["stage"].as_str()), (200, Some(stage.as_str())));
         }
     }
@@ -221,10 +221,10 @@
     let c = spilled(200).await;
     c.until("it visits", || c.visited(0, "run-2").is_some()).await;
     let away = c.visited(0, "run-2").unwrap();
-    c.until("it runs there", || c.cells[away].referee.on().len() == 4).await;
+    c.until("it runs there", || c.cells[away].checker.on().len() == 4).await;
     c.links.cut(0, away);
     for _ in 0..5 {
-        let (status, _) = c.cells[0].ask_withdraw(0, "run-2").await;
+        let (status, _) = c.cells[0].cancel_once(0, "run-2").await;
         assert_eq!(status, 503);
     }
     c.links.heal();
@@ -261,8 +261,8 @@
     c.fill(0, "run-1", 2, 16.0).await;
     c.submit(0, "run-2", 4, 16.0).await;
     c.until_all_over().await;
-    assert!(c.cells[0].referee.starts("run-2/0") == 1, "it waited for room at home");
-    assert!([1, 2].iter().all(|cell| c.cells[*cell].referee.history().is_empty()));
+    assert!(c.cells[0].checker.starts("run-2/0") == 1, "it waited for room at home");
+    assert!([1, 2].iter().all(|cell| c.cells[*cell].checker.history().is_empty()));
     c.assert_rules_kept();
 }
 
@@ -272,11 +272,11 @@
     c.submit(1, "run-2", 1, 16.0).await;
     c.fill(0, "run-1", 2, 16.0).await;
     c.cells[2].cloud.shrink(0);
-    c.cells[0].hand_in("run-2", &job("run-2", "free", 1, 16.0, "normal")).await;
+    c.cells[0].submit_body("run-2", &job("run-2", "free", 1, 16.0, "normal")).await;
     pause(40.0).await;
     assert_eq!(c.recorded(1, "run-2").as_deref(), Some("open"), "the other cell's own job is as it was");
     for cell in &c.cells {
-        cell.assert_rules_kept();
+        cell.assert_invariants_hold();
     }
 }
 
@@ -287,10 +287,10 @@
     for (id, field) in [("run-3", "same_place"), ("run-4", "apart")] {
         let mut body = job(id, "free", 2, 16.0, "normal");
         body[field] = json!(true);
-        c.cells[0].referee.job(id, "free", 16.0);
-        c.cells[0].hand_in(id, &body).await;
+        c.cells[0].checker.job(id, "free", 16.0);
+        c.cells[0].submit_body(id, &body).await;
     }
-    c.cells[0].serve("run-5", "free", 1, 16.0).await;
+    c.cells[0].submit_service("run-5", "free", 1, 16.0).await;
     pause(60.0).await;
     for id in ["run-3", "run-4", "run-5"] {
         assert_eq!(c.visited(0, id), None, "{id}");
@@ -305,14 +305,14 @@
     let mut c = spilled(30).await;
     c.until("it visits", || c.visited(0, "run-2").is_some()).await;
     let away = c.visited(0, "run-2").unwrap();
-    c.until("it runs there", || c.cells[away].referee.on().len() == 4).await;
+    c.until("it runs there", || c.cells[away].checker.on().len() == 4).await;
     c.kill_all(away);
     if let Some(federation) = &mut c.cells[away].options.federation {
         federation.cell.incarnation = 2;
     }
     c.start_all(away);
     pause(120.0).await;
-    let (status, answer) = c.cells[0].show(0, "run-2").await;
+    let (status, answer) = c.cells[0].job_status(0, "run-2").await;
     assert_eq!((status, answer["stage"].as_str().is_some()), (200, true));
     assert_eq!(c.recorded(0, "run-2").as_deref(), Some("away"));
     assert!((0..4).all(|i| c.starts(&format!("run-2/{i}")) <= 1));
@@ -342,7 +342,7 @@
 async fn a_storm_of_jobs_from_a_cell_that_lost_its_machines_is_taken_in_by_the_others() {
     let c = ThreeCells::start([8, 10, 10], &[]).await;
     c.submit(0, "run-1", 8, 16.0).await;
-    c.until("it runs", || c.cells[0].referee.on().len() == 8).await;
+    c.until("it runs", || c.cells[0].checker.on().len() == 8).await;
     c.cells[0].cloud.shrink(0);
     c.cells[0].cloud.machines().iter().for_each(|id| c.cells[0].cloud.take(id));
     for k in 0..24 {
@@ -352,7 +352,7 @@
     // What had begun stays; machines come back for it.
     c.cells[0].cloud.shrink(8);
     c.until_all_over().await;
-    let visited = (0..24).filter(|k| c.cells[0].referee.starts(&format!("run-9{k}/0")) == 0).count();
+    let visited = (0..24).filter(|k| c.cells[0].checker.starts(&format!("run-9{k}/0")) == 0).count();
     assert!(visited >= 12, "{visited} of 24 jobs ran in other cells");
     c.assert_rules_kept();
 }
@@ -422,7 +422,7 @@
         let c = spilled(40).await;
         c.until("it visits", || c.visited(0, "run-2").is_some()).await;
         let away = c.visited(0, "run-2").unwrap();
-        c.until("it runs there", || c.cells[away].referee.on().len() == 4).await;
+        c.until("it runs there", || c.cells[away].checker.on().len() == 4).await;
         if there {
             c.links.cut(0, away);
         }
@@ -474,7 +474,7 @@
     c.links.deliver_kept().await;
     pause(60.0).await;
     c.assert_rules_kept();
-    let spilled = (0..30).filter(|k| c.cells[0].referee.starts(&format!("run-9{k}/0")) == 0).count();
+    let spilled = (0..30).filter(|k| c.cells[0].checker.starts(&format!("run-9{k}/0")) == 0).count();
     assert!(spilled > 5, "{spilled} of 30 jobs ran in other cells");
 }
 
@@ -495,12 +495,12 @@
     };
     let mut written = Vec::new();
     for federation in [None, Some(Federation::check(&alone).unwrap())] {
-        let c = Cluster::with(3, |_| {}, Options { federation, ..Options::default() }).await;
+        let c = Cluster::with_options(3, |_| {}, Options { federation, ..Options::default() }).await;
         for id in ["run-1", "run-2"] {
             c.submit(id, "free", 6, 8.0, "normal").await;
             c.until_stage(id, "done").await;
         }
-        c.assert_rules_kept();
+        c.assert_invariants_hold();
         let records: Vec<_> = c.state.keys("dc/").into_iter().map(|key| c.state.value(&key)).collect();
         written.push((c.state.changes(), c.state.keys("dc/"), records));
     }
--- a/crates/dapplecroft-controller/tests/stories/five.rs
+++ b/crates/dapplecroft-controller/tests/stories/five.rs
@@ -1,6 +1,6 @@
 //! Five controllers in three zones, as a further deployment has them.
 
-use crate::cluster::{CANCEL, CLOUD, Cluster, STATE, address, host, pause};
+use crate::cluster::{CANCEL_DEADLINE, CLOUD, Cluster, STATE, address, host, pause};
 use dapplecroft_controller::Options;
 use dapplecroft_fakes::{Action, Rule, WorkerTiming};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
         }
     };
     let options = Options { shard_machines, ..Options::default() };
-    let c = Cluster::of(NODES, 10, runs, options, serde_json::Value::Null, |_| {}).await;
+    let c = Cluster::with_nodes(NODES, 10, runs, options, serde_json::Value::Null, |_| {}).await;
     c.submit("run-1", "free", 10, 8.0, "normal").await;
     c.submit("run-2", "tight", 2, 8.0, "normal").await;
     c.until_running(12).await;
@@ -25,14 +25,14 @@
 async fn keeps_rules(c: &Cluster, seconds: u64) {
     for _ in 0..seconds {
         pause(1.0).await;
-        assert_eq!(c.referee.broken(), Vec::<String>::new());
+        assert_eq!(c.checker.broken(), Vec::<String>::new());
     }
 }
 
 /// Cuts controllers off, with the machines of a zone or with none.
 fn cut(c: &Cluster, inside: &BTreeSet<usize>, machines: &[String]) {
     for n in inside {
-        c.apart.lock().unwrap().insert(host(*n));
+        c.isolated.lock().unwrap().insert(host(*n));
         c.net.rule(Rule::all(&host(*n), STATE, Action::Drop));
         c.net.rule(Rule::all(&host(*n), CLOUD, Action::Drop));
     }
@@ -58,18 +58,18 @@
         let there: Vec<String> = c.cloud.machines().into_iter().step_by(2).collect();
         cut(&c, &inside, &there);
         let outside = (first + 2) % NODES;
-        c.withdraw(outside, "run-1").await;
-        keeps_rules(&c, CANCEL.as_secs() + 5).await;
+        c.cancel(outside, "run-1").await;
+        keeps_rules(&c, CANCEL_DEADLINE.as_secs() + 5).await;
         assert!(c.net.matched(Action::Drop) > 20);
-        assert!(!c.referee.on().keys().any(|t| t.starts_with("run-1/")));
+        assert!(!c.checker.on().keys().any(|t| t.starts_with("run-1/")));
         let led = c.leader().unwrap();
         assert!(!inside.contains(&led), "{led}");
         c.net.clear_rules();
-        c.apart.lock().unwrap().clear();
+        c.isolated.lock().unwrap().clear();
         keeps_rules(&c, 30).await;
-        assert_eq!(c.referee.late_starts(), Vec::<String>::new());
-        c.until("run-2 runs", || c.referee.on().len() == 2).await;
-        c.assert_rules_kept();
+        assert_eq!(c.checker.late_starts(), Vec::<String>::new());
+        c.until("run-2 runs", || c.checker.on().len() == 2).await;
+        c.assert_invariants_hold();
     }
 }
 
@@ -84,29 +84,29 @@
         pause(back).await;
         c.until("the one left leads, or one that is back", || c.leader().is_some() || back < 1.0).await;
         ended.iter().for_each(|n| c.start_node(*n));
-        c.withdraw(left, "run-1").await;
-        keeps_rules(&c, CANCEL.as_secs()).await;
+        c.cancel(left, "run-1").await;
+        keeps_rules(&c, CANCEL_DEADLINE.as_secs()).await;
         c.submit("run-3", "free", 2, 4.0, "urgent").await;
         c.until_stage("run-3", "done").await;
-        assert!((0..2).all(|i| c.referee.starts(&format!("run-2/{i}")) == 1), "nothing was started again");
-        c.assert_day_ends(&["run-1", "run-2", "run-3"]).await;
+        assert!((0..2).all(|i| c.checker.starts(&format!("run-2/{i}")) == 1), "nothing was started again");
+        c.assert_recovers(&["run-1", "run-2", "run-3"]).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn connections_between_controllers_alone_are_refused() {
     let c = five(Some(2)).await;
-    c.apart.lock().unwrap().extend((0..NODES).map(host));
-    let lost = c.referee.on()["run-1/0"].clone();
+    c.isolated.lock().unwrap().extend((0..NODES).map(host));
+    let lost = c.checker.on()["run-1/0"].clone();
     c.cloud.take(&lost);
     c.submit("run-3", "free", 4, 4.0, "urgent").await;
     c.until_stage("run-3", "done").await;
-    c.until("what was lost runs elsewhere", || c.referee.starts("run-1/0") == 2).await;
-    c.withdraw(1, "run-1").await;
-    keeps_rules(&c, CANCEL.as_secs()).await;
-    assert_eq!(c.referee.on().len(), 2);
-    c.apart.lock().unwrap().clear();
-    c.assert_day_ends(&["run-1", "run-2", "run-3"]).await;
+    c.until("what was lost runs elsewhere", || c.checker.starts("run-1/0") == 2).await;
+    c.cancel(1, "run-1").await;
+    keeps_rules(&c, CANCEL_DEADLINE.as_secs()).await;
+    assert_eq!(c.checker.on().len(), 2);
+    c.isolated.lock().unwrap().clear();
+    c.assert_recovers(&["run-1", "run-2", "run-3"]).await;
 }
 
 // Its tasks are wanted elsewhere before it goes on.
@@ -114,13 +114,13 @@
 async fn a_machine_that_hung_and_goes_on_runs_nothing_that_is_elsewhere() {
     for hang in [6.0, 14.0, 22.0, 35.0] {
         let c = five(Some(2)).await;
-        let machine = c.referee.on()["run-1/0"].clone();
+        let machine = c.checker.on()["run-1/0"].clone();
         c.cloud.worker(&machine).hang(Duration::from_secs_f64(hang));
         keeps_rules(&c, 40).await;
-        let on = c.referee.on();
+        let on = c.checker.on();
         assert_eq!(on.len(), 12, "{hang}");
-        let again = c.referee.starts("run-1/0") == 2;
+        let again = c.checker.starts("run-1/0") == 2;
         assert_eq!(again, hang > 10.0, "{hang}: noticed in time, and no sooner");
-        c.assert_rules_kept();
+        c.assert_invariants_hold();
     }
 }
--- a/crates/dapplecroft-controller/tests/stories/fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/fleet.rs
@@ -12,7 +12,7 @@
     let adjust = |t: &mut dapplecroft_fakes::WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(seconds));
     };
-    let c = Cluster::with(machines, adjust, options).await;
+    let c = Cluster::with_options(machines, adjust, options).await;
     c.submit("run-1", "free", machines as u32, 16.0, "normal").await;
     c.until_running(machines).await;
     c
@@ -28,7 +28,7 @@
     let made = c.state.changes() as f64;
     assert!(made <= most, "{made} changes in {:?}", begun.elapsed());
     assert!(c.state.largest_value() <= 8 * 1024, "a value of {}", c.state.largest_value());
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 // Of what was silent, 64 machines were asked about and the others passed for
@@ -47,9 +47,9 @@
     c.until("it steps back", || c.node(cut).with(|core| core.role.leased_shards.is_empty())).await;
     c.net.clear_rules();
     c.until_stage("run-1", "done").await;
-    let again = (0..450).filter(|i| c.referee.starts(&format!("run-1/{i}")) > 1).count();
+    let again = (0..450).filter(|i| c.checker.starts(&format!("run-1/{i}")) > 1).count();
     assert_eq!(again, 0, "tasks that ran again");
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 // Records of machines once kept allocations from being committed for 25 s.
@@ -59,8 +59,8 @@
     let c = running(40, 300, options).await;
     // Half of what runs can't end; room is on the other machines.
     let lost: BTreeSet<String> = c.cloud.machines().into_iter().take(30).collect();
-    c.withdraw(0, "run-1").await;
-    c.until("all stopped", || c.referee.on().is_empty()).await;
+    c.cancel(0, "run-1").await;
+    c.until("all stopped", || c.checker.on().is_empty()).await;
     lost.iter().for_each(|id| c.cloud.take(id));
     let mut most = 0;
     for step in 0..60 {
@@ -78,5 +78,5 @@
         pause(0.2).await;
     }
     assert!(most <= 6, "{most} records of machines at a time");
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
--- a/crates/dapplecroft-controller/tests/stories/large_fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/large_fleet.rs
@@ -16,7 +16,7 @@
     let adjust = |t: &mut WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(300));
     };
-    let c = Cluster::with(MACHINES, adjust, Options::default()).await;
+    let c = Cluster::with_options(MACHINES, adjust, Options::default()).await;
     c.submit("run-1", "free", TASKS, 16.0, "normal").await;
     c.until_running(MACHINES).await;
     c
@@ -31,9 +31,9 @@
 
 async fn assert_all_done_once(c: &Cluster) {
     c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.referee.starts(&format!("run-1/{i}")) != 1).count();
+    let again = (0..TASKS).filter(|i| c.checker.starts(&format!("run-1/{i}")) != 1).count();
     assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -67,7 +67,7 @@
         c.kill_node(n);
     }
     c.until("all machines are held", || all_machines_are_open(&c)).await;
-    let holders: BTreeSet<String> = c.holders().into_values().collect();
+    let holders: BTreeSet<String> = c.shard_holders().into_values().collect();
     assert_eq!(holders, BTreeSet::from([host(leader)]));
     assert_all_done_once(&c).await;
 }
@@ -81,7 +81,7 @@
         }
     };
     let next = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
-    let c = Cluster::custom(MACHINES, adjust, Options::default(), next, |_| {}).await;
+    let c = Cluster::with_overrides(MACHINES, adjust, Options::default(), next, |_| {}).await;
     c.until("the switch", || c.is_switched()).await;
     c.state.limit(SMALL);
     for id in jobs {
@@ -97,7 +97,7 @@
     c.until_running(MACHINES).await;
     let refused = c.state.refused();
     assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 // A job's record names each shard that runs some of it, so with values of 2 KiB one
@@ -106,11 +106,11 @@
 #[tokio::test(start_paused = true)]
 async fn one_job_runs_on_most_of_4000_machines_within_the_smallest_limits() {
     let c = with_small_limits(&["run-1"], TASKS).await;
-    c.until("most of its tasks run", || c.referee.on().len() >= 3300).await;
+    c.until("most of its tasks run", || c.checker.on().len() >= 3300).await;
     // The others begin when those end.
     pause(420.0).await;
     c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.referee.starts(&format!("run-1/{i}")) != 1).count();
+    let again = (0..TASKS).filter(|i| c.checker.starts(&format!("run-1/{i}")) != 1).count();
     assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
--- /dev/null
+++ b/crates/dapplecroft-controller/tests/stories/late_messages.rs
@@ -0,0 +1,199 @@
+//! Messages that arrive late, twice, or out of order.
+
+use crate::cluster::{CLOUD, Cluster, STATE, host, pause};
+use dapplecroft_controller::Options;
+use dapplecroft_fakes::{Action, Rule};
+use http::Method;
+use std::time::Duration;
+
+#[tokio::test(start_paused = true)]
+async fn a_delayed_start_command_is_rejected_after_its_task_has_ended() {
+    let cluster = Cluster::start(2).await;
+    cluster.net.rule(Rule::all("", "", Action::Hold).path("/do").body("start"));
+    cluster.submit("run-1", "free", 2, 4.0, "normal").await;
+    // The starts get through in answers to reports instead.
+    cluster.until_stage("run-1", "done").await;
+    cluster.net.clear_rules();
+    pause(10.0).await;
+    assert!(cluster.net.held() > 0);
+    let codes = cluster.net.deliver().await;
+    assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
+    pause(5.0).await;
+    assert!((0..2).all(|i| cluster.checker.starts(&format!("run-1/{i}")) == 1));
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_delayed_start_command_is_rejected_after_its_task_has_moved() {
+    let options = Options { max_preempted_loss: Duration::from_secs(600), ..Options::default() };
+    let cluster = Cluster::with_options(
+        2,
+        |timing| {
+            timing.runs.insert("run-1".into(), Duration::from_secs(90));
+        },
+        options,
+    )
+    .await;
+    cluster.net.rule(Rule::all("", "", Action::Hold).path("/do").body("start"));
+    cluster.submit("run-1", "free", 1, 16.0, "low").await;
+    cluster.until_running(1).await;
+    let first = cluster.checker.on()["run-1/0"].clone();
+    cluster.net.clear_rules();
+    // Something more urgent displaces it, and it moves to the other machine.
+    cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
+    cluster.until("it runs again", || cluster.checker.starts("run-1/0") == 2).await;
+    assert_ne!(cluster.checker.on().get("run-1/0"), Some(&first));
+    let codes = cluster.net.deliver().await;
+    assert!(!codes.is_empty() && codes.iter().all(|code| *code == 409), "{codes:?}");
+    cluster.until_stage("run-1", "done").await;
+    assert_eq!(cluster.checker.starts("run-1/0"), 2);
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_delayed_transaction_places_no_task_twice() {
+    let cluster = Cluster::start(3).await;
+    let placement = "\",\"m\":\"a";
+    cluster.net.rule(Rule::all("", STATE, Action::Hold).path("/multi").body(placement).times(2));
+    cluster.submit("run-1", "tight", 2, 8.0, "normal").await;
+    cluster.until("both are held", || cluster.net.held() == 2).await;
+    assert_eq!(cluster.net.deliver().await, [200, 409], "the second copy finds the first");
+    cluster.until_stage("run-1", "done").await;
+    assert!((0..2).all(|i| cluster.checker.starts(&format!("run-1/{i}")) == 1));
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_placement_by_a_leader_whose_lease_expired_is_rejected() {
+    let cluster = Cluster::start(3).await;
+    cluster.submit("run-1", "free", 1, 1.0, "normal").await;
+    cluster.until_stage("run-1", "done").await;
+    let old = cluster.leader().unwrap();
+    cluster.net.rule(Rule::all(&host(old), STATE, Action::Hold).path("/multi").body("\",\"m\":\"a"));
+    cluster.submit("run-2", "free", 1, 4.0, "normal").await;
+    cluster.until("the placement is held", || cluster.net.held() > 0).await;
+    // Its lease ends while the task is being placed.
+    cluster.state.end_leases();
+    cluster.net.rule(Rule::all(&host(old), STATE, Action::Drop));
+    cluster.until("another leader", || cluster.leader().is_some_and(|n| n != old)).await;
+    let codes = cluster.net.deliver().await;
+    assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
+    cluster.net.clear_rules();
+    cluster.until_stage("run-2", "done").await;
+    assert_eq!(cluster.checker.starts("run-2/0"), 1);
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_delayed_copy_of_a_heartbeat_ends_no_task() {
+    let cluster = Cluster::with_options(
+        2,
+        |timing| {
+            timing.runs.insert("run-1".into(), Duration::from_secs(30));
+        },
+        Options::default(),
+    )
+    .await;
+    cluster.submit("run-1", "free", 1, 4.0, "normal").await;
+    cluster.until("a machine", || !cluster.cloud.machines().is_empty()).await;
+    pause(5.2).await;
+    let machine = cluster.cloud.machines()[0].clone();
+    // A report from before the task was there.
+    let early_heartbeat = cluster.cloud.worker(&machine).report();
+    cluster.until_running(1).await;
+    let leader = cluster.leader().unwrap();
+    for _ in 0..3 {
+        let body = serde_json::to_value(&early_heartbeat).unwrap();
+        let (status, answer) = cluster.call(leader, Method::POST, "/hello", &body).await;
+        assert_eq!(status, 200);
+        assert_eq!(answer["orders"], serde_json::json!([]), "late copies are given no commands");
+        pause(2.0).await;
+    }
+    cluster.until_stage("run-1", "done").await;
+    assert_eq!(cluster.checker.starts("run-1/0"), 1);
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_heartbeat_with_a_newer_token_is_redirected() {
+    let cluster = Cluster::start(1).await;
+    cluster.submit("run-1", "free", 1, 1.0, "normal").await;
+    cluster.until_stage("run-1", "done").await;
+    let leader = cluster.leader().unwrap();
+    let machine = cluster.cloud.machines()[0].clone();
+    let mut report = cluster.cloud.worker(&machine).report();
+    report.token += 1 << 30;
+    let body = serde_json::to_value(&report).unwrap();
+    assert_eq!(cluster.call(leader, Method::POST, "/hello", &body).await.0, 421);
+    // Any other node names the holder.
+    let (status, answer) = cluster.call((leader + 1) % 3, Method::POST, "/hello", &body).await;
+    assert_eq!((status, answer["steward"].as_str()), (421, Some(host(leader).as_str())));
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_machine_from_a_delayed_rental_request_is_used_or_returned() {
+    let cluster = Cluster::start(4).await;
+    cluster.net.rule(Rule::all("", CLOUD, Action::Hold).path("/rentals").body("charter").times(1));
+    cluster.submit("run-1", "free", 1, 16.0, "normal").await;
+    cluster.until("it is held", || cluster.net.held() == 1).await;
+    // Another leader rents under another name before the old request arrives.
+    let old = cluster.leader().unwrap();
+    cluster.kill_node(old);
+    cluster.start_node(old);
+    cluster.until_stage("run-1", "done").await;
+    cluster.net.deliver().await;
+    assert_eq!(cluster.cloud.rented(), 2);
+    cluster.until("all are returned", || cluster.cloud.machines().is_empty()).await;
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_release_is_repeated_when_its_answer_is_lost_and_a_delayed_copy_does_no_harm() {
+    let cluster = Cluster::with_options(
+        3,
+        |timing| {
+            timing.runs.insert("run-1".into(), Duration::from_secs(40));
+        },
+        Options::default(),
+    )
+    .await;
+    cluster.submit("run-1", "free", 2, 16.0, "normal").await;
+    cluster.until_running(2).await;
+    cluster.net.rule(Rule::all("", CLOUD, Action::LoseAnswer).path("/rentals/release").times(2));
+    cluster.net.rule(Rule::all("", CLOUD, Action::Hold).path("/rentals/release").times(1));
+    let machine = cluster.checker.on()["run-1/0"].clone();
+    cluster.cloud.take(&machine);
+    cluster.until("its task runs elsewhere", || cluster.checker.starts("run-1/0") == 2).await;
+    cluster.net.deliver().await;
+    cluster.until_stage("run-1", "done").await;
+    cluster.assert_invariants_hold();
+}
+
+#[tokio::test(start_paused = true)]
+async fn an_outdated_machine_list_adds_and_removes_no_machine() {
+    let options = Options { idle_release_after: Some(Duration::from_secs(5)), ..Options::default() };
+    let cluster = Cluster::with_options(
+        3,
+        |timing| {
+            timing.runs.insert("run-2".into(), Duration::from_secs(40));
+        },
+        options,
+    )
+    .await;
+    cluster.submit("run-1", "free", 2, 16.0, "normal").await;
+    cluster.until_stage("run-1", "done").await;
+    cluster.until("all are returned", || cluster.cloud.machines().is_empty()).await;
+    cluster.submit("run-2", "free", 1, 16.0, "normal").await;
+    cluster.until_running(1).await;
+    let task_machine = cluster.checker.on()["run-2/0"].clone();
+    // From now on lists show what was returned, and not what is there.
+    cluster.cloud.older_lists(Duration::from_secs(30));
+    pause(10.0).await;
+    let known: Vec<String> = cluster
+        .node(cluster.leader().unwrap())
+        .with(|core| core.machines.keys().map(|id| id.to_string()).collect());
+    assert_eq!(known, [task_machine]);
+    cluster.until_stage("run-2", "done").await;
+    assert_eq!(cluster.checker.starts("run-2/0"), 1);
+    cluster.assert_invariants_hold();
+}
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -19,7 +19,7 @@
             t.runs.insert(job.to_string(), Duration::from_secs(*seconds));
         }
     };
-    Cluster::custom(machines, adjust, Options::default(), next(), |_| {}).await
+    Cluster::with_overrides(machines, adjust, Options::default(), next(), |_| {}).await
 }
 
 #[tokio::test(start_paused = true)]
@@ -37,13 +37,13 @@
         c.state.limit(SMALL);
         for id in &jobs {
             c.until_stage(id, "done").await;
-            assert!((0..12).all(|i| c.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
+            assert!((0..12).all(|i| c.checker.starts(&format!("{id}/{i}")) == 1), "{id}");
         }
         // Nothing larger than they will be was written since the switch.
         let refused = c.state.refused();
         assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
         let jobs: Vec<&str> = jobs.iter().map(String::as_str).collect();
-        c.assert_day_ends(&jobs).await;
+        c.assert_recovers(&jobs).await;
     }
 }
 
@@ -60,13 +60,13 @@
     let options = Options { shard_machines: Some(100), ..Options::default() };
     let mut limits = next();
     limits["now"] = json!({"value_kb": 16.0});
-    let c = Cluster::custom(60, adjust, options, limits, Cluster::hold_back).await;
+    let c = Cluster::with_overrides(60, adjust, options, limits, Cluster::simulate_first_version).await;
     // Many tasks that were done out of order, and many that run.
     c.submit("run-2", "free", 300, 4.0, "normal").await;
     for k in 0..JOBS {
         c.submit(&name(k), "free", 3, 1.5, "normal").await;
     }
-    c.until("they run", || c.referee.on().keys().filter(|t| t.starts_with("run-1")).count() == 3 * JOBS)
+    c.until("they run", || c.checker.on().keys().filter(|t| t.starts_with("run-1")).count() == 3 * JOBS)
         .await;
     let before = c.state.value("dc/p/0").unwrap().to_string().len();
     for n in 0..3 {
@@ -82,10 +82,10 @@
     for k in 0..JOBS {
         let id = name(k);
         c.until_stage(&id, "done").await;
-        assert!((0..3).all(|i| c.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
+        assert!((0..3).all(|i| c.checker.starts(&format!("{id}/{i}")) == 1), "{id}");
     }
     c.until_stage("run-2", "done").await;
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -107,20 +107,20 @@
         c.node(n).with(|core| core.open_job(&id).is_some_and(|j| j.done.len() > 3000))
     })
     .await;
-    c.withdraw(0, &id).await;
+    c.cancel(0, &id).await;
     c.until("its record is final", || {
         c.state.value(&format!("dc/j/{id}")).is_some_and(|v| v.get("spec").is_none())
     })
     .await;
     let refused = c.state.refused();
     assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
-    assert!(c.referee.on().is_empty());
+    assert!(c.checker.on().is_empty());
     // One that leaves no room for what is noted of it is not taken.
     body["id"] = json!("run-1");
     body["hulls"] = json!(vec![name("h"); 13]);
     body["hulls"][0] = json!("m");
     assert_eq!(c.call(0, Method::POST, "/v2/runs", &body).await.0, 400);
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -141,9 +141,9 @@
         .sum();
     assert!(open >= 590, "{open} machines take work after 10 s");
     c.until_stage("run-1", "done").await;
-    let again = (0..1200).filter(|i| c.referee.starts(&format!("run-1/{i}")) > 1).count();
+    let again = (0..1200).filter(|i| c.checker.starts(&format!("run-1/{i}")) > 1).count();
     assert_eq!(again, 0);
-    c.assert_day_ends(&["run-1"]).await;
+    c.assert_recovers(&["run-1"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -151,7 +151,7 @@
     let adjust = |t: &mut WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(60));
     };
-    let c = Cluster::mixed(20, adjust, Options::default()).await;
+    let c = Cluster::before_upgrade(20, adjust, Options::default()).await;
     c.submit("run-1", "free", 160, 2.0, "normal").await;
     c.until_running(160).await;
     c.upgrade(0, 0.1).await;
@@ -166,8 +166,8 @@
     c.state.limit(SMALL);
     c.until_stage("run-2", "done").await;
     c.until_stage("run-1", "done").await;
-    assert!((0..160).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
-    c.assert_day_ends(&["run-1", "run-2"]).await;
+    assert!((0..160).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
+    c.assert_recovers(&["run-1", "run-2"]).await;
 }
 
 /// The fewer segments, the fewer changes: those that have become light join.
@@ -181,7 +181,7 @@
             }
         };
         let options = Options { shard_machines: Some(60), ..Options::default() };
-        let c = Cluster::custom(40, adjust, options, next(), |_| {}).await;
+        let c = Cluster::with_overrides(40, adjust, options, next(), |_| {}).await;
         c.until("the switch", || c.is_switched()).await;
         c.state.limit(SMALL);
         for id in &jobs {
@@ -199,18 +199,18 @@
                 pause(gap).await;
                 c.start_node(n);
             }
-            c.assert_rules_kept();
+            c.assert_invariants_hold();
         }
         c.submit("run-3", "free", 30, 2.0, "normal").await;
         c.until_stage("run-3", "done").await;
         assert!(most >= 3 && segments() * 2 <= most, "{} of {most} segments", segments());
         for id in &jobs {
             c.until_stage(id, "done").await;
-            assert!((0..4).all(|i| c.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
+            assert!((0..4).all(|i| c.checker.starts(&format!("{id}/{i}")) == 1), "{id}");
         }
         let refused = c.state.refused();
         assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
-        c.assert_rules_kept();
+        c.assert_invariants_hold();
     }
 }
 
@@ -221,7 +221,7 @@
         t.runs.insert("run-1".into(), Duration::from_secs(100));
     };
     let options = Options { shard_machines: Some(120), ..Options::default() };
-    let c = Cluster::mixed(100, adjust, options).await;
+    let c = Cluster::before_upgrade(100, adjust, options).await;
     c.submit("run-1", "free", 100, 16.0, "normal").await;
     c.until_running(100).await;
     // Not known at first, all of them are taken in as one group.
@@ -247,7 +247,7 @@
     };
     assert_eq!(c.net.port("setup").send(request).await.unwrap().status, 200);
     for n in 0..3 {
-        c.net.remove_rules(&crate::cluster::host(n), crate::cluster::MARK);
+        c.net.remove_rules(&crate::cluster::host(n), crate::cluster::LAYOUT_MARK_PREFIX);
         c.start_node(n);
     }
     c.until("the switch", || c.is_switched()).await;
@@ -257,7 +257,7 @@
     let lost: Vec<String> = c.cloud.machines().into_iter().take(70).collect();
     lost.iter().for_each(|id| c.cloud.take(id));
     c.until_stage("run-1", "done").await;
-    let again = (0..100).filter(|i| c.referee.starts(&format!("run-1/{i}")) > 1).count();
+    let again = (0..100).filter(|i| c.checker.starts(&format!("run-1/{i}")) > 1).count();
     assert_eq!(again, 70, "what was on the lost machines, and nothing else");
-    c.assert_day_ends(&["run-1"]).await;
+    c.assert_recovers(&["run-1"]).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/overload.rs
+++ b/crates/dapplecroft-controller/tests/stories/overload.rs
@@ -77,7 +77,7 @@
             *told.statuses.entry(status).or_default() += 1;
             if status == 200 || status == 201 {
                 told.accepted.insert(id.clone(), Instant::now());
-                cluster.referee.accepted(&id);
+                cluster.checker.accepted(&id);
                 return;
             }
             assert!([429, 503].contains(&status), "{status}");
@@ -125,7 +125,7 @@
         prepare: impl FnOnce(&Cluster),
     ) -> Overload {
         let team = next["teams"][0]["name"].as_str().unwrap().to_string();
-        let cluster = Cluster::of(nodes, machines, |_| {}, options, next, prepare).await;
+        let cluster = Cluster::with_nodes(nodes, machines, |_| {}, options, next, prepare).await;
         Overload { cluster: Arc::new(cluster), told: Arc::default(), users: Mutex::default(), team }
     }
 
@@ -146,7 +146,7 @@
     /// A user begins to submit what is given.
     pub fn user_with(&self, body: Value) {
         let id = body["id"].as_str().unwrap();
-        self.cluster.referee.job(id, body["crew"].as_str().unwrap(), 4.0);
+        self.cluster.checker.job(id, body["crew"].as_str().unwrap(), 4.0);
         let first = id.bytes().map(usize::from).sum();
         let work = persist(self.cluster.clone(), self.told.clone(), body, first);
         self.users.lock().unwrap().push(tokio::spawn(work));
@@ -188,7 +188,7 @@
         for id in self.told.lock().unwrap().accepted.keys() {
             assert!(self.cluster.state.value(&format!("dc/j/{id}")).is_some(), "{id} is missing");
         }
-        self.cluster.assert_rules_kept();
+        self.cluster.assert_invariants_hold();
         verdict
     }
 
--- a/crates/dapplecroft-controller/tests/stories/restarts.rs
+++ b/crates/dapplecroft-controller/tests/stories/restarts.rs
@@ -9,154 +9,164 @@
 const MACHINES: usize = 12;
 
 /// A cluster with as many tasks running as it has machines.
-async fn busy(seconds: u64) -> Cluster {
+async fn fully_loaded_cluster(seconds: u64) -> Cluster {
     let options = Options { shard_machines: Some(1), ..Options::default() };
-    let adjust = |t: &mut dapplecroft_fakes::WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(seconds));
+    let adjust = |timing: &mut dapplecroft_fakes::WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(seconds));
     };
-    let c = Cluster::with(MACHINES, adjust, options).await;
-    c.submit("run-1", "free", MACHINES as u32, 16.0, "normal").await;
-    c.until_running(MACHINES).await;
-    c
+    let cluster = Cluster::with_options(MACHINES, adjust, options).await;
+    cluster.submit("run-1", "free", MACHINES as u32, 16.0, "normal").await;
+    cluster.until_running(MACHINES).await;
+    cluster
 }
 
-fn kill_all(c: &Cluster) {
-    (0..3).for_each(|n| c.kill_node(n));
+fn kill_all(cluster: &Cluster) {
+    (0..3).for_each(|n| cluster.kill_node(n));
 }
 
-async fn assert_nothing_ran_twice(c: &Cluster) {
-    c.until_stage("run-1", "done").await;
+async fn assert_each_task_started_once(cluster: &Cluster) {
+    cluster.until_stage("run-1", "done").await;
     for i in 0..MACHINES {
-        assert_eq!(c.referee.starts(&format!("run-1/{i}")), 1, "task {i}");
+        assert_eq!(cluster.checker.starts(&format!("run-1/{i}")), 1, "task {i}");
     }
-    c.assert_day_ends(&["run-1"]).await;
+    cluster.assert_recovers(&["run-1"]).await;
 }
 
 /// How many shards each controller that is up holds, by its own belief.
-fn held(c: &Cluster, nodes: &[usize]) -> BTreeMap<usize, usize> {
-    nodes.iter().map(|n| (*n, c.node(*n).with(|core| core.role.leased_shards.len()))).collect()
+fn held_shards(cluster: &Cluster, nodes: &[usize]) -> BTreeMap<usize, usize> {
+    nodes.iter().map(|n| (*n, cluster.node(*n).with(|core| core.role.leased_shards.len()))).collect()
 }
 
 // The first that is back once took all shards of a large fleet, drowned in the
 // workers' reports, and lost its lease and all of them again.
 #[tokio::test(start_paused = true)]
-async fn the_first_back_after_the_end_of_all_leaves_the_others_their_part() {
-    let c = busy(60).await;
-    let shards = c.holders().len();
-    kill_all(&c);
+async fn the_first_controller_restarted_leases_only_its_share_of_shards() {
+    let cluster = fully_loaded_cluster(60).await;
+    let shards = cluster.shard_holders().len();
+    kill_all(&cluster);
     pause(6.0).await;
-    c.start_node(1);
-    c.until("a leader", || c.leader() == Some(1)).await;
+    cluster.start_node(1);
+    cluster.until("a leader", || cluster.leader() == Some(1)).await;
     pause(1.5).await;
-    assert!(held(&c, &[1])[&1] <= shards.div_ceil(3), "{:?} of {shards}", held(&c, &[1]));
-    c.start_node(0);
-    c.start_node(2);
-    c.until("all blocks held", || held(&c, &[0, 1, 2]).values().sum::<usize>() == shards).await;
-    let epochs = |c: &Cluster| -> Vec<u64> {
-        c.state.keys("dc/b/").iter().filter_map(|k| c.state.value(k)?["epoch"].as_u64()).collect()
+    assert!(
+        held_shards(&cluster, &[1])[&1] <= shards.div_ceil(3),
+        "{:?} of {shards}",
+        held_shards(&cluster, &[1])
+    );
+    cluster.start_node(0);
+    cluster.start_node(2);
+    cluster
+        .until("all blocks held", || held_shards(&cluster, &[0, 1, 2]).values().sum::<usize>() == shards)
+        .await;
+    let epochs = |cluster: &Cluster| -> Vec<u64> {
+        cluster.state.keys("dc/b/").iter().filter_map(|k| cluster.state.value(k)?["epoch"].as_u64()).collect()
     };
     // Each shard was leased once: all epochs are the new leader's term.
-    let term = epochs(&c).into_iter().max().unwrap();
-    assert!(epochs(&c).iter().all(|e| *e == term), "{:?}", epochs(&c));
-    assert_nothing_ran_twice(&c).await;
+    let term = epochs(&cluster).into_iter().max().unwrap();
+    assert!(epochs(&cluster).iter().all(|e| *e == term), "{:?}", epochs(&cluster));
+    assert_each_task_started_once(&cluster).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_stays_alone_takes_everything_well_before_the_workers_leases_end() {
-    let c = busy(60).await;
-    let shards = c.holders().len();
-    kill_all(&c);
+async fn a_lone_controller_leases_all_shards_before_worker_leases_expire() {
+    let cluster = fully_loaded_cluster(60).await;
+    let shards = cluster.shard_holders().len();
+    kill_all(&cluster);
     pause(6.0).await;
-    c.start_node(2);
+    cluster.start_node(2);
     pause(12.0).await;
-    assert_eq!(held(&c, &[2])[&2], shards);
-    c.until_stage("run-1", "done").await;
-    c.start_node(0);
-    c.start_node(1);
-    assert_nothing_ran_twice(&c).await;
+    assert_eq!(held_shards(&cluster, &[2])[&2], shards);
+    cluster.until_stage("run-1", "done").await;
+    cluster.start_node(0);
+    cluster.start_node(1);
+    assert_each_task_started_once(&cluster).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_end_in_the_last_seconds_of_an_outage_and_again_in_mid_recovery() {
-    for gap in [0.05, 0.3, 1.0, 2.5] {
-        let c = busy(90).await;
-        c.net.rule(Rule::all("", STATE, Action::Refuse));
-        c.net.rule(Rule::all("", STATE, Action::Drop).path("/follow"));
+async fn all_controllers_restart_at_the_end_of_an_outage_and_again_during_recovery() {
+    for delay_before_kill in [0.05, 0.3, 1.0, 2.5] {
+        let cluster = fully_loaded_cluster(90).await;
+        cluster.net.rule(Rule::all("", STATE, Action::Refuse));
+        cluster.net.rule(Rule::all("", STATE, Action::Drop).path("/follow"));
         pause(8.0).await;
-        kill_all(&c);
+        kill_all(&cluster);
         pause(1.0).await;
-        (0..3).for_each(|n| c.start_node(n));
+        (0..3).for_each(|n| cluster.start_node(n));
         pause(0.5).await;
-        c.net.clear_rules();
+        cluster.net.clear_rules();
         // They have begun to read, to stand for election, or to lease.
-        pause(gap).await;
-        kill_all(&c);
+        pause(delay_before_kill).await;
+        kill_all(&cluster);
         pause(0.2).await;
-        (0..3).for_each(|n| c.start_node(n));
-        c.until("a leader", || c.leader().is_some()).await;
-        assert_nothing_ran_twice(&c).await;
+        (0..3).for_each(|n| cluster.start_node(n));
+        cluster.until("a leader", || cluster.leader().is_some()).await;
+        assert_each_task_started_once(&cluster).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn controllers_are_restarted_one_after_the_other_under_a_burst() {
-    let c = busy(40).await;
+async fn controllers_restarted_one_by_one_under_a_burst_complete_all_jobs() {
+    let cluster = fully_loaded_cluster(40).await;
     let mut jobs = vec!["run-1".to_string()];
     for n in 0..3 {
-        c.kill_node(n);
+        cluster.kill_node(n);
         pause(3.0).await;
-        c.start_node(n);
+        cluster.start_node(n);
         for k in 0..4 {
             let id = format!("run-1{n}{k}");
-            c.submit(&id, "free", 3, 4.0, "urgent").await;
+            cluster.submit(&id, "free", 3, 4.0, "urgent").await;
             jobs.push(id);
         }
         pause(6.0).await;
     }
     for id in &jobs {
-        c.until_stage(id, "done").await;
+        cluster.until_stage(id, "done").await;
     }
     let jobs: Vec<&str> = jobs.iter().map(String::as_str).collect();
-    c.assert_day_ends(&jobs).await;
+    cluster.assert_recovers(&jobs).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_report_before_the_records_are_known_is_refused_unread() {
-    let c = busy(60).await;
-    kill_all(&c);
+async fn a_heartbeat_before_the_records_are_read_is_rejected_without_reading() {
+    let cluster = fully_loaded_cluster(60).await;
+    kill_all(&cluster);
     // The records can't be read yet.
-    c.net.rule(Rule::all("", STATE, Action::Refuse));
-    c.start_node(0);
+    cluster.net.rule(Rule::all("", STATE, Action::Refuse));
+    cluster.start_node(0);
     pause(0.2).await;
-    let refused = c.node(0).reject_without_reading("/hello").unwrap();
+    let refused = cluster.node(0).reject_without_reading("/hello").unwrap();
     assert_eq!((refused.status, refused.retry_after), (503, Some(1)));
-    assert!(c.node(0).reject_without_reading("/v2/runs/run-1").is_none(), "users get an answer of their own");
-    c.net.clear_rules();
-    c.until("records read", || c.node(0).reject_without_reading("/hello").is_none()).await;
-    c.start_node(1);
-    c.start_node(2);
-    assert_nothing_ran_twice(&c).await;
+    assert!(
+        cluster.node(0).reject_without_reading("/v2/runs/run-1").is_none(),
+        "users get an answer of their own"
+    );
+    cluster.net.clear_rules();
+    cluster.until("records read", || cluster.node(0).reject_without_reading("/hello").is_none()).await;
+    cluster.start_node(1);
+    cluster.start_node(2);
+    assert_each_task_started_once(&cluster).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn late_reports_of_machines_that_were_cut_prove_nothing_to_their_next_holder() {
-    let c = busy(60).await;
-    let leader = c.leader().unwrap();
-    let lost = c.holders().values().map(|h| c.number(h)).find(|n| *n != leader).unwrap();
+async fn delayed_heartbeats_of_cut_off_machines_are_not_trusted_by_the_next_holder() {
+    let cluster = fully_loaded_cluster(60).await;
+    let leader = cluster.leader().unwrap();
+    let killed_holder =
+        cluster.shard_holders().values().map(|h| cluster.node_number(h)).find(|n| *n != leader).unwrap();
     // Half of all machines are cut off with their packets held, and their
     // busiest holder ends meanwhile.
-    let cut: Vec<String> = c.cloud.machines().into_iter().take(MACHINES / 2).collect();
+    let cut: Vec<String> = cluster.cloud.machines().into_iter().take(MACHINES / 2).collect();
     for machine in &cut {
-        c.net.rule(Rule::all(machine, "", Action::Hold));
-        c.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
+        cluster.net.rule(Rule::all(machine, "", Action::Hold));
+        cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
     }
     pause(1.0).await;
-    c.kill_node(lost);
+    cluster.kill_node(killed_holder);
     pause(3.0).await;
-    c.start_node(lost);
+    cluster.start_node(killed_holder);
     pause(8.0).await;
-    c.net.clear_rules();
-    c.net.deliver().await;
-    c.until_stage("run-1", "done").await;
-    c.assert_day_ends(&["run-1"]).await;
+    cluster.net.clear_rules();
+    cluster.net.deliver().await;
+    cluster.until_stage("run-1", "done").await;
+    cluster.assert_recovers(&["run-1"]).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/shards.rs
+++ b/crates/dapplecroft-controller/tests/stories/shards.rs
@@ -13,7 +13,7 @@
             t.runs.insert(job.to_string(), Duration::from_secs(*seconds));
         }
     };
-    Cluster::with(capacity, adjust, options).await
+    Cluster::with_options(capacity, adjust, options).await
 }
 
 #[tokio::test(start_paused = true)]
@@ -21,13 +21,13 @@
     let c = spread(6, &[("run-1", 30)]).await;
     c.submit("run-1", "free", 6, 16.0, "normal").await;
     c.until_running(6).await;
-    let holders: BTreeSet<String> = c.holders().into_values().collect();
+    let holders: BTreeSet<String> = c.shard_holders().into_values().collect();
     assert_eq!(holders.len(), 3, "{holders:?}");
     let records = c.state.keys("dc/q/");
     assert!(records.len() >= 6, "{records:?}");
     c.until_stage("run-1", "done").await;
-    assert!((0..6).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
-    c.assert_day_ends(&["run-1"]).await;
+    assert!((0..6).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
+    c.assert_recovers(&["run-1"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -36,19 +36,20 @@
         let c = spread(6, &[("run-1", 60)]).await;
         c.submit("run-1", "free", 12, 8.0, "normal").await;
         c.until_running(12).await;
-        let before = c.holders();
+        let before = c.shard_holders();
         let leader = c.leader().unwrap();
-        let lost = before.values().map(|h| c.number(h)).find(|n| *n != leader).unwrap();
+        let lost = before.values().map(|h| c.node_number(h)).find(|n| *n != leader).unwrap();
         c.kill_node(lost);
         pause(back_after).await;
         c.start_node(lost);
         c.submit("run-2", "free", 2, 8.0, "urgent").await;
         c.until_stage("run-2", "done").await;
         c.until_stage("run-1", "done").await;
-        assert!((0..12).all(|i| c.referee.starts(&format!("run-1/{i}")) <= 2));
-        let moved = c.holders().iter().filter(|(b, h)| before.get(*b).is_some_and(|old| old != *h)).count();
+        assert!((0..12).all(|i| c.checker.starts(&format!("run-1/{i}")) <= 2));
+        let moved =
+            c.shard_holders().iter().filter(|(b, h)| before.get(*b).is_some_and(|old| old != *h)).count();
         assert!(moved <= 4, "{moved} blocks moved");
-        c.assert_day_ends(&["run-1", "run-2"]).await;
+        c.assert_recovers(&["run-1", "run-2"]).await;
     }
 }
 
@@ -60,9 +61,9 @@
     let leader = c.leader().unwrap();
     c.kill_node(leader);
     c.until_stage("run-1", "done").await;
-    assert!((0..6).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
+    assert!((0..6).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
     c.start_node(leader);
-    c.assert_day_ends(&["run-1"]).await;
+    c.assert_recovers(&["run-1"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -78,13 +79,13 @@
         pause(f64::from(step as u32 % 4) * 0.3).await;
         c.start_node(n);
         if step == 5 {
-            c.withdraw((n + 1) % 3, "run-2").await;
+            c.cancel((n + 1) % 3, "run-2").await;
         }
-        c.assert_rules_kept();
+        c.assert_invariants_hold();
     }
     c.until_stage("run-1", "done").await;
     c.until_stage("run-3", "done").await;
-    c.assert_day_ends(&["run-1", "run-2", "run-3"]).await;
+    c.assert_recovers(&["run-1", "run-2", "run-3"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -94,18 +95,23 @@
         c.submit("run-1", "free", 8, 8.0, "normal").await;
         pause(5.0 + delay).await;
         let leader = c.leader().unwrap();
-        let lost = c.holders().into_values().map(|h| c.number(&h)).find(|n| *n != leader).unwrap_or(leader);
+        let lost = c
+            .shard_holders()
+            .into_values()
+            .map(|h| c.node_number(&h))
+            .find(|n| *n != leader)
+            .unwrap_or(leader);
         c.kill_node(lost);
         pause(delay).await;
-        c.withdraw((lost + 1) % 3, "run-1").await;
+        c.cancel((lost + 1) % 3, "run-1").await;
         c.start_node(lost);
-        pause(crate::cluster::CANCEL.as_secs_f64()).await;
-        assert!(c.referee.on().is_empty());
+        pause(crate::cluster::CANCEL_DEADLINE.as_secs_f64()).await;
+        assert!(c.checker.on().is_empty());
         c.until("its record is final", || {
             c.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
         })
         .await;
-        c.assert_day_ends(&["run-1"]).await;
+        c.assert_recovers(&["run-1"]).await;
     }
 }
 
@@ -121,13 +127,13 @@
     c.state.end_leases();
     c.net.rule(Rule::all(&host(old), STATE, Action::Drop));
     c.until("another leader", || c.leader().is_some_and(|n| n != old)).await;
-    c.until("it allocates too", || c.referee.starts("run-2/0") > 0).await;
+    c.until("it allocates too", || c.checker.starts("run-2/0") > 0).await;
     let codes = c.net.deliver().await;
     assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
     c.net.clear_rules();
     c.until_stage("run-2", "done").await;
-    assert!((0..4).all(|i| c.referee.starts(&format!("run-2/{i}")) == 1));
-    c.assert_day_ends(&["run-1", "run-2"]).await;
+    assert!((0..4).all(|i| c.checker.starts(&format!("run-2/{i}")) == 1));
+    c.assert_recovers(&["run-1", "run-2"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -146,7 +152,7 @@
     c.net.deliver().await;
     c.until_stage("run-1", "done").await;
     c.until_stage("run-2", "done").await;
-    c.assert_day_ends(&["run-1", "run-2"]).await;
+    c.assert_recovers(&["run-1", "run-2"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -166,8 +172,8 @@
     let unique: BTreeSet<&String> = names.iter().collect();
     assert_eq!(unique.len(), names.len(), "{names:?}");
     c.until_stage("run-1", "done").await;
-    assert!((0..2).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
-    c.assert_day_ends(&["run-1"]).await;
+    assert!((0..2).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
+    c.assert_recovers(&["run-1"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -182,9 +188,9 @@
         // then comes to hold everything.
         c.net.rule(Rule::all(&host(last), STATE, Action::Drop).path("/follow"));
         c.submit("run-2", "free", 6, 8.0, "normal").await;
-        c.until("more runs", || c.referee.on().len() >= 8).await;
+        c.until("more runs", || c.checker.on().len() >= 8).await;
         for _ in 0..4 {
-            c.show(last, "run-1").await;
+            c.job_status(last, "run-1").await;
             pause(behind / 4.0).await;
         }
         c.net.clear_rules();
@@ -194,9 +200,9 @@
         c.until_stage("run-2", "done").await;
         (0..3).filter(|n| *n != last).for_each(|n| c.start_node(n));
         for id in ["run-1", "run-2"] {
-            assert!((0..6).all(|i| c.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
+            assert!((0..6).all(|i| c.checker.starts(&format!("{id}/{i}")) == 1), "{id}");
         }
-        c.assert_day_ends(&["run-1", "run-2"]).await;
+        c.assert_recovers(&["run-1", "run-2"]).await;
     }
 }
 
@@ -206,10 +212,10 @@
     c.submit("run-1", "free", 16, 4.0, "normal").await;
     c.until_running(16).await;
     c.submit("run-2", "free", 2, 4.0, "urgent").await;
-    c.until("the urgent tasks run", || (0..2).all(|i| c.referee.starts(&format!("run-2/{i}")) == 1)).await;
+    c.until("the urgent tasks run", || (0..2).all(|i| c.checker.starts(&format!("run-2/{i}")) == 1)).await;
     c.until_stage("run-2", "done").await;
     c.until_stage("run-1", "done").await;
-    let starts: usize = (0..16).map(|i| c.referee.starts(&format!("run-1/{i}"))).sum();
+    let starts: usize = (0..16).map(|i| c.checker.starts(&format!("run-1/{i}"))).sum();
     assert!(starts <= 16 + 3, "{} tasks gave way to two", starts - 16);
-    c.assert_day_ends(&["run-1", "run-2"]).await;
+    c.assert_recovers(&["run-1", "run-2"]).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/upgrade.rs
+++ b/crates/dapplecroft-controller/tests/stories/upgrade.rs
@@ -1,6 +1,6 @@
 //! The first version is replaced node by node, and the records with it.
 
-use crate::cluster::{Cluster, MARK, STATE, host, job, pause, service};
+use crate::cluster::{Cluster, LAYOUT_MARK_PREFIX, STATE, host, job, pause, service};
 use dapplecroft_controller::Options;
 use dapplecroft_fakes::{Action, Limits, Rule, WorkerTiming};
 use http::Method;
@@ -22,7 +22,7 @@
 /// version.
 async fn old() -> Cluster {
     let options = Options { shard_machines: Some(2), ..Options::default() };
-    let c = Cluster::mixed(6, long, options).await;
+    let c = Cluster::before_upgrade(6, long, options).await;
     c.submit("run-1", "free", 18, 4.0, "normal").await;
     c.until_running(18).await;
     c
@@ -35,9 +35,9 @@
     c.submit("run-7", "free", 20, 2.0, "urgent").await;
     c.until_stage("run-7", "done").await;
     for i in 0..18 {
-        assert_eq!(c.referee.starts(&format!("run-1/{i}")), 1, "task {i}");
+        assert_eq!(c.checker.starts(&format!("run-1/{i}")), 1, "task {i}");
     }
-    c.assert_day_ends(&[&["run-1", "run-7"], others].concat()).await;
+    c.assert_recovers(&[&["run-1", "run-7"], others].concat()).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -136,7 +136,7 @@
     let codes = c.net.deliver().await;
     assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
     c.until_stage("run-3", "done").await;
-    assert!((0..4).all(|i| c.referee.starts(&format!("run-3/{i}")) == 1));
+    assert!((0..4).all(|i| c.checker.starts(&format!("run-3/{i}")) == 1));
     assert_moved_and_over(&c, &["run-3"]).await;
 }
 
@@ -166,20 +166,20 @@
     for n in 0..3 {
         let reply = c.node(n).handle(&Method::POST, "/v2/runs", body.to_string().into()).await;
         assert_eq!((reply.status, reply.retry_after.is_some()), (503, true));
-        assert_eq!(c.show(n, "run-5").await.0, 404, "it is not stored");
+        assert_eq!(c.job_status(n, "run-5").await.0, 404, "it is not stored");
         c.upgrade(n, 0.5).await;
         pause(2.0).await;
     }
     assert!(c.state.value("dc/j/run-5").is_none_or(|v| v.get("stage").is_none()));
-    c.serve("run-5", "free", 3, 1.0).await;
-    c.until_all_serve().await;
+    c.submit_service("run-5", "free", 3, 1.0).await;
+    c.until_all_replicas_run().await;
     // The first version could not read it as anything that it knows.
     assert!(c.state.value("dc/j/run-5").unwrap().get("stage").is_none());
     c.kill_node(0);
     pause(5.0).await;
     c.start_node(0);
-    assert!((0..3).all(|i| c.referee.starts(&format!("run-5/{i}")) == 1));
-    c.withdraw(1, "run-5").await;
+    assert!((0..3).all(|i| c.checker.starts(&format!("run-5/{i}")) == 1));
+    c.cancel(1, "run-5").await;
     assert_moved_and_over(&c, &["run-5"]).await;
 }
 
@@ -189,17 +189,17 @@
     c.submit("run-4", "free", 6, 2.0, "low").await;
     c.until_running(18 + 6).await;
     c.upgrade(0, 1.0).await;
-    c.withdraw(1, "run-4").await;
+    c.cancel(1, "run-4").await;
     c.upgrade(1, 1.0).await;
-    let lost = c.referee.on()["run-1/0"].clone();
+    let lost = c.checker.on()["run-1/0"].clone();
     c.cloud.take(&lost);
     c.upgrade(2, 1.0).await;
     c.until("the switch", || c.is_switched()).await;
     pause(47.0).await;
-    assert!(!c.referee.on().keys().any(|t| t.starts_with("run-4/")));
+    assert!(!c.checker.on().keys().any(|t| t.starts_with("run-4/")));
     c.until("no record of the first layout is left", || c.state.keys("dc/p/").is_empty()).await;
     c.until_stage("run-1", "done").await;
-    c.assert_day_ends(&["run-1", "run-4"]).await;
+    c.assert_recovers(&["run-1", "run-4"]).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -230,7 +230,7 @@
     let written: BTreeMap<String, Value> = serde_json::from_str(WRITTEN).unwrap();
     let next = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
     let adjust = |t: &mut WorkerTiming| t.fails.push("run-3".into());
-    let c = Cluster::custom(6, adjust, Options::default(), next, |c| {
+    let c = Cluster::with_overrides(6, adjust, Options::default(), next, |c| {
         for (key, value) in &written {
             // Of a process only its lease is left, and that ends.
             if !key.starts_with("dc/n/") && key != "dc/leader" {
@@ -238,27 +238,27 @@
             }
         }
         for (id, team, cpus) in [("run-1", "free", 8.0), ("run-2", "free", 2.0), ("run-4", "tight", 4.0)] {
-            c.referee.job(id, team, cpus);
+            c.checker.job(id, team, cpus);
         }
     })
     .await;
     c.until("the switch", || c.is_switched()).await;
     c.state.limit(SMALL);
-    assert_eq!(c.show(0, "run-5").await.1["stage"], "done");
-    assert_eq!(c.show(0, "run-7").await.1["stage"], "withdrawn");
+    assert_eq!(c.job_status(0, "run-5").await.1["stage"], "done");
+    assert_eq!(c.job_status(0, "run-7").await.1["stage"], "withdrawn");
     for id in ["run-1", "run-2", "run-4"] {
         c.until_stage(id, "done").await;
     }
     c.until("no record of the first layout is left", || c.state.keys("dc/p/").is_empty()).await;
-    assert_ne!(c.show(0, "run-3").await.1["stage"], "done");
-    c.assert_rules_kept();
+    assert_ne!(c.job_status(0, "run-3").await.1["stage"], "done");
+    c.assert_invariants_hold();
 }
 
 /// An old leader and holder that writes and commands by the frozen layout, with
 /// requests as production made them, then ends.
 #[tokio::test(start_paused = true)]
 async fn a_shard_goes_from_an_old_holder_to_a_new_one_with_all_that_runs() {
-    let c = Cluster::mixed(2, long, Options::default()).await;
+    let c = Cluster::before_upgrade(2, long, Options::default()).await;
     c.submit("run-1", "free", 2, 4.0, "normal").await;
     c.until_running(2).await;
     (0..3).for_each(|n| c.kill_node(n));
@@ -297,8 +297,8 @@
     spec.as_object_mut().unwrap().retain(|_, v| !v.is_null());
     let record = json!({"stage": "open", "tasks": 1, "to": {"0": [[0, 0]]}, "at": 1.0, "spec": spec});
     let then = json!([set("dc/b/0", shard), set("dc/j/run-8", record), set("dc/p/0", load)]);
-    c.referee.job("run-8", "free", 2.0);
-    c.referee.accepted("run-8");
+    c.checker.job("run-8", "free", 2.0);
+    c.checker.accepted("run-8");
     assert_eq!(send(Method::POST, "/multi", json!({"when": [], "then": then})).await.0, 200);
     let token = epoch << 20;
     let orders = json!({"warrant": token, "tenure": 1, "orders": [
@@ -315,17 +315,17 @@
     c.until_running(3).await;
     // It ends; new ones take its place, and move what it wrote.
     for n in 0..3 {
-        c.net.remove_rules(&host(n), MARK);
+        c.net.remove_rules(&host(n), LAYOUT_MARK_PREFIX);
         c.start_node(n);
     }
     c.until("the switch", || c.is_switched()).await;
     c.until("no record of the first layout is left", || c.state.keys("dc/p/").is_empty()).await;
-    assert_eq!(c.referee.on().len(), 3);
+    assert_eq!(c.checker.on().len(), 3);
     // A late copy of its command is void.
     c.until("the worker has a newer token", || c.cloud.worker(&machine).token() > token).await;
     assert_eq!(c.net.port("crofter-old").send(late).await.unwrap().status, 409);
     c.until_stage("run-8", "done").await;
     c.until_stage("run-1", "done").await;
-    assert!(["run-8/0", "run-1/0", "run-1/1"].iter().all(|t| c.referee.starts(t) == 1));
-    c.assert_rules_kept();
+    assert!(["run-8/0", "run-1/0", "run-1/1"].iter().all(|t| c.checker.starts(t) == 1));
+    c.assert_invariants_hold();
 }
--- a/crates/dapplecroft-controller/tests/stories/users.rs
+++ b/crates/dapplecroft-controller/tests/stories/users.rs
@@ -23,17 +23,17 @@
             c.call(n, Method::POST, "/v2/runs", &job("run-1", "free", 20, 4.0, "normal")).await;
         assert_eq!((status, &answer["stage"], &answer["done"]), (200, &json!("done"), &json!(20)));
     }
-    assert!((0..20).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
+    assert!((0..20).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
     // What is kept of it is small, and its placements are gone.
     assert!(c.state.value("dc/j/run-1").unwrap().get("spec").is_none());
     assert!(nothing_runs(&c));
     assert!(c.state.largest() <= 12);
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_of_very_many_tasks_ends_within_the_limits_of_values_and_transactions() {
-    let c = Cluster::with(
+    let c = Cluster::with_options(
         8,
         |t| {
             t.runs.insert("run-2".into(), Duration::from_millis(100));
@@ -45,13 +45,13 @@
     c.submit("run-2", "free", 1200, 0.25, "normal").await;
     c.until_stage("run-2", "done").await;
     c.submit("run-3", "free", 1200, 0.1, "normal").await;
-    c.until("most of it runs", || c.referee.on().len() > 1000).await;
-    c.withdraw(1, "run-3").await;
+    c.until("most of it runs", || c.checker.on().len() > 1000).await;
+    c.cancel(1, "run-3").await;
     c.until("its record is compact", || c.state.value("dc/j/run-3").is_some_and(|v| v.get("spec").is_none()))
         .await;
-    assert!(c.referee.on().is_empty() && nothing_runs(&c));
+    assert!(c.checker.on().is_empty() && nothing_runs(&c));
     assert!(c.state.largest() <= 12);
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -88,10 +88,10 @@
     assert_eq!(raw(b"{".to_vec()).await.status, 400);
     assert_eq!(raw(b"[]".to_vec()).await.status, 400);
     assert_eq!(raw(vec![b' '; 65 * 1024]).await.status, 400);
-    assert_eq!(c.show(2, "run-5").await.0, 404);
-    assert_eq!(c.show(2, "nonsense").await.0, 404);
+    assert_eq!(c.job_status(2, "run-5").await.0, 404);
+    assert_eq!(c.job_status(2, "nonsense").await.0, 404);
     assert_eq!(submit(good.clone()).await.0, 201);
-    assert_eq!(c.show(2, "run-5").await.0, 200);
+    assert_eq!(c.job_status(2, "run-5").await.0, 200);
     // Known jobs keep their answer even if the settings would now refuse them.
     assert_eq!(submit(good).await.0, 200);
 }
@@ -107,7 +107,7 @@
     assert!(c.cloud.machines().is_empty());
     c.cloud.outage(false);
     c.until_stage("run-6", "done").await;
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -134,11 +134,11 @@
     c.until_running(2).await;
     c.state.outage(true);
     pause(14.0).await;
-    assert!(c.referee.on().is_empty(), "running tasks go on, and end");
+    assert!(c.checker.on().is_empty(), "running tasks go on, and end");
     for n in 0..3 {
         // Nothing that is not final is told without being confirmed.
-        assert_eq!(c.show(n, "run-8").await.0, 503);
-        assert_eq!(c.show(n, "run-404").await.0, 503);
+        assert_eq!(c.job_status(n, "run-8").await.0, 503);
+        assert_eq!(c.job_status(n, "run-404").await.0, 503);
         // In an outage that all share, nodes stay in service.
         assert_eq!(c.call(n, Method::GET, "/up", &Value::Null).await.0, 200);
     }
@@ -146,8 +146,8 @@
     assert_eq!(status, 503);
     c.state.outage(false);
     c.until_stage("run-8", "done").await;
-    assert!((0..2).all(|i| c.referee.starts(&format!("run-8/{i}")) == 1));
-    c.assert_rules_kept();
+    assert!((0..2).all(|i| c.checker.starts(&format!("run-8/{i}")) == 1));
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -159,14 +159,14 @@
         let id = format!("run-{n}1");
         let (status, _) = c.call(n, Method::POST, "/v2/runs", &job(&id, "free", 1, 1.0, "low")).await;
         assert_eq!(status, 201);
-        assert_eq!(c.show(n, &id).await.0, 200);
-        assert_eq!(c.show(n, "run-404").await.0, 404);
+        assert_eq!(c.job_status(n, &id).await.0, 200);
+        assert_eq!(c.job_status(n, "run-404").await.0, 404);
         assert_eq!(c.call(n, Method::GET, "/up", &Value::Null).await.0, 200);
         c.net.clear_rules();
         pause(10.0).await;
         c.until_stage(&id, "done").await;
     }
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
@@ -179,8 +179,8 @@
     pause(3.0).await;
     for n in 0..3 {
         assert_eq!(c.call(n, Method::GET, "/up", &Value::Null).await.0, 200);
-        assert_eq!(c.show(n, "run-1").await.0, 503);
-        assert_eq!(c.show(n, "run-404").await.0, 503);
+        assert_eq!(c.job_status(n, "run-1").await.0, 503);
+        assert_eq!(c.job_status(n, "run-404").await.0, 503);
     }
     c.state.outage(false);
     c.until_stage("run-1", "done").await;
@@ -190,13 +190,13 @@
     c.start_node(2);
     pause(3.0).await;
     assert_eq!(c.call(2, Method::GET, "/up", &Value::Null).await.0, 503);
-    c.assert_rules_kept();
+    c.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
 async fn too_many_requests_are_told_to_come_back() {
     let options = Options { max_requests: 2, ..Options::default() };
-    let c = Cluster::with(1, |_| {}, options).await;
+    let c = Cluster::with_options(1, |_| {}, options).await;
     c.submit("run-10", "free", 1, 1.0, "low").await;
     let polls = (0..6).map(|_| {
         let node = c.node(0);
@@ -219,26 +219,26 @@
     let runs = |t: &mut dapplecroft_fakes::WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(200));
     };
-    let c = Cluster::with(1, runs, Options::default()).await;
+    let c = Cluster::with_options(1, runs, Options::default()).await;
     c.submit("run-1", "free", 2, 4.0, "normal").await;
     c.until_running(2).await;
     let machine = c.cloud.machines()[0].clone();
     c.net.rule(Rule::all(&machine, "", Action::Drop));
     c.net.rule(Rule::all("", &format!("w:{machine}"), Action::Drop));
-    c.withdraw(0, "run-1").await;
+    c.cancel(0, "run-1").await;
     pause(1.0).await;
     c.state.outage(true);
     pause(1.0).await;
     for n in 0..3 {
-        assert_eq!(c.show(n, "run-1").await.1["stage"], "withdrawn");
+        assert_eq!(c.job_status(n, "run-1").await.1["stage"], "withdrawn");
         let path = "/v2/runs/run-1/withdraw";
         assert_eq!(c.call(n, Method::POST, path, &Value::Null).await.1["stage"], "withdrawn");
         let again = c.call(n, Method::POST, "/v2/runs", &job("run-1", "free", 2, 4.0, "normal")).await;
         assert_eq!((again.0, &again.1["stage"]), (200, &json!("withdrawn")));
     }
-    assert_eq!(c.referee.on().len(), 2, "they are not gone");
+    assert_eq!(c.checker.on().len(), 2, "they are not gone");
     c.state.outage(false);
     c.net.clear_rules();
-    c.until("they are gone", || c.referee.on().is_empty()).await;
-    c.assert_rules_kept();
+    c.until("they are gone", || c.checker.on().is_empty()).await;
+    c.assert_invariants_hold();
 }
