--- a/crates/dapplecroft-controller/examples/cells_waiting.rs
+++ b/crates/dapplecroft-controller/examples/cells_waiting.rs
@@ -42,7 +42,7 @@
         c.submit(0, id, TASKS, CPUS).await;
         sleep(EVERY).await;
     }
-    while c.cells.iter().any(|cell| !cell.referee.on().is_empty()) || !all_started(&c, &names) {
+    while c.cells.iter().any(|cell| !cell.checker.on().is_empty()) || !all_started(&c, &names) {
         sleep(Duration::from_secs(1)).await;
     }
     report(&c, offers, begun, &submitted, &before);
@@ -64,7 +64,7 @@
     let mut waits: Vec<f64> = Vec::new();
     let mut busy = [0.0; 3];
     for (cell, cluster) in c.cells.iter().enumerate() {
-        for stay in cluster.referee.history() {
+        for stay in cluster.checker.history() {
             let job = stay.task.split('/').next().unwrap();
             waits.push((stay.from - submitted[job]).as_secs_f64());
             busy[cell] += (stay.until.unwrap_or_else(Instant::now) - stay.from).as_secs_f64();
@@ -82,7 +82,7 @@
     );
     for (cell, cluster) in c.cells.iter().enumerate() {
         let changes = (cluster.state.changes() - before[cell]) as f64;
-        let visited = cluster.referee.history().len();
+        let visited = cluster.checker.history().len();
         println!(
             "  cell {cell}: {visited} tasks, {:.0} task-seconds, {:.2} changes a second of 25",
             busy[cell],
--- a/crates/dapplecroft-controller/examples/fleet_cost.rs
+++ b/crates/dapplecroft-controller/examples/fleet_cost.rs
@@ -30,7 +30,7 @@
     let adjust = |t: &mut WorkerTiming| {
         t.runs.insert("run-1".into(), Duration::from_secs(3600));
     };
-    let c = Cluster::with(machines, adjust, Options::default()).await;
+    let c = Cluster::with_options(machines, adjust, Options::default()).await;
     c.submit("run-1", "free", machines as u32, 16.0, "normal").await;
     c.until_running(machines).await;
     c
--- a/crates/dapplecroft-controller/tests/stories/cluster.rs
+++ b/crates/dapplecroft-controller/tests/stories/cluster.rs
@@ -1,4 +1,5 @@
-//! Three controllers with a state service, a cloud and workers, in memory.
+//! Test harness: controllers (three by default) with an in-memory state service, cloud, network and
+//! workers, and a checker that records violated invariants.
 
 use async_trait::async_trait;
 use dapplecroft_controller::{Cells, NoCells, Node, NodeConfig, Options, PeerService, Peers, Reply};
@@ -16,14 +17,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
+/// Address of the state service.
 pub const STATE: &str = "10.2.0.1:2379";
+/// Address of the cloud.
 pub const CLOUD: &str = "10.2.0.2:8443";
+/// Time within which every task of a cancelled job must have stopped.
 pub const CANCEL_DEADLINE: Duration = Duration::from_secs(47);
-/// Controllers of most stories.
+/// Number of controllers unless a test asks for another.
 const DEFAULT_NODES: usize = 3;
 
+/// Controller processes that are running, by host name.
 pub type RunningNodes = Arc<Mutex<BTreeMap<String, Arc<Node>>>>;
 
+/// Serves a controller's HTTP API on the in-memory network.
 struct NodeEndpoint(Arc<Node>);
 
 #[async_trait]
@@ -34,9 +40,10 @@
     }
 }
 
-/// Controllers that the others can't reach, and that reach no other.
+/// Host names of controllers that cannot exchange messages with any other controller.
 type IsolatedHosts = Arc<Mutex<BTreeSet<String>>>;
 
+/// Connects one controller to its peers by direct calls.
 struct FakePeers {
     running: RunningNodes,
     isolated: IsolatedHosts,
@@ -44,6 +51,7 @@
 }
 
 impl FakePeers {
+    /// The peer's service, unless the peer is down or either side is isolated.
     fn reachable_service(&self, peer: &Peer) -> Option<PeerService> {
         let isolated = self.isolated.lock().unwrap();
         if isolated.contains(&self.host) || isolated.contains(&peer.host_name) {
@@ -72,34 +80,42 @@
     }
 }
 
+/// A cluster under test.
 pub struct Cluster {
     pub net: Arc<Net>,
     pub state: Arc<FakeState>,
     pub cloud: Arc<FakeCloud>,
     pub checker: Arc<InvariantChecker>,
+    /// Operators' options of controllers that have no entry in `options_by_node`.
     pub options: Options,
-    /// How many controllers there are.
+    /// Number of controllers, running or not.
     pub nodes: usize,
     running: RunningNodes,
-    /// How other cells are reached.
+    /// Connection to other cells, given to each controller that starts.
     pub cells: Mutex<Arc<dyn Cells>>,
-    /// Controllers cut off from all others.
+    /// Controllers that are cut off from all other controllers.
     pub isolated: IsolatedHosts,
+    /// Main loops of the running controllers, by host name.
     run_handles: Mutex<BTreeMap<String, JoinHandle<()>>>,
+    /// Number of controller processes started so far; gives each its identity and seed.
     processes_started: Mutex<u64>,
+    /// Deviations from the usual settings; see [`settings`].
     overrides: Value,
-    /// Operators' settings of single controllers that differ from those of the others.
+    /// Operators' options of single controllers, in place of `options`.
     pub options_by_node: Mutex<BTreeMap<usize, Options>>,
 }
 
-/// What only processes of the new version write: the mark that they know the
-/// second layout. One that can't is to all others like one of the first.
+/// Prefix of the records in which controllers publish the newest record layout that they support. Only
+/// the new version writes these records, so a controller that is kept from writing its record looks like
+/// one of the first version to the others.
 pub const LAYOUT_MARK_PREFIX: &str = "dc/v/";
 
+/// Host name of controller `n`.
 pub fn host(n: usize) -> String {
     format!("crofter-{n}")
 }
 
+/// Address at which controller `n` serves workers and users.
 pub fn address(n: usize) -> String {
     format!("10.0.0.{}:8080", n + 1)
 }
@@ -108,6 +124,9 @@
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000)
 }
 
+/// Settings of controller `n`. `overrides` holds the announced limits of the state service
+/// (`facts.state.next`) and may have these keys: `teams` replaces the teams and removes the announced limits,
+/// `objectives` replaces the objectives, `now` replaces current limits of the state service.
 fn settings(n: usize, nodes: usize, overrides: &Value) -> Settings {
     let peers: Vec<Value> = (0..nodes)
         .filter(|m| *m != n)
@@ -125,7 +144,7 @@
     });
     let mut text = text;
     if let Some(teams) = overrides["teams"].as_array() {
-        // Other teams, and nothing about the state service.
+        // The overrides hold no limits of the state service in this case.
         text["facts"]["teams"] = json!(teams);
         text["facts"]["state"]["next"] = Value::Null;
     }
@@ -133,7 +152,7 @@
         text["facts"]["objectives"] = overrides["objectives"].clone();
     }
     if let Some(now) = overrides["now"].as_object() {
-        // What it takes at first, if that is not the usual.
+        // Current limits of the state service, where they differ from the usual.
         for (name, value) in now {
             text["facts"]["state"][name] = value.clone();
         }
@@ -142,11 +161,12 @@
 }
 
 impl Cluster {
-    /// Three controllers with room for so many machines, up and with a leader.
+    /// Starts three controllers, with a cloud of at most `capacity` machines, and waits for a leader.
     pub async fn start(capacity: usize) -> Cluster {
         Cluster::with_options(capacity, |_| {}, Options::default()).await
     }
 
+    /// Like [`Cluster::start`], with other timing of the workers and other options.
     pub async fn with_options(
         capacity: usize,
         adjust: impl FnOnce(&mut WorkerTiming),
@@ -155,8 +175,8 @@
         Cluster::with_overrides(capacity, adjust, options, Value::Null, |_| {}).await
     }
 
-    /// Three controllers that all pass for the first version until they are
-    /// upgraded, with a state service that will have smaller limits.
+    /// Starts three controllers that look like the first version until [`Cluster::upgrade`], and announces
+    /// smaller limits of the state service.
     pub async fn before_upgrade(
         capacity: usize,
         adjust: impl FnOnce(&mut WorkerTiming),
@@ -166,14 +186,14 @@
         Cluster::with_overrides(capacity, adjust, options, overrides, Cluster::simulate_first_version).await
     }
 
-    /// Makes all controllers pass for the first version.
+    /// Makes all controllers look like the first version: none can publish the layout that it supports.
     pub fn simulate_first_version(&self) {
         for n in 0..self.nodes {
             self.net.rule(Rule::all(&host(n), STATE, Action::Refuse).path("/multi").body(LAYOUT_MARK_PREFIX));
         }
     }
 
-    /// A controller's process ends and comes back with the new version.
+    /// Kills controller `n` and starts it as the new version `after` seconds later.
     pub async fn upgrade(&self, n: usize, after: f64) {
         self.kill_node(n);
         self.net.remove_rules(&host(n), LAYOUT_MARK_PREFIX);
@@ -181,11 +201,13 @@
         self.start_node(n);
     }
 
-    /// Whether the switch to the second layout is made.
+    /// Whether the records have been switched to the second layout.
     pub fn is_switched(&self) -> bool {
         self.state.value("dc/format").is_some()
     }
 
+    /// Like [`Cluster::with_options`], with deviating settings. `prepare` runs before the first controller
+    /// starts.
     pub async fn with_overrides(
         capacity: usize,
         adjust: impl FnOnce(&mut WorkerTiming),
@@ -196,7 +218,7 @@
         Cluster::with_nodes(DEFAULT_NODES, capacity, adjust, options, overrides, prepare).await
     }
 
-    /// The same with so many controllers.
+    /// Like [`Cluster::with_overrides`], with `size` controllers.
     pub async fn with_nodes(
         size: usize,
         capacity: usize,
@@ -245,6 +267,7 @@
         cluster
     }
 
+    /// Starts controller `n` as a new process.
     pub fn start_node(&self, n: usize) {
         let identity = {
             let mut processes_started = self.processes_started.lock().unwrap();
@@ -272,6 +295,7 @@
         self.run_handles.lock().unwrap().insert(host(n), work);
     }
 
+    /// Kills the process of controller `n`, if it runs.
     pub fn kill_node(&self, n: usize) {
         self.net.remove(&address(n));
         if let Some(work) = self.run_handles.lock().unwrap().remove(&host(n)) {
@@ -282,7 +306,7 @@
         }
     }
 
-    /// The controllers' processes that are there, now and later.
+    /// Handle on the running controllers; it follows later starts and kills.
     pub fn running_nodes(&self) -> RunningNodes {
         self.running.clone()
     }
@@ -291,7 +315,7 @@
         self.running.lock().unwrap()[&host(n)].clone()
     }
 
-    /// The node that holds the shard, by its own belief and the records.
+    /// The controller that is leader both by the record in the state service and by its own view.
     pub fn leader(&self) -> Option<usize> {
         let record = self.state.value("dc/leader")?;
         let n = (0..self.nodes).find(|n| record["host"] == host(*n))?;
@@ -299,19 +323,20 @@
         node.with(|core| core.leads(Instant::now().into_std())).then_some(n)
     }
 
+    /// Sends a request to controller `n` and returns the status and body of its answer.
     pub async fn call(&self, n: usize, method: Method, path: &str, body: &Value) -> (u16, Value) {
         let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
         let reply = self.node(n).handle(&method, path, body.into()).await;
         (reply.status, serde_json::from_slice(&reply.body).unwrap_or_default())
     }
 
-    /// Submits at any node until it is accepted.
+    /// Submits a batch job, trying one controller after the other until it is accepted.
     pub async fn submit(&self, id: &str, team: &str, tasks: u32, cpus: f64, rank: &str) {
         self.checker.job(id, team, cpus);
         self.submit_body(id, &job(id, team, tasks, cpus, rank)).await;
     }
 
-    /// Submits at one node until it is accepted.
+    /// Submits a batch job at controller `n` until it is accepted.
     pub async fn submit_at(&self, n: usize, id: &str, team: &str, tasks: u32, cpus: f64) {
         self.checker.job(id, team, cpus);
         let body = job(id, team, tasks, cpus, "normal");
@@ -323,15 +348,16 @@
             assert_eq!(status, 503, "{stage}");
             sleep(Duration::from_secs(1)).await;
         }
-        panic!("{id} is not accepted");
+        panic!("{id} was not accepted within 60 attempts");
     }
 
-    /// The same for a service.
+    /// Submits a service, trying one controller after the other until it is accepted.
     pub async fn submit_service(&self, id: &str, team: &str, replicas: u32, cpus: f64) {
         self.checker.service(id, team, cpus, replicas);
         self.submit_body(id, &service(id, team, replicas, cpus)).await;
     }
 
+    /// Submits a request body, trying one controller after the other until it is accepted.
     pub async fn submit_body(&self, id: &str, body: &Value) {
         for attempt in 0..60 {
             let node = attempt % self.nodes;
@@ -344,14 +370,15 @@
             }
             sleep(Duration::from_secs(1)).await;
         }
-        panic!("{id} is not accepted");
+        panic!("{id} was not accepted within 60 attempts");
     }
 
-    /// Waits until all replicas of all services run.
+    /// Waits until all service replicas run.
     pub async fn until_all_replicas_run(&self) {
         self.until("all replicas run", || self.checker.missing().is_empty()).await;
     }
 
+    /// Cancels a job at controller `n`, repeating the request until it is accepted.
     pub async fn cancel(&self, n: usize, id: &str) {
         for _ in 0..60 {
             let (status, stage) = self.cancel_once(n, id).await;
@@ -362,10 +389,10 @@
             assert_eq!(status, 503, "{stage}");
             sleep(Duration::from_secs(1)).await;
         }
-        panic!("{id} is not withdrawn");
+        panic!("{id} was not cancelled within 60 attempts");
     }
 
-    /// Asks once for a job to be withdrawn: the answer's status and stage.
+    /// Requests once that a job be cancelled and returns the answer's status and stage.
     pub async fn cancel_once(&self, n: usize, id: &str) -> (u16, String) {
         let before = self.checker.known(id);
         let path = format!("/v2/runs/{id}/withdraw");
@@ -378,7 +405,7 @@
         (status, stage)
     }
 
-    /// Submits once at a node: the answer's status and stage.
+    /// Submits once at controller `n` and returns the answer's status and stage.
     pub async fn submit_once(&self, n: usize, id: &str, body: &Value) -> (u16, String) {
         let before = self.checker.known(id);
         let (status, answer) = self.call(n, Method::POST, "/v2/runs", body).await;
@@ -395,8 +422,8 @@
         (status, stage)
     }
 
-    /// Asks about a job at all nodes at the same time, twice each; those that are
-    /// not up have no answer.
+    /// Queries a job's status at controllers 0 to 2 at the same time, twice each. Controllers that are down
+    /// give no answer.
     pub async fn job_status_everywhere(&self, id: &str) -> Vec<(u16, Value)> {
         let ask = |n| async move {
             match self.is_up(n) {
@@ -408,7 +435,7 @@
         [a, b, c, d, e, f].into_iter().flatten().collect()
     }
 
-    /// What users have been told of a job at most.
+    /// The furthest stage of a job that any user has been told.
     pub fn reported_stage(&self, id: &str) -> String {
         match self.checker.known(id) {
             Told::Final(stage) => stage,
@@ -416,11 +443,12 @@
         }
     }
 
-    /// Whether a controller's process is there.
+    /// Whether the process of controller `n` runs.
     pub fn is_up(&self, n: usize) -> bool {
         self.running.lock().unwrap().contains_key(&host(n))
     }
 
+    /// Queries a job's status at controller `n`; the checker compares it with earlier answers.
     pub async fn job_status(&self, n: usize, id: &str) -> (u16, Value) {
         let before = self.checker.known(id);
         let answer = self.call(n, Method::GET, &format!("/v2/runs/{id}"), &Value::Null).await;
@@ -433,8 +461,9 @@
         answer
     }
 
-    /// All troubles are over: within 75 s every controller answers about every
-    /// job, and no job is forgotten.
+    /// Ends all network faults and asserts that the cluster recovers: every controller answers status queries
+    /// for every job within 75 s, until 95 s no job that could run is left waiting for too long, and the
+    /// checker's final checks pass.
     pub async fn assert_recovers(&self, jobs: &[&str]) {
         self.net.clear_rules();
         self.checker.calm();
@@ -442,7 +471,7 @@
         for id in jobs {
             for n in 0..self.nodes {
                 while self.job_status(n, id).await.0 != 200 {
-                    assert!(Instant::now() < end, "{id} is not answered by {n}");
+                    assert!(Instant::now() < end, "controller {n} does not answer status queries for {id}");
                     sleep(Duration::from_millis(500)).await;
                 }
             }
@@ -456,24 +485,24 @@
         self.assert_invariants_hold();
     }
 
-    /// Controllers that hold shards now, by the records.
+    /// Host name of the holder of each leased shard, by the key of the shard's record.
     pub fn shard_holders(&self) -> BTreeMap<String, String> {
         let held = |key: String| Some((key.clone(), self.state.value(&key)?["host"].as_str()?.to_string()));
         self.state.keys("dc/b/").into_iter().filter_map(held).collect()
     }
 
-    /// How many records of machines name one.
+    /// Number of machine group records that contain a machine.
     pub fn machine_records_naming(&self, machine: &str) -> usize {
         let named = |key: &String| self.state.value(key).is_some_and(|v| v.to_string().contains(machine));
         self.state.keys("dc/m/").iter().filter(|key| named(key)).count()
     }
 
-    /// The number of a controller by its name.
+    /// Number of the controller with a host name.
     pub fn node_number(&self, name: &str) -> usize {
         (0..self.nodes).find(|n| host(*n) == name).unwrap()
     }
 
-    /// Waits for a job's stage as any running node tells it.
+    /// Waits until the first running controller reports a stage for a job.
     pub async fn until_stage(&self, id: &str, stage: &str) {
         let end = Instant::now() + Duration::from_secs(300);
         loop {
@@ -490,25 +519,28 @@
                         eprintln!("{:#?}", core.jobs.get(id));
                     });
                 }
-                assert!(Instant::now() < end, "{id} is not {stage} but {answer}");
+                assert!(Instant::now() < end, "{id} has not reached stage {stage}: {answer}");
             }
             sleep(Duration::from_millis(200)).await;
         }
     }
 
+    /// Waits until a condition holds; fails after 300 s.
     pub async fn until(&self, what: &str, done: impl Fn() -> bool) {
         let end = Instant::now() + Duration::from_secs(300);
         while !done() {
-            assert!(Instant::now() < end, "never: {what}");
+            assert!(Instant::now() < end, "condition not met within 300 s: {what}");
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Waits until so many tasks run.
+    /// Waits until exactly `tasks` tasks run.
     pub async fn until_running(&self, tasks: usize) {
         self.until("tasks run", || self.checker.on().len() == tasks).await;
     }
 
+    /// Asserts that no invariant has been violated and that each controller's replica of the records is
+    /// consistent.
     pub fn assert_invariants_hold(&self) {
         for (host, node) in self.running.lock().unwrap().iter() {
             assert_eq!(node.with(|core| core.replica_inconsistencies()), Vec::<String>::new(), "{host}");
@@ -517,8 +549,8 @@
     }
 }
 
-/// Why a job must not be accepted, if it must not: a field is missing that may not be
-/// null, or no machine that there is has room for a task.
+/// Why controllers must reject a job, if they must: a required field is missing, its team is unknown, or
+/// no machine type is large enough for one of its tasks.
 pub fn rejection_reason(body: &Value) -> Option<String> {
     let whole = job("run-0", "free", 1, 1.0, "low");
     let fields = whole.as_object()?.keys().filter(|f| !["hulls", "yard", "due_s"].contains(&f.as_str()));
@@ -532,6 +564,7 @@
     (fits_none || unknown).then(|| "which can never run".into())
 }
 
+/// Request body that submits a batch job; `rank` is its priority class.
 pub fn job(id: &str, team: &str, tasks: u32, cpus: f64, rank: &str) -> Value {
     json!({"id": id, "lane": "c", "crew": team, "form": "sweep", "rank": rank, "shares": tasks,
         "cpus": cpus, "gpus": 0.0, "memory_gb": cpus, "bundle": "img", "image_gb": 1.0, "hulls": null,
@@ -539,6 +572,7 @@
         "mark_s": 0.0, "stow_s": 0.0, "due_s": null})
 }
 
+/// Request body that submits a service.
 pub fn service(id: &str, team: &str, replicas: u32, cpus: f64) -> Value {
     let mut body = job(id, team, replicas, cpus, "critical");
     body["form"] = json!("service");
@@ -547,6 +581,7 @@
     body
 }
 
+/// Lets simulated time pass.
 pub async fn pause(seconds: f64) {
     sleep(Duration::from_secs_f64(seconds)).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/random_faults.rs
+++ b/crates/dapplecroft-controller/tests/stories/random_faults.rs
@@ -1,5 +1,5 @@
-//! Troubles by the dozen, driven by a seed: whatever meets, the rules are kept, and
-//! once all is over every job ends.
+//! Random combinations of faults, derived from a seed. The invariants must hold throughout, and every job
+//! must end once the faults are over.
 
 use crate::cluster::{CANCEL_DEADLINE, CLOUD, Cluster, STATE, address, host, job, pause};
 use dapplecroft_controller::Options;
@@ -10,17 +10,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Number of steps with faults in the run of one seed.
 const STEPS_PER_SEED: usize = 110;
 
+/// A cluster under random faults, and what has been done to it so far.
 struct RandomFaults {
     cluster: Cluster,
     random: StdRng,
+    /// Ids of the jobs that were accepted.
     jobs: Vec<String>,
-    /// Ids used so far; a submission that nobody answered may run or not.
+    /// Number in the next job's id. It advances with each submission, because one that failed may still have
+    /// been accepted.
     next_id: usize,
+    /// Jobs whose cancellation was confirmed.
     cancelled: BTreeSet<String>,
-    /// Nodes that are down, and the step at which they are back.
+    /// Controllers that are down, and the step at which each is restarted.
     stopped_nodes: Vec<(usize, usize)>,
+    /// Step at which the latest outage of the state service ends.
     outage_end_step: usize,
 }
 
@@ -44,6 +50,7 @@
         running[self.random.random_range(0..running.len())]
     }
 
+    /// Submits a random job at a random controller, once.
     async fn submit(&mut self) {
         let k = self.next_id;
         self.next_id += 1;
@@ -61,6 +68,7 @@
         }
     }
 
+    /// Requests the cancellation of a random job at a random controller.
     async fn cancel(&mut self) {
         if self.jobs.is_empty() {
             return;
@@ -72,6 +80,7 @@
         }
     }
 
+    /// Injects a random fault, or sometimes ends one.
     fn inject_fault(&mut self, step: usize) {
         let cluster = &self.cluster;
         let random = &mut self.random;
@@ -97,7 +106,7 @@
                 }
             }
             7 => {
-                // Deaf for some messages.
+                // The machine receives no answers and no commands for some messages.
                 if let Some(machine) = machine {
                     cluster.net.rule(Rule::all(&machine, "", Action::LoseAnswer).times(times * 2));
                     cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Drop).times(times * 2));
@@ -132,7 +141,7 @@
             self.inject_fault(step);
         }
         if step % 6 == 5 {
-            // What was held up arrives late, at its receiver or at every node.
+            // Held messages arrive late: all of them at their receivers, or the heartbeats at every node.
             let everywhere: Vec<String> = (0..3).map(address).collect();
             if self.random.random_bool(0.5) {
                 self.cluster.net.deliver().await;
@@ -150,6 +159,7 @@
         assert_eq!(self.cluster.checker.broken(), Vec::<String>::new(), "at step {step}");
     }
 
+    /// Ends all faults and asserts that every accepted job ends within 900 s.
     async fn end(mut self) {
         for (n, _) in std::mem::take(&mut self.stopped_nodes) {
             self.cluster.start_node(n);
@@ -181,6 +191,8 @@
     }
 }
 
+/// Runs the random faults of each seed, and asserts that each run had jobs, cancellations and delayed, copied
+/// and lost messages.
 async fn run_seeds(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let mut run = RandomFaults::start(seed).await;
@@ -195,6 +207,8 @@
     }
 }
 
+// Guards against violations that only a combination of faults causes: network faults, killed
+// controllers, lost and hanging machines, and outages of the state service.
 #[tokio::test(start_paused = true)]
 async fn invariants_hold_and_all_jobs_end_under_random_faults() {
     run_seeds(0..12).await;
--- a/crates/dapplecroft-controller/tests/stories/restarts.rs
+++ b/crates/dapplecroft-controller/tests/stories/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of all controllers, with many shards: every machine is one here.
+//! Restarts of all controllers in a cluster with many shards: each machine is a shard of its own.
 
 use crate::cluster::{Cluster, STATE, pause};
 use dapplecroft_controller::Options;
@@ -8,7 +8,7 @@
 
 const MACHINES: usize = 12;
 
-/// A cluster with as many tasks running as it has machines.
+/// Starts a cluster in which each machine runs one task of run-1, for so many seconds.
 async fn fully_loaded_cluster(seconds: u64) -> Cluster {
     let options = Options { shard_machines: Some(1), ..Options::default() };
     let adjust = |timing: &mut dapplecroft_fakes::WorkerTiming| {
@@ -24,6 +24,7 @@
     (0..3).for_each(|n| cluster.kill_node(n));
 }
 
+/// Waits until run-1 is done and asserts that each of its tasks was started once.
 async fn assert_each_task_started_once(cluster: &Cluster) {
     cluster.until_stage("run-1", "done").await;
     for i in 0..MACHINES {
@@ -32,13 +33,13 @@
     cluster.assert_recovers(&["run-1"]).await;
 }
 
-/// How many shards each controller that is up holds, by its own belief.
+/// Number of shards that each of these controllers holds by its own view.
 fn held_shards(cluster: &Cluster, nodes: &[usize]) -> BTreeMap<usize, usize> {
     nodes.iter().map(|n| (*n, cluster.node(*n).with(|core| core.role.leased_shards.len()))).collect()
 }
 
-// The first that is back once took all shards of a large fleet, drowned in the
-// workers' reports, and lost its lease and all of them again.
+// After all controllers were killed, the first one to restart leased all shards of a large fleet. The
+// workers' heartbeats overloaded it, so that it lost its lease and all shards again.
 #[tokio::test(start_paused = true)]
 async fn the_first_controller_restarted_leases_only_its_share_of_shards() {
     let cluster = fully_loaded_cluster(60).await;
@@ -56,17 +57,19 @@
     cluster.start_node(0);
     cluster.start_node(2);
     cluster
-        .until("all blocks held", || held_shards(&cluster, &[0, 1, 2]).values().sum::<usize>() == shards)
+        .until("all shards are held", || held_shards(&cluster, &[0, 1, 2]).values().sum::<usize>() == shards)
         .await;
     let epochs = |cluster: &Cluster| -> Vec<u64> {
         cluster.state.keys("dc/b/").iter().filter_map(|k| cluster.state.value(k)?["epoch"].as_u64()).collect()
     };
-    // Each shard was leased once: all epochs are the new leader's term.
+    // No shard was leased a second time: the epoch of each is the new leader's term.
     let term = epochs(&cluster).into_iter().max().unwrap();
     assert!(epochs(&cluster).iter().all(|e| *e == term), "{:?}", epochs(&cluster));
     assert_each_task_started_once(&cluster).await;
 }
 
+// A controller that restarts must not leave shards to the others for too long: they may stay down, and
+// the workers end their tasks when their leases expire.
 #[tokio::test(start_paused = true)]
 async fn a_lone_controller_leases_all_shards_before_worker_leases_expire() {
     let cluster = fully_loaded_cluster(60).await;
@@ -82,6 +85,8 @@
     assert_each_task_started_once(&cluster).await;
 }
 
+// All controllers are killed near the end of an outage of the state service, and again while they
+// recover. No task may be started twice.
 #[tokio::test(start_paused = true)]
 async fn all_controllers_restart_at_the_end_of_an_outage_and_again_during_recovery() {
     for delay_before_kill in [0.05, 0.3, 1.0, 2.5] {
@@ -94,7 +99,7 @@
         (0..3).for_each(|n| cluster.start_node(n));
         pause(0.5).await;
         cluster.net.clear_rules();
-        // They have begun to read, to stand for election, or to lease.
+        // By now the controllers are reading the records, electing a leader or leasing shards.
         pause(delay_before_kill).await;
         kill_all(&cluster);
         pause(0.2).await;
@@ -104,6 +109,8 @@
     }
 }
 
+// Guards against jobs that are lost when the controllers are restarted one after the other while urgent
+// jobs are submitted.
 #[tokio::test(start_paused = true)]
 async fn controllers_restarted_one_by_one_under_a_burst_complete_all_jobs() {
     let cluster = fully_loaded_cluster(40).await;
@@ -126,11 +133,13 @@
     cluster.assert_recovers(&jobs).await;
 }
 
+// Until a restarted controller has read the records it can only reject heartbeats. It must do so without
+// reading their bodies, since all workers report at once.
 #[tokio::test(start_paused = true)]
 async fn a_heartbeat_before_the_records_are_read_is_rejected_without_reading() {
     let cluster = fully_loaded_cluster(60).await;
     kill_all(&cluster);
-    // The records can't be read yet.
+    // The state service refuses requests, so that the records cannot be read yet.
     cluster.net.rule(Rule::all("", STATE, Action::Refuse));
     cluster.start_node(0);
     pause(0.2).await;
@@ -138,23 +147,27 @@
     assert_eq!((refused.status, refused.retry_after), (503, Some(1)));
     assert!(
         cluster.node(0).reject_without_reading("/v2/runs/run-1").is_none(),
-        "users get an answer of their own"
+        "a request of a user was rejected without being read"
     );
     cluster.net.clear_rules();
-    cluster.until("records read", || cluster.node(0).reject_without_reading("/hello").is_none()).await;
+    cluster
+        .until("the records are read", || cluster.node(0).reject_without_reading("/hello").is_none())
+        .await;
     cluster.start_node(1);
     cluster.start_node(2);
     assert_each_task_started_once(&cluster).await;
 }
 
+// Heartbeats that were held during a network fault arrive after the shards may have changed their
+// holder. They must not count as proof of the present state of the machines.
 #[tokio::test(start_paused = true)]
 async fn delayed_heartbeats_of_cut_off_machines_are_not_trusted_by_the_next_holder() {
     let cluster = fully_loaded_cluster(60).await;
     let leader = cluster.leader().unwrap();
     let killed_holder =
         cluster.shard_holders().values().map(|h| cluster.node_number(h)).find(|n| *n != leader).unwrap();
-    // Half of all machines are cut off with their packets held, and their
-    // busiest holder ends meanwhile.
+    // Messages to and from half of the machines are held, and a shard holder other than the leader is killed
+    // and restarted meanwhile.
     let cut: Vec<String> = cluster.cloud.machines().into_iter().take(MACHINES / 2).collect();
     for machine in &cut {
         cluster.net.rule(Rule::all(machine, "", Action::Hold));
--- a/crates/dapplecroft-controller/tests/stories/zones.rs
+++ b/crates/dapplecroft-controller/tests/stories/zones.rs
@@ -1,10 +1,11 @@
-//! Machines in two zones, and jobs that are bound to one, to any one, or apart.
+//! Machines in two zones, and jobs that must run in one given zone, all in one zone, or spread over zones.
 
 use crate::cluster::{CANCEL_DEADLINE, Cluster, STATE, address, host, job, pause};
 use dapplecroft_controller::Options;
 use dapplecroft_fakes::{Action, PlacementConstraint, Rule, WorkerTiming};
 use std::time::Duration;
 
+/// Starts a cluster with machines in zones y and z and waits until its jobs run.
 async fn two_zone_cluster(shard_machines: Option<usize>) -> Cluster {
     let runs = |timing: &mut WorkerTiming| {
         for k in 1..=4 {
@@ -14,8 +15,8 @@
     let options = Options { shard_machines, ..Options::default() };
     let prepare = |cluster: &Cluster| cluster.cloud.add_zones(&["y"]);
     let cluster = Cluster::with_overrides(12, runs, options, serde_json::Value::Null, prepare).await;
-    // One job for each zone, so that machines are up in both; one that is all in one
-    // zone, and one that is apart.
+    // One job is bound to each zone, so that machines are rented in both. run-3 must run in one zone, and the
+    // tasks of run-4 must run apart.
     for (id, zone) in [("run-1", Some("y")), ("run-2", Some("z")), ("run-3", None), ("run-4", None)] {
         let mut body = job(id, "free", 4, 5.0, "normal");
         body["yard"] = zone.into();
@@ -27,16 +28,17 @@
         cluster.checker.job(id, "free", 5.0);
         cluster.submit_body(id, &body).await;
     }
-    cluster.until("all run that can", || cluster.checker.on().len() >= 12).await;
+    cluster.until("all tasks run that have room", || cluster.checker.on().len() >= 12).await;
     cluster
 }
 
-/// The names of machines in a zone.
+/// Names of the machines in a zone.
 fn machines_in_zone(cluster: &Cluster, zone: &str) -> Vec<String> {
     cluster.cloud.machines().into_iter().filter(|m| cluster.cloud.zone(m) == zone).collect()
 }
 
-/// Cuts a zone with one controller off from everything outside.
+/// Cuts off a zone with one controller in it: the controller and the machines of the zone reach only each
+/// other.
 fn isolate_zone(cluster: &Cluster, zone: &str, inside_node: usize) {
     cluster.isolated.lock().unwrap().insert(host(inside_node));
     cluster.net.rule(Rule::all(&host(inside_node), STATE, Action::Drop));
@@ -52,6 +54,8 @@
     }
 }
 
+// A zone with one controller, the leader or another one, is cut off for longer than the workers' leases,
+// and a job in it is cancelled from outside.
 #[tokio::test(start_paused = true)]
 async fn a_zone_cut_off_for_longer_than_a_lease_violates_no_invariant() {
     for (leads, shard) in [(true, None), (false, None), (true, Some(3)), (false, Some(3))] {
@@ -77,14 +81,14 @@
         assert_eq!(cluster.checker.late_starts(), Vec::<String>::new());
         let running_tasks = |job: &str| cluster.checker.on().keys().filter(|t| t.starts_with(job)).count();
         cluster
-            .until("the others run", || running_tasks("run-2/") == 4 && running_tasks("run-3/") >= 2)
+            .until("run-2 and run-3 run", || running_tasks("run-2/") == 4 && running_tasks("run-3/") >= 2)
             .await;
         cluster.assert_invariants_hold();
     }
 }
 
-// Arrays that are bound lose machines again and again; what is on a machine that
-// nobody reaches still counts.
+// Jobs with zone constraints lose machines repeatedly. Guards against ignoring tasks on an unreachable
+// machine when the zones of new tasks are chosen.
 #[tokio::test(start_paused = true)]
 async fn zone_constrained_jobs_that_lose_machines_start_no_task_in_a_wrong_zone() {
     for (round, shard) in [(0, None), (1, Some(3)), (2, Some(3)), (3, None)] {
@@ -106,7 +110,7 @@
         }
         let running_tasks = |job: &str| cluster.checker.on().keys().filter(|t| t.starts_with(job)).count();
         cluster
-            .until("all bound ones run", || {
+            .until("run-1, run-2 and run-3 run", || {
                 running_tasks("run-1/") == 4 && running_tasks("run-2/") == 4 && running_tasks("run-3/") >= 2
             })
             .await;
@@ -114,13 +118,13 @@
             .flat_map(|k| (0..4).map(move |i| (k, i)))
             .map(|(k, i)| cluster.checker.starts(&format!("run-{k}/{i}")))
             .sum();
-        assert!(starts > 16, "some were lost and began again");
+        assert!(starts > 16, "no task was lost and restarted");
         cluster.assert_invariants_hold();
     }
 }
 
-// Machines stand in a zone that has no controller, and controllers in one without
-// machines: nobody inside a zone that is cut off answers its workers.
+// Zone y has machines but no controller. While the zone is cut off, no controller can answer its
+// workers.
 #[tokio::test(start_paused = true)]
 async fn only_tasks_whose_lease_expired_restart_after_a_zone_without_a_controller_is_cut_off() {
     for (seconds, lost) in [(4.0, false), (20.0, true), (60.0, true)] {
@@ -150,11 +154,11 @@
             cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Drop));
         }
         pause(seconds).await;
-        assert!(cluster.net.matched(Action::Drop) > 0, "the cut was felt");
+        assert!(cluster.net.matched(Action::Drop) > 0, "no message was dropped");
         cluster.net.clear_rules();
-        cluster.until("all run again", || cluster.checker.on().len() == 12).await;
-        // A silence that is shorter than any lease ends no task; what is lost is only
-        // what ran there.
+        cluster.until("all tasks run again", || cluster.checker.on().len() == 12).await;
+        // A fault that is shorter than the workers' leases ends no task. A longer one ends only tasks in the
+        // zone that was cut off.
         let started: usize = (0..4).map(|i| cluster.checker.starts(&format!("run-1/{i}"))).sum();
         assert_eq!(started > 4, lost, "{seconds}: {started} starts");
         assert!((0..4).all(|i| cluster.checker.starts(&format!("run-2/{i}")) == 1));
