--- a/crates/dapplecroft-controller/examples/admission_cost.rs
+++ b/crates/dapplecroft-controller/examples/admission_cost.rs
@@ -18,7 +18,7 @@
 
 use dapplecroft_controller::Options;
 use http::Method;
-use overload::{Overload, TASK, body, options};
+use overload::{OverloadTest, TASK_CPU_S, job_body, options_with_limit};
 use std::time::Instant;
 use tokio::task::JoinSet;
 
@@ -30,7 +30,7 @@
 
 /// Submits jobs at one controller; returns how many were accepted, and the seconds that
 /// each took on the average.
-async fn submit(o: &Overload, from: usize) -> (usize, f64) {
+async fn submit(o: &OverloadTest, from: usize) -> (usize, f64) {
     let begun = Instant::now();
     let mut accepted = 0;
     for batch in 0..JOBS / BATCH {
@@ -38,7 +38,7 @@
         for n in 0..BATCH {
             let id = format!("run-{}", from + batch * BATCH + n);
             let node = o.cluster.node(0);
-            let request = body(&id, "a", 1).to_string().into_bytes();
+            let request = job_body(&id, "a", 1).to_string().into_bytes();
             submissions
                 .spawn(async move { node.handle(&Method::POST, "/v2/runs", request.into()).await.status });
         }
@@ -48,7 +48,7 @@
     (accepted, begun.elapsed().as_secs_f64() / JOBS as f64)
 }
 
-fn job_bytes(o: &Overload) -> f64 {
+fn job_bytes(o: &OverloadTest) -> f64 {
     let sizes: Vec<usize> = o
         .cluster
         .state
@@ -60,9 +60,9 @@
 }
 
 async fn measure(name: &str, options: Options, in_force: bool) {
-    let o = Overload::start(3, 0, options).await;
+    let o = OverloadTest::start(3, 0, options).await;
     if in_force {
-        o.until_in_force().await;
+        o.until_credit_required().await;
         cluster::pause(5.0).await;
     }
     let before = o.cluster.state.changes();
@@ -82,6 +82,6 @@
 async fn main() {
     tokio::time::pause();
     measure("off", Options::default(), false).await;
-    measure("below the limit", options(JOBS as u64 * TASK * 20), true).await;
-    measure("above the limit", options(20 * TASK), true).await;
+    measure("below the limit", options_with_limit(JOBS as u64 * TASK_CPU_S * 20), true).await;
+    measure("above the limit", options_with_limit(20 * TASK_CPU_S), true).await;
 }
--- a/crates/dapplecroft-controller/examples/admission_hour.rs
+++ b/crates/dapplecroft-controller/examples/admission_hour.rs
@@ -28,8 +28,8 @@
     let with_admission = arguments.get(2).is_none_or(|word| word != "without");
     let begun = Instant::now();
     tokio::time::pause();
-    let report = overload_hour::overload(seed, Duration::from_secs(seconds), with_admission).await;
+    let report = overload_hour::run_overload(seed, Duration::from_secs(seconds), with_admission).await;
     println!("seed {seed}, {seconds} s, admission {}", if with_admission { "on" } else { "off" });
-    overload_hour::print(&report);
+    overload_hour::print_report(&report);
     println!("{:.1} s of real time", begun.elapsed().as_secs_f64());
 }
--- a/crates/dapplecroft-controller/examples/cells_waiting.rs
+++ b/crates/dapplecroft-controller/examples/cells_waiting.rs
@@ -33,24 +33,24 @@
         raw.offers = Some(offers);
         raw.spill_after_s = Some(10.0);
     };
-    let c = ThreeCells::with([4, 12, 12], &runs, &adjust).await;
+    let c = ThreeCells::start_adjusted([4, 12, 12], &runs, &adjust).await;
     let begun = Instant::now();
-    let before: Vec<u64> = c.cells.iter().map(|cell| cell.state.changes()).collect();
+    let before: Vec<u64> = c.clusters.iter().map(|cell| cell.state.changes()).collect();
     let mut submitted = BTreeMap::new();
     for id in &names {
         submitted.insert(id.clone(), Instant::now());
         c.submit(0, id, TASKS, CPUS).await;
         sleep(EVERY).await;
     }
-    while c.cells.iter().any(|cell| !cell.referee.on().is_empty()) || !all_started(&c, &names) {
+    while c.clusters.iter().any(|cell| !cell.referee.on().is_empty()) || !all_started(&c, &names) {
         sleep(Duration::from_secs(1)).await;
     }
     report(&c, offers, begun, &submitted, &before);
-    assert_eq!(c.overlaps(), Vec::<String>::new());
+    assert_eq!(c.overlapping_stays(), Vec::<String>::new());
 }
 
 fn all_started(c: &ThreeCells, names: &[String]) -> bool {
-    names.iter().all(|id| (0..TASKS).all(|i| c.starts(&format!("{id}/{i}")) > 0))
+    names.iter().all(|id| (0..TASKS).all(|i| c.start_count(&format!("{id}/{i}")) > 0))
 }
 
 fn report(
@@ -63,7 +63,7 @@
     let took = begun.elapsed().as_secs_f64();
     let mut waits: Vec<f64> = Vec::new();
     let mut busy = [0.0; 3];
-    for (cell, cluster) in c.cells.iter().enumerate() {
+    for (cell, cluster) in c.clusters.iter().enumerate() {
         for stay in cluster.referee.history() {
             let job = stay.task.split('/').next().unwrap();
             waits.push((stay.from - submitted[job]).as_secs_f64());
@@ -80,7 +80,7 @@
         at(0.95),
         at(1.0)
     );
-    for (cell, cluster) in c.cells.iter().enumerate() {
+    for (cell, cluster) in c.clusters.iter().enumerate() {
         let changes = (cluster.state.changes() - before[cell]) as f64;
         let visited = cluster.referee.history().len();
         println!(
--- a/crates/dapplecroft-controller/tests/stories/overload_hour.rs
+++ b/crates/dapplecroft-controller/tests/stories/overload_hour.rs
@@ -1,8 +1,8 @@
 //! A long overload of eight teams with unequal weights, while controllers end and the
 //! leader is cut off; what each team got of it.
 
-use crate::credit_checker::Verdict;
-use crate::overload::{Overload, TASK, body, options};
+use crate::credit_checker::CheckResult;
+use crate::overload::{OverloadTest, TASK_CPU_S, job_body, options_with_limit};
 use dapplecroft_controller::Options;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,16 +11,16 @@
 use tokio::time::{Instant, sleep};
 
 /// Weights, as guaranteed processors.
-const WEIGHTS: [f64; 8] = [4.0, 4.0, 4.0, 4.0, 8.0, 8.0, 16.0, 16.0];
+const TEAM_WEIGHTS: [f64; 8] = [4.0, 4.0, 4.0, 4.0, 8.0, 8.0, 16.0, 16.0];
 /// How much of its fair share each team offers: the first floods, the last is modest.
-const OFFERS: [f64; 8] = [10.0, 2.0, 2.0, 2.0, 2.0, 2.0, 2.0, 0.5];
-const TASKS: u32 = 2;
+const OFFERED_FAIR_SHARES: [f64; 8] = [10.0, 2.0, 2.0, 2.0, 2.0, 2.0, 2.0, 0.5];
+const TASKS_PER_JOB: u32 = 2;
 const MACHINES: usize = 16;
 /// Jobs that the machines do a second: four tasks a machine, for 10 s each.
-const CAPACITY: f64 = MACHINES as f64 * 4.0 / 10.0 / TASKS as f64;
+const CAPACITY_JOBS_PER_S: f64 = MACHINES as f64 * 4.0 / 10.0 / TASKS_PER_JOB as f64;
 /// The limit is worked off in so many seconds.
-const WORK_OFF: f64 = 60.0;
-const WINDOW: Duration = Duration::from_secs(300);
+const LIMIT_WORK_OFF_S: f64 = 60.0;
+const FAIRNESS_WINDOW: Duration = Duration::from_secs(300);
 const CONTROLLERS: usize = 3;
 
 /// What one team got.
@@ -28,27 +28,27 @@
 pub struct TeamReport {
     pub team: String,
     pub offered: usize,
-    pub fair: f64,
+    pub fair_share: f64,
     pub accepted: usize,
     /// The longest time without an accepted job.
     pub longest_gap: Duration,
     /// The least part of its fair share that it got in any five minutes.
-    pub worst_window: f64,
+    pub worst_window_share: f64,
 }
 
 #[derive(Debug)]
 pub struct Report {
     pub teams: Vec<TeamReport>,
-    pub verdict: Verdict,
+    pub result: CheckResult,
     pub requests: usize,
     pub refused: usize,
-    pub changes: u64,
+    pub state_changes: u64,
     pub credit_changes: usize,
-    pub ends: usize,
-    pub cuts: usize,
+    pub controller_kills: usize,
+    pub leader_cuts: usize,
 }
 
-fn team(n: usize) -> String {
+fn team_name(n: usize) -> String {
     format!("team-{n}")
 }
 
@@ -60,12 +60,12 @@
     let mut left = total;
     while left > step {
         let open: Vec<usize> = (0..offered.len()).filter(|n| shares[*n] < offered[*n]).collect();
-        let weights: f64 = open.iter().map(|n| WEIGHTS[*n]).sum();
+        let weights: f64 = open.iter().map(|n| TEAM_WEIGHTS[*n]).sum();
         if open.is_empty() {
             break;
         }
         for n in &open {
-            shares[*n] += step * WEIGHTS[*n] / weights;
+            shares[*n] += step * TEAM_WEIGHTS[*n] / weights;
         }
         left -= step;
     }
@@ -73,126 +73,131 @@
 }
 
 /// One team's users, each with a job of its own, at about even intervals.
-async fn offer(o: &Overload, n: usize, time: Duration, seed: u64) -> Vec<String> {
-    let fair = CAPACITY * WEIGHTS[n] / WEIGHTS.iter().sum::<f64>();
-    let mean = 1.0 / (fair * OFFERS[n]);
+async fn submit_for_team(test: &OverloadTest, n: usize, duration: Duration, seed: u64) -> Vec<String> {
+    let fair = CAPACITY_JOBS_PER_S * TEAM_WEIGHTS[n] / TEAM_WEIGHTS.iter().sum::<f64>();
+    let mean_interval_s = 1.0 / (fair * OFFERED_FAIR_SHARES[n]);
     let mut random = StdRng::seed_from_u64(seed * 100 + n as u64);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut ids = Vec::new();
-    while begun.elapsed() < time {
+    while started.elapsed() < duration {
         let id = format!("run-{}", (n as u64 + 1) * 1_000_000 + ids.len() as u64);
-        o.user_with(body(&id, &team(n), TASKS));
+        test.spawn_user_with_body(job_body(&id, &team_name(n), TASKS_PER_JOB));
         ids.push(id);
-        sleep(Duration::from_secs_f64(mean * random.random_range(0.5..1.5))).await;
+        sleep(Duration::from_secs_f64(mean_interval_s * random.random_range(0.5..1.5))).await;
     }
     ids
 }
 
 /// Ends controllers, and cuts the leader off from the state service, again and again.
-async fn trouble(o: &Overload, time: Duration, seed: u64) -> (usize, usize) {
+async fn inject_faults(test: &OverloadTest, duration: Duration, seed: u64) -> (usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
-    let begun = Instant::now();
-    let (mut ends, mut cuts) = (0, 0);
-    while begun.elapsed() < time {
+    let started = Instant::now();
+    let (mut controller_kills, mut leader_cuts) = (0, 0);
+    while started.elapsed() < duration {
         sleep(Duration::from_secs(random.random_range(20..60))).await;
         if random.random_range(0..3) > 0 {
             let n = random.random_range(0..CONTROLLERS);
-            o.cluster.kill_node(n);
+            test.cluster.kill_node(n);
             sleep(Duration::from_millis(random.random_range(0..8000))).await;
-            o.cluster.start_node(n);
-            ends += 1;
-        } else if let Some(leader) = o.cluster.leader() {
+            test.cluster.start_node(n);
+            controller_kills += 1;
+        } else if let Some(leader) = test.cluster.leader() {
             let host = crate::cluster::host(leader);
-            o.cluster.state.bar(&host, true);
+            test.cluster.state.bar(&host, true);
             sleep(Duration::from_secs(random.random_range(3..15))).await;
-            o.cluster.state.bar(&host, false);
-            cuts += 1;
+            test.cluster.state.bar(&host, false);
+            leader_cuts += 1;
         }
     }
-    (ends, cuts)
+    (controller_kills, leader_cuts)
 }
 
-fn report_of(
-    o: &Overload,
+fn team_report(
+    test: &OverloadTest,
     n: usize,
     offered: &[String],
     fair: f64,
-    time: Duration,
-    begun: Instant,
+    duration: Duration,
+    started: Instant,
 ) -> TeamReport {
-    let told = o.told.lock().unwrap();
+    let answers = test.answers.lock().unwrap();
     let mut times: Vec<Duration> =
-        offered.iter().filter_map(|id| told.accepted.get(id)).map(|at| *at - begun).collect();
-    times.retain(|at| *at <= time);
+        offered.iter().filter_map(|id| answers.accepted.get(id)).map(|at| *at - started).collect();
+    times.retain(|at| *at <= duration);
     times.sort();
-    let ends = [Duration::ZERO].into_iter().chain(times.iter().copied());
-    let gaps = ends.zip(times.iter().copied().chain([time])).map(|(from, to)| to.saturating_sub(from));
-    let longest_gap = gaps.max().unwrap_or(time);
-    let in_window = |from: Duration| times.iter().filter(|at| **at >= from && **at < from + WINDOW).count();
-    let fair_window = fair * WINDOW.as_secs_f64() / time.as_secs_f64();
-    let starts = (0..).map(|k| Duration::from_secs(10 * k)).take_while(|from| *from + WINDOW <= time);
+    let gap_starts = [Duration::ZERO].into_iter().chain(times.iter().copied());
+    let gaps =
+        gap_starts.zip(times.iter().copied().chain([duration])).map(|(from, to)| to.saturating_sub(from));
+    let longest_gap = gaps.max().unwrap_or(duration);
+    let in_window =
+        |from: Duration| times.iter().filter(|at| **at >= from && **at < from + FAIRNESS_WINDOW).count();
+    let fair_window = fair * FAIRNESS_WINDOW.as_secs_f64() / duration.as_secs_f64();
+    let starts =
+        (0..).map(|k| Duration::from_secs(10 * k)).take_while(|from| *from + FAIRNESS_WINDOW <= duration);
     let worst = starts.map(in_window).min().unwrap_or(0);
     TeamReport {
-        team: team(n),
+        team: team_name(n),
         offered: offered.len(),
-        fair,
+        fair_share: fair,
         accepted: times.len(),
         longest_gap,
-        worst_window: worst as f64 / fair_window,
+        worst_window_share: worst as f64 / fair_window,
     }
 }
 
 /// So long an overload, with admission control or without.
-pub async fn overload(seed: u64, time: Duration, with_admission: bool) -> Report {
-    let limit = (CAPACITY * WORK_OFF) as u64 * TASK * u64::from(TASKS);
-    let options = if with_admission { options(limit) } else { Options::default() };
+pub async fn run_overload(seed: u64, duration: Duration, with_admission: bool) -> Report {
+    let limit = (CAPACITY_JOBS_PER_S * LIMIT_WORK_OFF_S) as u64 * TASK_CPU_S * u64::from(TASKS_PER_JOB);
+    let options = if with_admission { options_with_limit(limit) } else { Options::default() };
     let teams: Vec<Value> =
-        (0..WEIGHTS.len()).map(|n| json!({"name": team(n), "cpus": WEIGHTS[n]})).collect();
-    let o = Overload::of_teams(CONTROLLERS, MACHINES, options, teams, |_| {}).await;
+        (0..TEAM_WEIGHTS.len()).map(|n| json!({"name": team_name(n), "cpus": TEAM_WEIGHTS[n]})).collect();
+    let test = OverloadTest::start_with_teams(CONTROLLERS, MACHINES, options, teams, |_| {}).await;
     if with_admission {
-        o.until_in_force().await;
+        test.until_credit_required().await;
     }
-    let begun = Instant::now();
-    let before = (o.cluster.state.changes(), o.cluster.state.history("dc/a/").len());
-    let offers = |n| offer(&o, n, time, seed);
-    let (a, b, c, d, e, f, g, h, (ends, cuts)) = tokio::join!(
-        offers(0),
-        offers(1),
-        offers(2),
-        offers(3),
-        offers(4),
-        offers(5),
-        offers(6),
-        offers(7),
-        trouble(&o, time, seed)
+    let started = Instant::now();
+    let before = (test.cluster.state.changes(), test.cluster.state.history("dc/a/").len());
+    let submissions = |n| submit_for_team(&test, n, duration, seed);
+    let (a, b, c, d, e, f, g, h, (controller_kills, leader_cuts)) = tokio::join!(
+        submissions(0),
+        submissions(1),
+        submissions(2),
+        submissions(3),
+        submissions(4),
+        submissions(5),
+        submissions(6),
+        submissions(7),
+        inject_faults(&test, duration, seed)
     );
-    let changes = o.cluster.state.changes() - before.0;
-    let credit_changes = o.cluster.state.history("dc/a/").len() - before.1;
+    let state_changes = test.cluster.state.changes() - before.0;
+    let credit_changes = test.cluster.state.history("dc/a/").len() - before.1;
     let offered = [a, b, c, d, e, f, g, h];
     let counts: Vec<f64> = offered.iter().map(|ids| ids.len() as f64).collect();
-    let total: usize = offered.iter().map(|ids| o.accepted(ids)).sum();
+    let total: usize = offered.iter().map(|ids| test.accepted_count(ids)).sum();
     let fair = fair_shares(total as f64, &counts);
-    let teams = (0..WEIGHTS.len()).map(|n| report_of(&o, n, &offered[n], fair[n], time, begun)).collect();
-    let verdict = o.check();
-    let told = o.told.lock().unwrap();
-    let refused = told.statuses.get(&429).copied().unwrap_or(0);
-    let requests = told.statuses.values().sum();
-    Report { teams, verdict, requests, refused, changes, credit_changes, ends, cuts }
+    let teams = (0..TEAM_WEIGHTS.len())
+        .map(|n| team_report(&test, n, &offered[n], fair[n], duration, started))
+        .collect();
+    let result = test.assert_rules_kept();
+    let answers = test.answers.lock().unwrap();
+    let refused = answers.status_counts.get(&429).copied().unwrap_or(0);
+    let requests = answers.status_counts.values().sum();
+    Report { teams, result, requests, refused, state_changes, credit_changes, controller_kills, leader_cuts }
 }
 
 /// One line for each team, and one for the whole.
-pub fn print(report: &Report) {
+pub fn print_report(report: &Report) {
     for team in &report.teams {
         println!(
             "{}: offered {}, fair share {:.0}, accepted {} ({:.2} of it), longest without {:.0} s, worst five \
              minutes {:.2}",
             team.team,
             team.offered,
-            team.fair,
+            team.fair_share,
             team.accepted,
-            team.accepted as f64 / team.fair,
+            team.accepted as f64 / team.fair_share,
             team.longest_gap.as_secs_f64(),
-            team.worst_window
+            team.worst_window_share
         );
     }
     println!(
@@ -200,12 +205,12 @@
          of the limit; {} accepted, {} outstanding at the end",
         report.requests,
         report.refused,
-        report.changes,
+        report.state_changes,
         report.credit_changes,
-        report.ends,
-        report.cuts,
-        report.verdict.fullest,
-        report.verdict.accepted,
-        report.verdict.outstanding
+        report.controller_kills,
+        report.leader_cuts,
+        report.result.peak_use,
+        report.result.accepted,
+        report.result.outstanding
     );
 }
