--- a/crates/dapplecroft-controller/tests/stories/admission.rs
+++ b/crates/dapplecroft-controller/tests/stories/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control under overload, with several controllers that fail.
+//! Admission control under overload, while controllers, the state service and machines fail.
 
 use crate::cluster::{STATE, host, pause};
 use crate::overload::{OverloadTest, TASK_CPU_S, job_body, options_with_limit};
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A limit of so many tasks.
+/// Limit of 40 tasks, in CPU-seconds.
 const LIMIT_CPU_S: u64 = 40 * TASK_CPU_S;
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -33,6 +33,7 @@
     test.assert_limit_recovered().await;
 }
 
+// The leader must not write grants periodically when the demand does not change.
 #[tokio::test(start_paused = true)]
 async fn idle_cluster_writes_no_grants() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -55,14 +56,14 @@
     };
     assert!(refused > 200, "{refused} refused");
     assert!(slowest_answer < Duration::from_secs(2), "{slowest_answer:?}");
-    let retry_after_s = test.answers.lock().unwrap().retry_after_s.clone();
-    assert!(retry_after_s.iter().all(|hint| (1..=30).contains(hint)), "{retry_after_s:?}");
-    let distinct: std::collections::BTreeSet<&u32> = retry_after_s.iter().collect();
-    assert!(distinct.len() > 3, "hints are spread: {distinct:?}");
+    let hints_s = test.answers.lock().unwrap().retry_after_s.clone();
+    assert!(hints_s.iter().all(|hint| (1..=30).contains(hint)), "{hints_s:?}");
+    let distinct: std::collections::BTreeSet<&u32> = hints_s.iter().collect();
+    assert!(distinct.len() > 3, "Retry-After values must vary: {distinct:?}");
     let result = test.assert_limit_recovered().await;
     assert!(result.peak_use <= 1.0 && result.peak_use > 0.8, "{}", result.peak_use);
     assert!(test.accepted_count(&ids) < ids.len());
-    // Submissions, allocations and ends; what is refused costs nothing.
+    // Accepted submissions, grants and completions write records; refusals must not.
     let changes = test.cluster.state.history("dc/a/").len();
     assert!(changes < 300, "{changes} changes of credit");
 }
@@ -94,7 +95,7 @@
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
     test.until_credit_required().await;
     let time = Duration::from_secs(300);
-    // 4 machines do 1.6 tasks a second; each team's share is 0.4.
+    // 4 machines complete 1.6 tasks per second; each team's share is 0.4.
     let (flood, b, c, d) = tokio::join!(
         test.flood(1, "a", millis(125), time),
         test.flood(2, "b", millis(1250), time),
@@ -127,6 +128,8 @@
     test.assert_limit_recovered().await;
 }
 
+// A submission is delayed on its way to the state service and arrives after its controller was
+// killed. It must be charged, or fail because the credit's epoch has ended.
 #[tokio::test(start_paused = true)]
 async fn submissions_committed_after_their_controller_ended_are_charged_or_rejected() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -134,7 +137,7 @@
     let faults = async {
         for n in 0..3 {
             pause(4.0).await;
-            // What it asks the state service is held back, and carried out when it is gone.
+            // Holds the controller's job transactions back and delivers them after it was killed.
             test.cluster.net.rule(Rule::all(&host(n), STATE, Action::Hold).path("/multi").body("dc/j/"));
             pause(3.0).await;
             test.cluster.kill_node(n);
@@ -150,6 +153,8 @@
     test.assert_limit_recovered().await;
 }
 
+// A controller that gets no reply to a submission doesn't know whether it was committed. If it
+// didn't count the credit as spent, it could spend the same credit again.
 #[tokio::test(start_paused = true)]
 async fn submissions_with_lost_replies_count_as_spent_until_their_records_appear() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -163,6 +168,8 @@
     test.assert_limit_recovered().await;
 }
 
+// The leader is killed while its grants are lost, delayed, or committed without a reply. Its
+// successor must not grant the same credit a second time.
 #[tokio::test(start_paused = true)]
 async fn leader_killed_during_a_grant_breaks_no_limit() {
     for action in [Action::LoseAnswer, Action::Drop, Action::Hold] {
@@ -190,6 +197,8 @@
     }
 }
 
+// Grants of a leader that lost its lease reach the state service after another controller leads.
+// They must not be committed on top of the successor's grants.
 #[tokio::test(start_paused = true)]
 async fn deposed_leader_cannot_commit_delayed_grants() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -198,7 +207,7 @@
         for _ in 0..3 {
             pause(4.0).await;
             let Some(old) = test.cluster.leader() else { continue };
-            // Its grants are held back until another one leads.
+            // Holds the leader's grants back until another controller leads.
             test.cluster.net.rule(Rule::all(&host(old), STATE, Action::Hold).path("/multi").body("dc/a/"));
             pause(1.0).await;
             test.cluster.state.bar(&host(old), true);
@@ -216,6 +225,8 @@
     test.assert_limit_recovered().await;
 }
 
+// All controllers lose the state service at full use of the limit. Afterwards nearly all of the
+// limit must be available again.
 #[tokio::test(start_paused = true)]
 async fn state_service_outage_under_overload_loses_no_credit() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -239,7 +250,7 @@
         pause(2.0).await;
         let n = (0..3).find(|n| test.cluster.leader() != Some(*n)).unwrap();
         test.cluster.state.bar(&host(n), true);
-        // Longer than every lease.
+        // Longer than every lease, so that the credit of the controller has expired.
         pause(45.0).await;
         test.cluster.state.bar(&host(n), false);
     };
@@ -252,7 +263,7 @@
 async fn unused_credit_of_idle_controllers_is_granted_to_a_busy_one() {
     let test = OverloadTest::start(3, 8, options_with_limit(LIMIT_CPU_S)).await;
     test.until_credit_required().await;
-    // All users ask one controller.
+    // All users submit to the same controller.
     let begun = tokio::time::Instant::now();
     let mut accepted = 0;
     for job in 0..600 {
@@ -262,7 +273,7 @@
         accepted += usize::from(status == 201);
         pause(0.2).await;
     }
-    // 8 machines do 3.2 tasks a second; an eighth of the limit may lie idle.
+    // 8 machines complete 3.2 tasks per second; an eighth of the limit may stay unused.
     let rate = accepted as f64 / begun.elapsed().as_secs_f64();
     assert!(rate > 1.5, "{accepted} accepted, {rate:.2} a second");
     let result = test.assert_rules_kept();
@@ -297,14 +308,14 @@
     test.until_credit_required().await;
     let large = async {
         pause(20.0).await;
-        // A quarter of the limit.
+        // A job that needs a quarter of the limit.
         test.spawn_user("run-77", "a", 10);
     };
     tokio::join!(test.flood(1, "a", millis(100), Duration::from_secs(80)), large);
     test.until_users_finished().await;
     assert!(test.answers.lock().unwrap().accepted.contains_key("run-77"));
     let reservation_changes = test.cluster.state.history("dc/a/s").len();
-    assert!(reservation_changes > 0, "it was saved up for");
+    assert!(reservation_changes > 0, "credit must be reserved for the large job");
     test.assert_limit_recovered().await;
 }
 
@@ -323,12 +334,14 @@
     test.assert_limit_recovered().await;
 }
 
+// The weights change one controller at a time. While controllers differ, the policy that the leader
+// records holds.
 #[tokio::test(start_paused = true)]
 async fn team_weights_follow_the_leader_in_a_rolling_restart() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
     test.until_credit_required().await;
-    let mut other = options_with_limit(LIMIT_CPU_S);
-    let admission = other.admission.as_mut().unwrap();
+    let mut new_options = options_with_limit(LIMIT_CPU_S);
+    let admission = new_options.admission.as_mut().unwrap();
     admission.teams = vec![dapplecroft_admission::settings::RawTeam {
         name: "b".into(),
         weight: Some(16.0),
@@ -337,7 +350,7 @@
     let rollout = async {
         for n in 0..3 {
             pause(10.0).await;
-            test.cluster.own_options.lock().unwrap().insert(n, other.clone());
+            test.cluster.own_options.lock().unwrap().insert(n, new_options.clone());
             test.cluster.kill_node(n);
             pause(1.0).await;
             test.cluster.start_node(n);
@@ -364,8 +377,12 @@
     let ids = test.flood(1, "a", millis(200), Duration::from_secs(20)).await;
     test.until_users_finished().await;
     assert!(!test.is_credit_required());
-    assert_eq!(test.accepted_count(&ids), ids.len(), "as before");
-    // It is replaced; then another one goes back.
+    assert_eq!(
+        test.accepted_count(&ids),
+        ids.len(),
+        "every job must be accepted as without admission control"
+    );
+    // The controller gets admission control; then another controller is restarted without it.
     test.cluster.own_options.lock().unwrap().clear();
     test.cluster.kill_node(2);
     test.cluster.start_node(2);
@@ -374,7 +391,7 @@
     test.cluster.own_options.lock().unwrap().insert(0, without_admission);
     test.cluster.kill_node(0);
     test.cluster.start_node(0);
-    test.cluster.until("credit is demanded no more", || !test.is_credit_required()).await;
+    test.cluster.until("credit is no longer required", || !test.is_credit_required()).await;
     pause(2.0).await;
     let ids = test.flood(3, "a", millis(200), Duration::from_secs(10)).await;
     test.until_users_finished().await;
@@ -382,6 +399,8 @@
     test.assert_rules_kept();
 }
 
+// The leader can't tell how much credit a corrupt grant record had granted. It must treat that
+// credit as spent.
 #[tokio::test(start_paused = true)]
 async fn unreadable_grant_record_counts_as_spent() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
@@ -397,9 +416,9 @@
 #[tokio::test(start_paused = true)]
 async fn grants_of_nine_controllers_and_32_buckets_fit_the_smallest_record_limit() {
     let teams: Vec<Value> =
-        (0..8).map(|t| json!({"name": format!("harbour-team-{t}"), "cpus": 4.0})).collect();
+        (0..8).map(|n| json!({"name": format!("harbour-team-{n}"), "cpus": 4.0})).collect();
     let classes: Vec<Value> =
-        (0..4).map(|c| json!({"kind": "finished", "class": format!("night-class-{c}")})).collect();
+        (0..4).map(|n| json!({"kind": "finished", "class": format!("night-class-{n}")})).collect();
     let limits = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
     let platform = json!({"teams": teams, "objectives": classes, "now": limits});
     let test =
@@ -427,9 +446,9 @@
         .keys()
         .map(|id| id.trim_start_matches("run-").parse::<u64>().unwrap() % 32)
         .collect();
-    assert_eq!(buckets.len(), 32, "every class of every team has had some accepted");
-    let pages = test.cluster.state.keys("dc/a/g/").len();
-    assert!(pages > 1, "they are too many for one record");
+    assert_eq!(buckets.len(), 32, "every class of every team must have an accepted job");
+    let grant_records = test.cluster.state.keys("dc/a/g/").len();
+    assert!(grant_records > 1, "the grants must not fit one record");
     test.assert_limit_recovered().await;
 }
 
@@ -440,8 +459,8 @@
     assert!(report.controller_kills > 3 && report.leader_cuts > 0);
     assert!(report.result.peak_use <= 1.0);
     for team in &report.teams {
-        let part = team.accepted as f64 / team.fair_share;
-        assert!((0.75..1.3).contains(&part), "{team:?}");
+        let share = team.accepted as f64 / team.fair_share;
+        assert!((0.75..1.3).contains(&share), "{team:?}");
         assert!(team.longest_gap < MINUTE, "{team:?}");
         assert!(team.worst_window_share > 0.4, "{team:?}");
     }
--- a/crates/dapplecroft-controller/tests/stories/cells.rs
+++ b/crates/dapplecroft-controller/tests/stories/cells.rs
@@ -1,5 +1,5 @@
-//! Several cells, each with its own controllers, state service, cloud and workers, and
-//! the links between them.
+//! Three federated cells, each with its own controllers, state service, cloud and workers, and the
+//! network links between them.
 
 use crate::cluster::{Cluster, Running, job};
 use async_trait::async_trait;
@@ -16,40 +16,43 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The cells of most stories.
+/// Names of the cells, by cell number.
 pub const CELL_NAMES: [&str; 3] = ["cell-a.example.org", "cell-b.example.org", "cell-c.example.org"];
-/// How long a message that gets no answer is waited for.
+/// Time after which a request without a reply fails.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Default)]
 struct LinkState {
+    /// Running controllers of each cell, by name of the cell.
     controllers: BTreeMap<String, Running>,
-    /// Messages from one cell to another that never arrive.
+    /// Directions (from, to) in which all messages are lost.
     cut_links: BTreeSet<(usize, usize)>,
-    /// Answers that are lost, of requests from one cell to another.
+    /// Number of replies still to be lost, by (asking cell, answering cell).
     lost_replies: BTreeMap<(usize, usize), usize>,
-    /// How long a message from one cell to another takes.
+    /// Delay of requests, by (asking cell, answering cell).
     delays: BTreeMap<(usize, usize), Duration>,
-    /// Whether every request is delivered twice, and kept for later.
+    /// Whether every request is delivered twice and recorded for a later redelivery.
     duplicates_requests: bool,
+    /// Recorded requests: asking cell, answering cell, request.
     recorded_requests: Vec<(usize, usize, ExchangeRequest)>,
 }
 
-/// What connects cells.
+/// The network between cells, with faults that tests inject.
 #[derive(Clone, Default)]
 pub struct Links(Arc<Mutex<LinkState>>);
 
-/// One cell's end of the links.
+/// Client with which the controllers of one cell send requests to other cells.
 struct CellClient {
     links: Links,
     cell: usize,
 }
 
+/// Number of the cell with this name.
 fn cell_index(name: &str) -> usize {
     CELL_NAMES.iter().position(|own| *own == name).unwrap()
 }
 
-/// Where a cell's controllers connect from.
+/// Source address of the connections from a cell's controllers.
 pub fn source_address(cell: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 100 + cell as u8, 0, 1))
 }
@@ -59,12 +62,12 @@
         work(&mut self.0.lock().unwrap())
     }
 
-    /// Nothing that one cell sends arrives at another, neither requests nor answers.
+    /// Loses all messages from one cell to another, both requests and replies.
     pub fn cut(&self, from: usize, to: usize) {
         self.with_state(|state| state.cut_links.insert((from, to)));
     }
 
-    /// All links work again.
+    /// Removes all cuts, losses and delays.
     pub fn heal(&self) {
         self.with_state(|state| {
             state.cut_links.clear();
@@ -73,22 +76,23 @@
         });
     }
 
-    /// The next answers to one cell's requests to another are lost.
+    /// Loses the next `count` replies to requests that cell `from` sends to cell `to`.
     pub fn lose_answers(&self, from: usize, to: usize, count: usize) {
         self.with_state(|state| state.lost_replies.insert((from, to), count));
     }
 
-    /// Messages from one cell to another take so long.
+    /// Delays requests from one cell to another.
     pub fn delay(&self, from: usize, to: usize, by: Duration) {
         self.with_state(|state| state.delays.insert((from, to), by));
     }
 
-    /// Every request arrives twice from now on, and a copy is kept.
+    /// Delivers every request twice from now on, and records a copy.
     pub fn duplicate_requests(&self) {
         self.with_state(|state| state.duplicates_requests = true);
     }
 
-    /// Delivers all copies that were kept, the last first; nobody hears the answers.
+    /// Delivers all recorded requests again, the latest first, and discards the replies. Returns
+    /// their number.
     pub async fn redeliver_recorded(&self) -> usize {
         let recorded = self.with_state(|state| std::mem::take(&mut state.recorded_requests));
         let count = recorded.len();
@@ -98,7 +102,8 @@
         count
     }
 
-    /// A request from an address, as the cell's controllers answer it.
+    /// Delivers a request from a source address to a cell's controllers, one after the other, until
+    /// one replies other than that it does not lead.
     pub async fn deliver_from(
         &self,
         address: IpAddr,
@@ -166,14 +171,16 @@
     }
 }
 
-/// Three cells.
+/// Three federated cells and the links between them.
 pub struct ThreeCells {
+    /// The cells, by cell number.
     pub clusters: Vec<Cluster>,
     pub links: Links,
-    /// Jobs that were accepted, and the cell that accepted each.
+    /// Home cell of each accepted job that [`ThreeCells::until_all_jobs_ended`] waits for.
     accepted: Mutex<BTreeMap<String, usize>>,
 }
 
+/// Federation settings of a cell, with the other cells as peers; `adjust` may change them.
 fn federation(cell: usize, adjust: &dyn Fn(usize, &mut RawFederation)) -> Federation {
     let others = (0..CELL_NAMES.len()).filter(|other| *other != cell);
     let peer = |other: usize| RawPeer {
@@ -195,7 +202,7 @@
     Federation::check(&raw).unwrap()
 }
 
-/// A story may play one set of cells after the other on the same clock.
+/// Stops all controllers and machines, because some tests start several sets of cells on one clock.
 impl Drop for ThreeCells {
     fn drop(&mut self) {
         for cluster in &self.clusters {
@@ -206,11 +213,13 @@
 }
 
 impl ThreeCells {
-    /// Cells with room for so many machines each (of 16 CPUs).
+    /// Starts cells whose clouds have this many machines of 16 CPUs each. Tasks of the listed jobs
+    /// run for the given seconds.
     pub async fn start(machines: [usize; 3], run_times_s: &[(&str, u64)]) -> ThreeCells {
         ThreeCells::start_adjusted(machines, run_times_s, &|_, _| {}).await
     }
 
+    /// Like [`ThreeCells::start`], with changes to the federation settings of each cell.
     pub async fn start_adjusted(
         machines: [usize; 3],
         run_times_s: &[(&str, u64)],
@@ -235,7 +244,8 @@
         ThreeCells { clusters, links, accepted: Mutex::default() }
     }
 
-    /// Submits at a cell until it is accepted; every cell's referee knows the job.
+    /// Submits a job to a cell until it is accepted. Registers the job with the invariant checkers
+    /// of all cells.
     pub async fn submit(&self, cell: usize, id: &str, tasks: u32, cpus: f64) {
         for cluster in &self.clusters {
             cluster.referee.job(id, "free", cpus);
@@ -244,7 +254,8 @@
         self.accepted.lock().unwrap().insert(id.into(), cell);
     }
 
-    /// Fills a cell with work that is not waited for.
+    /// Fills a cell with a job and waits until its tasks run; [`ThreeCells::until_all_jobs_ended`]
+    /// does not wait for its end.
     pub async fn fill(&self, cell: usize, id: &str, tasks: u32, cpus: f64) {
         self.submit(cell, id, tasks, cpus).await;
         self.accepted.lock().unwrap().remove(id);
@@ -252,7 +263,8 @@
         self.until("the cell is full", || running() == tasks as usize).await;
     }
 
-    /// Cancels at a cell until that is confirmed.
+    /// Requests the cancellation of a job from a cell until a controller confirms it. Returns the
+    /// final stage.
     pub async fn cancel(&self, cell: usize, id: &str) -> String {
         let end = Instant::now() + Duration::from_secs(200);
         loop {
@@ -272,43 +284,44 @@
         }
     }
 
-    /// The stage that a job's record has in a cell, if there is one.
+    /// Stage of the job's record in a cell, if the cell has one.
     pub fn recorded_stage(&self, cell: usize, id: &str) -> Option<String> {
         let value = self.clusters[cell].state.value(&format!("dc/j/{id}"))?;
         value["s"].as_str().map(str::to_string)
     }
 
-    /// The cell, other than its home, in whose records a job is.
+    /// Host cell of a job: the cell other than its home cell that has a record of it.
     pub fn host_cell(&self, home: usize, id: &str) -> Option<usize> {
         (0..3).find(|cell| *cell != home && self.recorded_stage(*cell, id).is_some())
     }
 
+    /// Waits until the condition holds; fails after 300 s.
     pub async fn until(&self, what: &str, done: impl Fn() -> bool) {
         let end = Instant::now() + Duration::from_secs(300);
         while !done() {
-            assert!(Instant::now() < end, "never: {what}");
+            assert!(Instant::now() < end, "timed out waiting: {what}");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Ends all controllers of a cell.
+    /// Kills all controllers of a cell.
     pub fn kill_controllers(&self, cell: usize) {
         (0..3).for_each(|n| self.clusters[cell].kill_node(n));
     }
 
-    /// Starts those controllers of a cell that are not there.
+    /// Starts those controllers of a cell that are not running.
     pub fn start_missing_controllers(&self, cell: usize) {
         (0..3).filter(|n| !self.clusters[cell].is_up(*n)).for_each(|n| self.clusters[cell].start_node(n));
     }
 
-    /// Ends a cell's leader; returns which controller that was.
+    /// Kills a cell's leader. Returns the number of that controller.
     pub fn kill_leader(&self, cell: usize) -> usize {
         let leader = self.clusters[cell].leader().unwrap();
         self.clusters[cell].kill_node(leader);
         leader
     }
 
-    /// Waits until every accepted job is over for its user, and nothing is left over.
+    /// Waits until the home cell of every accepted job reports it as done or cancelled.
     pub async fn until_all_jobs_ended(&self) {
         let accepted = self.accepted.lock().unwrap().clone();
         let end = Instant::now() + Duration::from_secs(450);
@@ -323,15 +336,14 @@
                     break;
                 }
                 assert!(status == 200 || status == 503, "{id}: {status}");
-                assert!(Instant::now() < end, "{id} does not end: {answer}");
+                assert!(Instant::now() < end, "{id} has not ended: {answer}");
                 sleep(Duration::from_millis(500)).await;
             }
         }
     }
 
-    /// Checks the histories of all cells together: the rules of each, no job in two cells
-    /// at once, every task of a job that is done was completed, and none ran again after
-    /// that.
+    /// Checks the invariants of each cell (among them that every task of a completed job was
+    /// completed and did not run again), and that no job had tasks in two cells at the same time.
     pub fn assert_rules_kept(&self) {
         for cluster in &self.clusters {
             cluster.assert_rules_kept();
@@ -339,7 +351,7 @@
         assert_eq!(self.overlapping_stays(), Vec::<String>::new());
     }
 
-    /// Stays of one job in two cells that overlap.
+    /// Runs of tasks of one job that overlapped in time in two cells.
     pub fn overlapping_stays(&self) -> Vec<String> {
         let mut stays: BTreeMap<String, Vec<(usize, Stay)>> = BTreeMap::new();
         for (cell, cluster) in self.clusters.iter().enumerate() {
@@ -365,7 +377,7 @@
         found
     }
 
-    /// How often a job's tasks were started, in all cells.
+    /// How often a task was started, in all cells together.
     pub fn start_count(&self, task: &str) -> usize {
         self.clusters.iter().map(|c| c.referee.starts(task)).sum()
     }
--- a/crates/dapplecroft-controller/tests/stories/credit_checker.rs
+++ b/crates/dapplecroft-controller/tests/stories/credit_checker.rs
@@ -1,50 +1,57 @@
-//! Checks admission control from the state service's own history, sharing no code with
-//! what it checks.
+//! Checks admission control by a replay of the state service's history. Shares no code with the
+//! controllers, so that a fault in theirs is not repeated here.
 
 use dapplecroft_fakes::FakeState;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job's tag: controller, epoch, bucket, charge.
+/// Credit that a job's record names: controller, epoch of its credit, bucket (team and class), charge in
+/// CPU-seconds. The controller is empty if the job spent a reservation.
 type CreditTag = (String, u64, String, u64);
 
+/// Admission control as of one revision of the state service.
 #[derive(Debug, Default)]
 struct AdmissionState {
+    /// Limit of the policy record, in CPU-seconds.
     limit: u64,
-    credit_required: bool,
-    /// Live controllers that know nothing of admission control: nothing binds them.
+    /// Whether the policy record requires credit for submissions.
+    policy_requires_credit: bool,
+    /// Live controllers without admission control. They accept jobs without credit, so none is
+    /// required while there are any.
     controllers_without_admission: BTreeSet<String>,
-    /// By controller.
+    /// Current epoch of each controller's credit.
     epochs: BTreeMap<String, u64>,
-    /// By controller, epoch and bucket.
+    /// Cumulative credit granted, by controller, epoch and bucket.
     granted_totals: BTreeMap<(String, u64, String), u64>,
+    /// Credit reserved for single large jobs, by job.
     reservations: BTreeMap<String, u64>,
-    /// By controller, epoch and bucket.
+    /// Credit spent on accepted jobs, by controller, epoch and bucket.
     spent: BTreeMap<(String, u64, String), u64>,
-    /// Every job that was ever accepted, and its tag.
+    /// Every job that was ever accepted, with its credit tag.
     accepted_jobs: BTreeMap<String, Option<CreditTag>>,
+    /// Charges of the accepted jobs that have not ended, by job.
     open_charges: BTreeMap<String, u64>,
 }
 
-/// What the history comes to.
+/// Result of the check of a history.
 #[derive(Debug, Default)]
 pub struct CheckResult {
-    /// What was against the rules.
+    /// Violations of the rules of admission control.
     pub violations: Vec<String>,
-    /// The most that was outstanding and out as credit at any revision, over the limit
-    /// then.
+    /// Highest ratio of outstanding work and unspent credit together to the limit, at any revision
+    /// with credit required.
     pub peak_use: f64,
-    /// The last revision at which nine tenths of the limit were in use.
+    /// Last revision at which at least nine tenths of the limit were in use.
     pub last_full_revision: u64,
-    /// The last revision.
+    /// Last revision of the history.
     pub last_revision: u64,
-    /// Outstanding work at the end.
+    /// Charges of accepted jobs that had not ended at the last revision.
     pub outstanding: u64,
-    /// Credit that can be spent at the end.
+    /// Credit that controllers could still spend at the last revision.
     pub unspent_credit: u64,
-    /// The limit at the end.
+    /// Limit at the last revision.
     pub limit: u64,
-    /// How many jobs were accepted.
+    /// Number of jobs accepted in the whole history.
     pub accepted: usize,
 }
 
@@ -63,60 +70,65 @@
         self.granted_totals.get(&(host.into(), epoch, bucket.into())).copied().unwrap_or(0)
     }
 
-    /// What was granted once within an epoch may be spent, whatever became of the record.
+    /// Takes over the totals of a grant record. Within an epoch the highest total counts, because a
+    /// controller may still spend a grant that the record no longer shows.
     fn apply_grants(&mut self, record: &Value) {
         for (host, grant) in record.as_object().into_iter().flatten() {
             let epoch = grant["e"].as_u64().unwrap_or(0);
-            for (bucket, ceiling) in grant["c"].as_object().into_iter().flatten() {
+            for (bucket, total) in grant["c"].as_object().into_iter().flatten() {
                 let known = self.granted_totals.entry((host.clone(), epoch, bucket.clone())).or_default();
-                *known = ceiling.as_u64().unwrap_or(0).max(*known);
+                *known = total.as_u64().unwrap_or(0).max(*known);
             }
         }
     }
 
+    /// Granted credit of current epochs that is not spent, and reservations whose jobs are not accepted.
     fn unspent_credit(&self) -> u64 {
         let current = |(host, epoch, _): &&(String, u64, String)| self.epochs.get(host) == Some(epoch);
         let granted = self.granted_totals.iter().filter(|(key, _)| current(key));
         let left = granted
-            .map(|((host, epoch, bucket), ceiling)| ceiling.saturating_sub(self.spent(host, *epoch, bucket)));
+            .map(|((host, epoch, bucket), total)| total.saturating_sub(self.spent(host, *epoch, bucket)));
         let reserved = self.reservations.iter().filter(|(id, _)| !self.accepted_jobs.contains_key(*id));
         left.sum::<u64>() + reserved.map(|(_, charge)| charge).sum::<u64>()
     }
 
+    /// Whether a job without credit would break the rules.
     fn requires_credit(&self) -> bool {
-        self.credit_required && self.controllers_without_admission.is_empty()
+        self.policy_requires_credit && self.controllers_without_admission.is_empty()
     }
 
     fn outstanding(&self) -> u64 {
         self.open_charges.values().sum()
     }
 
+    /// Records the acceptance of a job; reports one without credit, with credit of an ended epoch,
+    /// without a matching reservation, or beyond the granted total.
     fn accept(&mut self, id: &str, record: &Value, violations: &mut Vec<String>) {
         let tag = tag_of(record);
         match &tag {
             None if self.requires_credit() => violations.push(format!("{id} was accepted without credit")),
             Some((host, epoch, ..)) if !host.is_empty() && self.epochs.get(host) != Some(epoch) => {
-                violations.push(format!("{id} spent credit of {host} of epoch {epoch}, which had ended"));
+                violations.push(format!("{id} spent credit of {host} from epoch {epoch}, which had ended"));
             }
             Some((host, _, _, charge)) if host.is_empty() && self.reservations.get(id) != Some(charge) => {
-                violations.push(format!("{id} spent a reservation that there is not"));
+                violations.push(format!("{id} spent a reservation that does not exist"));
             }
             _ => {}
         }
         self.accepted_jobs.insert(id.to_string(), tag.clone());
         if let Some((host, epoch, bucket, charge)) = tag.filter(|tag| !tag.0.is_empty()) {
             *self.spent.entry((host.clone(), epoch, bucket.clone())).or_default() += charge;
-            let (spent, ceiling) =
+            let (spent, granted) =
                 (self.spent(&host, epoch, &bucket), self.granted_total(&host, epoch, &bucket));
-            if spent > ceiling {
-                violations.push(format!("{host} spent {spent} of {ceiling} for {bucket} with {id}"));
+            if spent > granted {
+                violations.push(format!("{host} spent {spent} of {granted} granted for {bucket} with {id}"));
             }
         }
     }
 
     fn apply_job(&mut self, id: &str, value: Option<&Value>, violations: &mut Vec<String>) {
         let Some(record) = value else {
-            violations.push(format!("{id} is gone"));
+            violations.push(format!("the record of {id} was deleted"));
             return;
         };
         if !self.accepted_jobs.contains_key(id) {
@@ -124,7 +136,7 @@
         }
         let tag = tag_of(record);
         if tag != self.accepted_jobs[id] {
-            violations.push(format!("the tag of {id} changed"));
+            violations.push(format!("the credit tag of {id} changed"));
         }
         if record.get("spec").is_some() {
             self.open_charges.insert(id.to_string(), tag.map_or(0, |tag| tag.3));
@@ -140,7 +152,7 @@
         } else if let Some(host) = key.strip_prefix("dc/a/e/") {
             let epoch = record["e"].as_u64().unwrap_or(0);
             if self.epochs.get(host).is_some_and(|last| *last >= epoch) {
-                violations.push(format!("the epoch of {host} fell to {epoch}"));
+                violations.push(format!("the credit epoch of {host} did not rise: {epoch}"));
             }
             self.epochs.insert(host.to_string(), epoch);
         } else if let Some(host) = key.strip_prefix("dc/n/") {
@@ -154,7 +166,7 @@
             self.apply_grants(&record);
         } else if key == "dc/a/p" {
             self.limit = record["l"].as_u64().unwrap_or(0);
-            self.credit_required = record["on"].as_bool().unwrap_or(false);
+            self.policy_requires_credit = record["on"].as_bool().unwrap_or(false);
         } else if key == "dc/a/s" {
             let jobs = record.as_object().into_iter().flatten();
             self.reservations =
@@ -163,8 +175,8 @@
     }
 }
 
-/// Replays the history. At every revision, what is outstanding and out as credit stays
-/// within the limit; where the limit has fallen below it, it does not grow.
+/// Replays the history. At every revision with credit required, outstanding work and unspent credit
+/// together must be within the limit; if the limit has been lowered below them, they must not grow.
 pub fn check_history(state: &FakeState) -> CheckResult {
     let history = state.history("dc/");
     let mut admission = AdmissionState::default();
@@ -180,7 +192,9 @@
         }
         let total = admission.outstanding() + admission.unspent_credit();
         if admission.requires_credit() && total > admission.limit && total > previous_total {
-            result.violations.push(format!("{total} of {} at revision {revision}", admission.limit));
+            result
+                .violations
+                .push(format!("{total} in use of a limit of {} at revision {revision}", admission.limit));
         }
         if admission.requires_credit() && admission.limit > 0 {
             result.peak_use = result.peak_use.max(total as f64 / admission.limit as f64);
--- a/crates/dapplecroft-controller/tests/stories/overload.rs
+++ b/crates/dapplecroft-controller/tests/stories/overload.rs
@@ -1,4 +1,5 @@
-//! Users that ask for more than can be done, and come back as they are told.
+//! A cluster with admission control, and users that submit more work than its limit allows and retry
+//! as the Retry-After header tells them.
 
 use crate::cluster::{Cluster, job};
 use crate::credit_checker::{self, CheckResult};
@@ -12,46 +13,48 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// What each task is charged, in processor-seconds: 4 processors for 10 s.
+/// Charge of each task in CPU-seconds: 4 CPUs for 10 s.
 pub const TASK_CPU_S: u64 = 40;
-/// How long a user tries.
+/// How long a user retries one submission before giving up.
 const USER_RETRY_PERIOD: Duration = Duration::from_secs(60);
-/// How long a user waits for an answer.
+/// How long a user waits for the reply to one request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What users were told.
+/// Replies that the users of one test received.
 #[derive(Debug, Default)]
 pub struct UserAnswers {
-    /// When each job was accepted, by id.
+    /// When the user of each accepted job received the acceptance, by job id.
     pub accepted: BTreeMap<String, Instant>,
-    /// How often each status was answered.
+    /// Number of replies by HTTP status.
     pub status_counts: BTreeMap<u16, usize>,
-    /// The hints of refusals, in seconds.
+    /// Values of the Retry-After header, in seconds.
     pub retry_after_s: Vec<u32>,
-    /// The longest time that an answer took.
+    /// Longest time between a request and its reply.
     pub slowest_answer: Duration,
 }
 
+/// A cluster under test and the simulated users that submit jobs to it.
 pub struct OverloadTest {
     pub cluster: Arc<Cluster>,
     pub answers: Arc<Mutex<UserAnswers>>,
     users: Mutex<Vec<JoinHandle<()>>>,
-    /// The name of a team.
+    /// Name of the first configured team; [`OverloadTest::assert_limit_recovered`] submits as this team.
     first_team: String,
 }
 
-/// Operators' settings with a limit of so many processor-seconds.
+/// Controller options that switch on admission control with a limit in CPU-seconds.
 pub fn options_with_limit(limit: u64) -> Options {
     let admission = RawAdmission { limit_cpu_s: Some(limit), ..RawAdmission::default() };
     Options { admission: Some(admission), ..Options::default() }
 }
 
-/// A job of the shape that the stories' users submit.
+/// Body of a submission: tasks of 4 CPUs at normal rank.
 pub fn job_body(id: &str, team: &str, tasks: u32) -> Value {
     job(id, team, tasks, 4.0, "normal")
 }
 
-/// Whom users find when they connect: each time another controller that is up.
+/// Sends one submission. Each attempt goes to the next of the running controllers. Returns the HTTP
+/// status and the Retry-After value, or `None` if no controller is running or none replies in time.
 async fn submit_once(cluster: &Cluster, body: &Value, attempt: usize) -> Option<(u16, Option<u32>)> {
     let up: Vec<usize> = (0..cluster.nodes).filter(|n| cluster.is_up(*n)).collect();
     let n = *up.get(attempt % up.len().max(1))?;
@@ -62,7 +65,8 @@
     Some((reply.status, reply.retry_after))
 }
 
-/// One user's attempts at one job.
+/// Submits one job again and again until a controller accepts it or [`USER_RETRY_PERIOD`] is over. Waits
+/// between attempts as the Retry-After header says, for 1 to 30 s.
 async fn submit_until_accepted(
     cluster: Arc<Cluster>,
     answers: Arc<Mutex<UserAnswers>>,
@@ -95,11 +99,13 @@
 }
 
 impl OverloadTest {
-    /// So many controllers and machines, four teams of equal weight, and a limit.
+    /// Starts `nodes` controllers, with a cloud of up to `machines` machines and four teams of
+    /// equal weight.
     pub async fn start(nodes: usize, machines: usize, options: Options) -> OverloadTest {
         OverloadTest::start_prepared(nodes, machines, options, |_| {}).await
     }
 
+    /// Like [`OverloadTest::start`], but calls `prepare` before the controllers start.
     pub async fn start_prepared(
         nodes: usize,
         machines: usize,
@@ -111,6 +117,7 @@
         OverloadTest::start_with_teams(nodes, machines, options, teams, prepare).await
     }
 
+    /// Like [`OverloadTest::start_prepared`], with the given teams.
     pub async fn start_with_teams(
         nodes: usize,
         machines: usize,
@@ -121,7 +128,8 @@
         OverloadTest::start_with_platform(nodes, machines, options, json!({"teams": teams}), prepare).await
     }
 
-    /// The same with whatever the platform says.
+    /// Like [`OverloadTest::start_with_teams`], with teams, objectives and state service limits
+    /// from `platform`.
     pub async fn start_with_platform(
         nodes: usize,
         machines: usize,
@@ -139,21 +147,22 @@
         }
     }
 
-    /// Waits until credit is demanded.
+    /// Waits until the leader requires credit for submissions.
     pub async fn until_credit_required(&self) {
-        self.cluster.until("credit is demanded", || self.is_credit_required()).await;
+        self.cluster.until("credit is required for submissions", || self.is_credit_required()).await;
     }
 
+    /// Whether the policy record in the state service requires credit for submissions.
     pub fn is_credit_required(&self) -> bool {
         self.cluster.state.value("dc/a/p").is_some_and(|policy| policy["on"] == true)
     }
 
-    /// A user begins to submit a job.
+    /// Starts a user that submits a job with this number of tasks.
     pub fn spawn_user(&self, id: &str, team: &str, tasks: u32) {
         self.spawn_user_with_body(job_body(id, team, tasks));
     }
 
-    /// A user begins to submit what is given.
+    /// Starts a user that submits the job in `body`.
     pub fn spawn_user_with_body(&self, body: Value) {
         let id = body["id"].as_str().unwrap();
         self.cluster.referee.job(id, body["crew"].as_str().unwrap(), 4.0);
@@ -162,8 +171,8 @@
         self.users.lock().unwrap().push(tokio::spawn(work));
     }
 
-    /// A team's users submit jobs of one task at even intervals for some time; ids begin
-    /// with `run-` and the number.
+    /// Starts a user with a job of one task at every `interval` for `duration`. Returns the job
+    /// ids: `run-` and a number, counted from a million times `id_base`.
     pub async fn flood(
         &self,
         id_base: u64,
@@ -182,13 +191,13 @@
         ids
     }
 
-    /// How many of these jobs were accepted.
+    /// How many of these jobs were accepted according to their users.
     pub fn accepted_count(&self, ids: &[String]) -> usize {
         let answers = self.answers.lock().unwrap();
         ids.iter().filter(|id| answers.accepted.contains_key(*id)).count()
     }
 
-    /// All users have given up or were accepted.
+    /// Waits until every user has had its job accepted or has given up.
     pub async fn until_users_finished(&self) {
         let users: Vec<JoinHandle<()>> = self.users.lock().unwrap().drain(..).collect();
         for user in users {
@@ -196,8 +205,8 @@
         }
     }
 
-    /// The history is as it has to be, and every job that a user was told to be accepted
-    /// has a record.
+    /// Checks that the history of the state service breaks no rule of admission control, that every job
+    /// reported as accepted has a record, and that the invariants of the cluster hold.
     pub fn assert_rules_kept(&self) -> CheckResult {
         let result = credit_checker::check_history(&self.cluster.state);
         assert_eq!(result.violations, Vec::<String>::new());
@@ -208,7 +217,8 @@
         result
     }
 
-    /// All accepted work ends; then nearly all of the limit can be accepted again.
+    /// Waits until all accepted work has ended, then submits twice the limit and waits until nine
+    /// tenths of the limit are in use: credit that a fault had leaked would be missing.
     pub async fn assert_limit_recovered(&self) -> CheckResult {
         self.until_users_finished().await;
         let jobs: Vec<String> = self.answers.lock().unwrap().accepted.keys().cloned().collect();
@@ -216,7 +226,7 @@
             self.cluster.until_stage(id, "done").await;
         }
         let all_ended = || credit_checker::check_history(&self.cluster.state).outstanding == 0;
-        self.cluster.until("all work is over", all_ended).await;
+        self.cluster.until("all accepted work has ended", all_ended).await;
         let recovered = credit_checker::check_history(&self.cluster.state);
         let submission_period =
             Duration::from_millis(20) * u32::try_from(2 * recovered.limit / TASK_CPU_S).unwrap();
@@ -224,7 +234,7 @@
         let limit_in_use = || {
             credit_checker::check_history(&self.cluster.state).last_full_revision > recovered.last_revision
         };
-        self.cluster.until("nearly all of the limit is in use again", limit_in_use).await;
+        self.cluster.until("nine tenths of the limit are in use again", limit_in_use).await;
         self.assert_rules_kept()
     }
 }
--- a/crates/dapplecroft-controller/tests/stories/overload_hour.rs
+++ b/crates/dapplecroft-controller/tests/stories/overload_hour.rs
@@ -1,5 +1,5 @@
-//! A long overload of eight teams with unequal weights, while controllers end and the
-//! leader is cut off; what each team got of it.
+//! A long overload by eight teams of unequal weights, while controllers are killed and the leader
+//! is cut off from the state service. Measures how much of its fair share each team gets.
 
 use crate::credit_checker::CheckResult;
 use crate::overload::{OverloadTest, TASK_CPU_S, job_body, options_with_limit};
@@ -10,41 +10,53 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Weights, as guaranteed processors.
+/// Weights of the teams, set as their guaranteed CPUs.
 const TEAM_WEIGHTS: [f64; 8] = [4.0, 4.0, 4.0, 4.0, 8.0, 8.0, 16.0, 16.0];
-/// How much of its fair share each team offers: the first floods, the last is modest.
+/// Work that each team submits, as a multiple of its weighted share of the capacity. The first team
+/// floods the cluster, the last submits less than its share.
 const OFFERED_FAIR_SHARES: [f64; 8] = [10.0, 2.0, 2.0, 2.0, 2.0, 2.0, 2.0, 0.5];
 const TASKS_PER_JOB: u32 = 2;
 const MACHINES: usize = 16;
-/// Jobs that the machines do a second: four tasks a machine, for 10 s each.
+/// Jobs that the machines complete per second: each machine runs four tasks at a time, for 10 s each.
 const CAPACITY_JOBS_PER_S: f64 = MACHINES as f64 * 4.0 / 10.0 / TASKS_PER_JOB as f64;
-/// The limit is worked off in so many seconds.
+/// Time in which the machines complete as much work as the limit allows.
 const LIMIT_WORK_OFF_S: f64 = 60.0;
+/// Length of the windows in which the least share of a team is measured.
 const FAIRNESS_WINDOW: Duration = Duration::from_secs(300);
 const CONTROLLERS: usize = 3;
 
-/// What one team got.
+/// Acceptances of one team.
 #[derive(Debug, Clone)]
 pub struct TeamReport {
     pub team: String,
+    /// Number of jobs submitted.
     pub offered: usize,
+    /// Number of jobs that would be accepted with max-min fairness by weight.
     pub fair_share: f64,
+    /// Number of jobs accepted.
     pub accepted: usize,
-    /// The longest time without an accepted job.
+    /// Longest time without an accepted job.
     pub longest_gap: Duration,
-    /// The least part of its fair share that it got in any five minutes.
+    /// Smallest fraction of its fair share that the team got in any [`FAIRNESS_WINDOW`].
     pub worst_window_share: f64,
 }
 
+/// Outcome of one run.
 #[derive(Debug)]
 pub struct Report {
     pub teams: Vec<TeamReport>,
     pub result: CheckResult,
+    /// Number of replies that users received.
     pub requests: usize,
+    /// Number of replies with status 429.
     pub refused: usize,
+    /// Number of puts and deletes requested from the state service, including those that failed.
     pub state_changes: u64,
+    /// Number of committed changes of admission control records.
     pub credit_changes: usize,
+    /// How often a controller was killed.
     pub controller_kills: usize,
+    /// How often the leader was cut off from the state service.
     pub leader_cuts: usize,
 }
 
@@ -52,8 +64,8 @@
     format!("team-{n}")
 }
 
-/// Fair shares of a total by progressive filling in small steps; shares no code with the
-/// crate that is measured.
+/// Max-min fair shares of a total by weight, by progressive filling in small steps. Shares no code
+/// with the crate under test.
 fn fair_shares(total: f64, offered: &[f64]) -> Vec<f64> {
     let mut shares = vec![0.0; offered.len()];
     let step = total / 100_000.0;
@@ -72,7 +84,8 @@
     shares
 }
 
-/// One team's users, each with a job of its own, at about even intervals.
+/// Starts users of one team for `duration`, each with its own job, at random intervals around the
+/// mean that [`OFFERED_FAIR_SHARES`] gives.
 async fn submit_for_team(test: &OverloadTest, n: usize, duration: Duration, seed: u64) -> Vec<String> {
     let fair = CAPACITY_JOBS_PER_S * TEAM_WEIGHTS[n] / TEAM_WEIGHTS.iter().sum::<f64>();
     let mean_interval_s = 1.0 / (fair * OFFERED_FAIR_SHARES[n]);
@@ -88,7 +101,8 @@
     ids
 }
 
-/// Ends controllers, and cuts the leader off from the state service, again and again.
+/// Repeatedly kills a random controller or cuts the leader off from the state service. Returns how
+/// often it did each.
 async fn inject_faults(test: &OverloadTest, duration: Duration, seed: u64) -> (usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
     let started = Instant::now();
@@ -112,6 +126,7 @@
     (controller_kills, leader_cuts)
 }
 
+/// Computes the report of team `n` from the acceptances within `duration`.
 fn team_report(
     test: &OverloadTest,
     n: usize,
@@ -145,7 +160,7 @@
     }
 }
 
-/// So long an overload, with admission control or without.
+/// Runs an overload of the given duration, with admission control or without.
 pub async fn run_overload(seed: u64, duration: Duration, with_admission: bool) -> Report {
     let limit = (CAPACITY_JOBS_PER_S * LIMIT_WORK_OFF_S) as u64 * TASK_CPU_S * u64::from(TASKS_PER_JOB);
     let options = if with_admission { options_with_limit(limit) } else { Options::default() };
@@ -185,12 +200,12 @@
     Report { teams, result, requests, refused, state_changes, credit_changes, controller_kills, leader_cuts }
 }
 
-/// One line for each team, and one for the whole.
+/// Prints one line per team and one for the whole run.
 pub fn print_report(report: &Report) {
     for team in &report.teams {
         println!(
-            "{}: offered {}, fair share {:.0}, accepted {} ({:.2} of it), longest without {:.0} s, worst five \
-             minutes {:.2}",
+            "{}: offered {}, fair share {:.0}, accepted {} ({:.2} of it), longest gap {:.0} s, worst five \
+             minutes {:.2} of the fair share",
             team.team,
             team.offered,
             team.fair_share,
@@ -201,8 +216,8 @@
         );
     }
     println!(
-        "{} requests, {} refused with 429; {} changes tried, {} of them of credit; {} ends, {} cuts; at most {:.3} \
-         of the limit; {} accepted, {} outstanding at the end",
+        "{} requests, {} refused with 429; {} changes requested, {} of admission control made; {} controllers \
+         killed, {} leader cut-offs; at most {:.3} of the limit; {} accepted, {} outstanding at the end",
         report.requests,
         report.refused,
         report.state_changes,
