--- a/crates/dapplecroft-controller/examples/admission_hour.rs
+++ b/crates/dapplecroft-controller/examples/admission_hour.rs
@@ -1,7 +1,9 @@
-//! An hour of overload, on stand-ins and their stopped clock: what each of eight teams is
-//! accepted of what it offers. Not a part of CI.
+//! Simulates an hour of overload and prints how many of its submissions each of eight teams
+//! had accepted. It runs on the in-memory stand-ins and their paused clock. CI does not run it.
 //!
 //!     cargo run --release -p dapplecroft-controller --example admission_hour -- SEED [SECONDS] [without]
+//!
+//! SECONDS is the simulated time (default: 3600); `without` switches admission control off.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,10 +28,10 @@
     let seed = arguments.first().and_then(|text| text.parse().ok()).unwrap_or(1);
     let seconds = arguments.get(1).and_then(|text| text.parse().ok()).unwrap_or(3600);
     let with_admission = arguments.get(2).is_none_or(|word| word != "without");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     tokio::time::pause();
-    let report = overload_hour::overload(seed, Duration::from_secs(seconds), with_admission).await;
+    let report = overload_hour::run_overload(seed, Duration::from_secs(seconds), with_admission).await;
     println!("seed {seed}, {seconds} s, admission {}", if with_admission { "on" } else { "off" });
-    overload_hour::print(&report);
-    println!("{:.1} s of real time", begun.elapsed().as_secs_f64());
+    overload_hour::print_report(&report);
+    println!("{:.1} s of real time", started_at.elapsed().as_secs_f64());
 }
--- a/crates/dapplecroft-fakes/src/worker/heartbeat.rs
+++ b/crates/dapplecroft-fakes/src/worker/heartbeat.rs
@@ -1,4 +1,5 @@
-//! The worker's heartbeat: it sends its status and takes the orders in the answer.
+//! The worker agent's heartbeat: sends the agent's status to a controller and
+//! executes the commands in the response.
 
 use super::FakeWorker;
 use dapplecroft_net::Request;
@@ -7,16 +8,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Wait before each heartbeat goes out, so that changes close together
-/// travel in one heartbeat.
+/// Delay before each heartbeat, so that changes in quick succession are sent in
+/// one heartbeat.
 const HEARTBEAT_BATCH_DELAY: Duration = Duration::from_millis(300);
-/// A heartbeat unanswered this long counts as lost.
+/// How long the agent waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Back-off before the agent tries the next controller.
+/// Backoff before the agent tries the next controller.
 const NEXT_CONTROLLER_BACKOFF: Duration = Duration::from_secs(1);
 
 impl FakeWorker {
-    /// A heartbeat with the agent's status as of now.
+    /// Returns a heartbeat with the agent's current status and the next sequence number.
     pub fn report(&self) -> Heartbeat {
         let mut inner = self.inner.lock().unwrap();
         inner.sequence += 1;
@@ -46,63 +47,67 @@
         }
     }
 
+    /// Sends a heartbeat at each interval, and earlier when the status has changed.
+    /// A response renews the lease from the moment at which the heartbeat was sent.
     pub(super) async fn heartbeat_loop(&self) {
         loop {
-            let _ = timeout(self.timing.report, self.changed.notified()).await;
+            let _ = timeout(self.timing.report, self.status_changed.notified()).await;
             sleep(HEARTBEAT_BATCH_DELAY).await;
             self.wait_while_hung().await;
             self.expire_lease_if_due();
-            let sent = Instant::now();
-            let report = self.report();
+            let sent_at = Instant::now();
+            let heartbeat = self.report();
             let heartbeat_target = self.inner.lock().unwrap().heartbeat_target;
-            let (_, address) = &self.nodes[heartbeat_target % self.nodes.len()];
+            let (_, address) = &self.controllers[heartbeat_target % self.controllers.len()];
             let request = Request {
                 address: address.clone(),
                 method: Method::POST,
                 path: "/hello".into(),
-                body: serde_json::to_vec(&report).unwrap().into(),
+                body: serde_json::to_vec(&heartbeat).unwrap().into(),
                 timeout: HEARTBEAT_TIMEOUT,
                 to_worker: false,
             };
-            let answer = self.port.send(request).await;
+            let answer = self.transport.send(request).await;
             self.wait_while_hung().await;
-            // If it hung meanwhile, an answer as late as that counts for nothing.
-            let answer = answer.ok().filter(|_| sent.elapsed() < HEARTBEAT_TIMEOUT);
+            // If the machine hung meanwhile, the response may be older than the timeout and
+            // must be ignored like one that never arrived.
+            let answer = answer.ok().filter(|_| sent_at.elapsed() < HEARTBEAT_TIMEOUT);
             self.expire_lease_if_due();
             match answer {
                 Some(r) if r.status == 200 => {
                     let commands: HeartbeatReply = serde_json::from_slice(&r.body).unwrap();
                     let mut inner = self.inner.lock().unwrap();
-                    if commands.token >= inner.fencing_token && report.session == inner.epoch {
+                    if commands.token >= inner.fencing_token && heartbeat.session == inner.epoch {
                         if commands.token > inner.fencing_token {
-                            self.changed.notify_one();
+                            self.status_changed.notify_one();
                         }
                         inner.fencing_token = commands.token;
-                        inner.lease_renewed_at = sent;
+                        inner.lease_renewed_at = sent_at;
                         self.execute_commands(&mut inner, &commands.commands);
                     }
                 }
                 Some(r) if r.status == 421 => {
                     let redirect: Redirect = serde_json::from_slice(&r.body).unwrap_or_default();
-                    let named = redirect
+                    let redirect_target = redirect
                         .report_to
-                        .and_then(|host| self.nodes.iter().position(|(name, _)| *name == host));
-                    match named.filter(|n| *n != heartbeat_target) {
+                        .and_then(|host| self.controllers.iter().position(|(name, _)| *name == host));
+                    match redirect_target.filter(|n| *n != heartbeat_target) {
                         Some(n) => {
                             self.inner.lock().unwrap().heartbeat_target = n;
-                            self.changed.notify_one();
+                            self.status_changed.notify_one();
                         }
-                        None => self.try_next_node(heartbeat_target).await,
+                        None => self.try_next_controller(heartbeat_target).await,
                     }
                 }
-                _ => self.try_next_node(heartbeat_target).await,
+                _ => self.try_next_controller(heartbeat_target).await,
             }
         }
     }
 
-    async fn try_next_node(&self, heartbeat_target: usize) {
+    /// After a backoff, makes the agent report to the next controller in its list.
+    async fn try_next_controller(&self, heartbeat_target: usize) {
         sleep(NEXT_CONTROLLER_BACKOFF).await;
-        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.nodes.len();
-        self.changed.notify_one();
+        self.inner.lock().unwrap().heartbeat_target = (heartbeat_target + 1) % self.controllers.len();
+        self.status_changed.notify_one();
     }
 }
