--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -372,13 +372,13 @@
     }
 
     /// Remembers a machine that sends heartbeats and that no record names.
-    pub(super) fn handle_unrecorded_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
-        let id: Arc<str> = report.machine.as_str().into();
+    pub(super) fn handle_unrecorded_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
+        let id: Arc<str> = heartbeat.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
-        machine.machine_type.clone_from(&report.machine_type);
-        machine.zone.clone_from(&report.zone);
-        machine.spot = report.spot;
-        machine.address = Some(report.address.clone());
+        machine.machine_type.clone_from(&heartbeat.machine_type);
+        machine.zone.clone_from(&heartbeat.zone);
+        machine.spot = heartbeat.spot;
+        machine.address = Some(heartbeat.address.clone());
         self.fleet.unrecorded_machines.insert(id, machine);
         self.wakeups.fleet = true;
     }
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -72,22 +72,22 @@
     }
 
     /// Applies a heartbeat and answers it.
-    pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: Instant) -> HeartbeatOutcome {
-        let head = HeartbeatHead { machine: report.machine.clone(), token: report.token };
+    pub fn handle_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> HeartbeatOutcome {
+        let head = HeartbeatHead { machine: heartbeat.machine.clone(), token: heartbeat.token };
         if let Some(answer) = self.reject_or_redirect(&head, now) {
             return answer;
         }
-        let id = report.machine.as_str();
+        let id = heartbeat.machine.as_str();
         let shard = self.machines.get(id).filter(|m| m.group.is_some()).map(|m| m.shard);
         let Some(shard_lease) = shard.and_then(|shard| self.active_lease(shard, now)) else {
-            self.handle_unrecorded_heartbeat(report, now);
+            self.handle_unrecorded_heartbeat(heartbeat, now);
             return self.redirect_to_leader();
         };
-        self.apply_heartbeat(report, now);
+        self.apply_heartbeat(heartbeat, now);
         let Some(machine) = self.machines.get(id) else { return HeartbeatOutcome::Unavailable };
         let token = machine.token(shard_lease.epoch);
         // Only the worker's newest message gets commands; delayed or repeated ones get none.
-        let newest = (machine.session, machine.sequence) == (report.session, report.sequence);
+        let newest = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence);
         let commands = if newest { self.pending_commands(id, true, now) } else { Vec::new() };
         self.record_sent_commands(id, &commands, token);
         HeartbeatOutcome::Reply(HeartbeatReply { token, commands })
@@ -95,45 +95,45 @@
 
     /// Updates the machine and its tasks from a worker's report, whether it came as a heartbeat or in
     /// answer to a probe or to commands. Reports no newer than the last one are ignored.
-    pub fn apply_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
-        let Some(machine) = self.machines.get_mut(report.machine.as_str()) else { return };
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
+        let Some(machine) = self.machines.get_mut(heartbeat.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
         if self.released_machines.contains_key(&machine.id)
-            || (report.session, report.sequence) <= (machine.session, machine.sequence)
+            || (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence)
         {
             return;
         }
         let first = machine.last_heartbeat.is_none();
         // `commanding` is kept even if the session is new: `clear` must wait until no direct command
         // can still be in flight.
-        machine.session = report.session;
-        machine.sequence = report.sequence;
-        machine.seen_token = report.token;
+        machine.session = heartbeat.session;
+        machine.sequence = heartbeat.sequence;
+        machine.seen_token = heartbeat.token;
         machine.last_heartbeat = Some(now);
         machine.missed_probes = 0;
-        machine.machine_type.clone_from(&report.machine_type);
-        machine.zone.clone_from(&report.zone);
-        machine.spot = report.spot;
-        if machine.address.as_deref() != Some(report.address.as_str()) {
-            machine.address = Some(report.address.clone());
+        machine.machine_type.clone_from(&heartbeat.machine_type);
+        machine.zone.clone_from(&heartbeat.zone);
+        machine.spot = heartbeat.spot;
+        if machine.address.as_deref() != Some(heartbeat.address.as_str()) {
+            machine.address = Some(heartbeat.address.clone());
             if let Some(group) = machine.group.as_ref().and_then(|g| self.groups.get_mut(g)) {
                 group.addresses_unrecorded = true;
             }
         }
-        let taken_at = report
+        let reclaim_at = heartbeat
             .notice_s
             .and_then(|s| Duration::try_from_secs_f64(s.clamp(0.0, 1e6)).ok())
             .map(|d| now + d);
-        let noticed = taken_at.is_some() && machine.reclaim_at.is_none();
-        machine.reclaim_at = taken_at;
+        let noticed = reclaim_at.is_some() && machine.reclaim_at.is_none();
+        machine.reclaim_at = reclaim_at;
         let mut tasks = BTreeMap::new();
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             match TaskId::parse(&task.task) {
                 Some(id) => {
                     tasks.insert(id, task.clone());
                 }
                 None => tracing::warn!(
-                    machine = report.machine,
+                    machine = heartbeat.machine,
                     task = task.task,
                     "worker reported a task with an invalid id"
                 ),
@@ -181,11 +181,11 @@
                 continue;
             }
             match machine.reported.get(task).filter(|r| r.attempt == placed.attempt) {
-                Some(report) if report.state == TaskState::Exited => {
-                    let why = report.why.unwrap_or(ExitReason::Other);
+                Some(status) if status.state == TaskState::Exited => {
+                    let why = status.why.unwrap_or(ExitReason::Other);
                     exits.push((task.clone(), placed.attempt, Some(why)));
                 }
-                Some(report) if report.state == TaskState::Running => {
+                Some(status) if status.state == TaskState::Running => {
                     if placed.running_since.is_none() {
                         let fetched = now.saturating_duration_since(placed.learned_at);
                         tracing::debug!(%task, class = job.spec.class, machine = &**id, ?fetched, "running");
@@ -206,7 +206,7 @@
                 None => {}
             }
         }
-        let ran: Vec<String> = machine
+        let running_images: Vec<String> = machine
             .reported
             .iter()
             .filter(|(_, r)| r.state == TaskState::Running)
@@ -215,11 +215,11 @@
         // A task that runs on this machine without a record must end here before it may run elsewhere.
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get_mut(id) else { return };
-        for image in ran {
+        for image in running_images {
             machine.record_image(image, true);
         }
-        for (task, report) in &machine.reported {
-            if report.state != TaskState::Exited && !machine.tasks.contains(task) {
+        for (task, status) in &machine.reported {
+            if status.state != TaskState::Exited && !machine.tasks.contains(task) {
                 self.unexpected_tasks.insert(task.clone(), id.clone());
             }
         }
@@ -319,8 +319,8 @@
     /// asked to stop, so that they continue elsewhere.
     fn handle_reclaim_notice(&mut self, id: &Arc<str>, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
-        let Some(taken_at) = machine.reclaim_at else { return };
-        let left = taken_at.saturating_duration_since(now);
+        let Some(reclaim_at) = machine.reclaim_at else { return };
+        let left = reclaim_at.saturating_duration_since(now);
         tracing::info!(
             machine = &**id,
             ?left,
@@ -364,19 +364,19 @@
         };
         let synced = machine.is_synced(shard_lease.epoch);
         let mut commands = Vec::new();
-        for (task, report) in &machine.reported {
+        for (task, status) in &machine.reported {
             let committed = self
                 .open_job(&task.job)
                 .and_then(|j| j.placed.get(&task.index))
-                .filter(|p| p.committed && *p.machine == *id && p.attempt == report.attempt);
-            match (committed, report.state) {
+                .filter(|p| p.committed && *p.machine == *id && p.attempt == status.attempt);
+            match (committed, status.state) {
                 (None, TaskState::Exited) if in_reply && synced && !machine.command_in_flight => {
-                    commands.push(Command::Clear { task: report.task.clone(), attempt: report.attempt });
+                    commands.push(Command::Clear { task: status.task.clone(), attempt: status.attempt });
                 }
                 (None, TaskState::Exited) => {}
                 (None, _) => commands.push(Command::Kill {
-                    task: report.task.clone(),
-                    attempt: report.attempt,
+                    task: status.task.clone(),
+                    attempt: status.attempt,
                     grace_s: 0.0,
                 }),
                 (Some(placed), state) if state != TaskState::Exited => {
@@ -389,8 +389,8 @@
                         let grace =
                             if stop == StopReason::JobCancelled { Duration::ZERO } else { placed.grace };
                         commands.push(Command::Kill {
-                            task: report.task.clone(),
-                            attempt: report.attempt,
+                            task: status.task.clone(),
+                            attempt: status.attempt,
                             grace_s: grace.as_secs_f64(),
                         });
                     }
@@ -477,12 +477,12 @@
         }
         machine.command_in_flight = false;
         match outcome {
-            CommandOutcome::Answered(report) => {
+            CommandOutcome::Answered(heartbeat) => {
                 // The worker has seen a newer token and refused: whoever holds that token commands it.
                 machine.commands_paused_until =
-                    (report.token > sent.token).then(|| now + Duration::from_secs(1));
-                if report.machine == *id {
-                    self.apply_heartbeat(report, now);
+                    (heartbeat.token > sent.token).then(|| now + Duration::from_secs(1));
+                if heartbeat.machine == *id {
+                    self.apply_heartbeat(heartbeat, now);
                 }
             }
             CommandOutcome::NotDelivered => {
--- a/crates/dapplecroft-controller/src/core/session/tests.rs
+++ b/crates/dapplecroft-controller/src/core/session/tests.rs
@@ -26,9 +26,9 @@
     machine.session = 1;
     machine.seen_token = machine.token(1);
     machine.reclaim_at = Some(now);
-    let report =
+    let status =
         TaskStatus { task: "run-1/0".into(), attempt: 1, state: TaskState::Saving, why: None, saved: None };
-    machine.reported.insert(task, report);
+    machine.reported.insert(task, status);
     core
 }
 
--- a/crates/dapplecroft-controller/src/jobs.rs
+++ b/crates/dapplecroft-controller/src/jobs.rs
@@ -387,7 +387,7 @@
     pub fn status(&self, id: &str) -> JobStatus {
         let running = self.placed.values().filter(|p| p.committed).count() as u32;
         let stage = match self.record.stage {
-            JobStage::Cancelled => Stage::Withdrawn,
+            JobStage::Cancelled => Stage::Cancelled,
             JobStage::Done => Stage::Done,
             JobStage::Open | JobStage::Hosted | JobStage::Away if running > 0 => Stage::Running,
             JobStage::Open | JobStage::Hosted | JobStage::Away => Stage::Queued,
@@ -408,7 +408,7 @@
             Job::Away(job) => job.status(id),
             Job::Final { stage, done } => JobStatus {
                 id: id.to_string(),
-                stage: if *stage == JobStage::Done { Stage::Done } else { Stage::Withdrawn },
+                stage: if *stage == JobStage::Done { Stage::Done } else { Stage::Cancelled },
                 done: Some(*done),
                 running: Some(0),
             },
--- a/crates/dapplecroft-controller/src/loops/fleet.rs
+++ b/crates/dapplecroft-controller/src/loops/fleet.rs
@@ -116,11 +116,11 @@
 
     /// Asks a worker for its status and applies the answer like a heartbeat.
     async fn probe(&self, id: Arc<str>, address: String) {
-        let report = self.fetch_worker_status(&address).await;
-        self.with(|core| match report {
-            Some(report) if *report.machine == *id => {
+        let heartbeat = self.fetch_worker_status(&address).await;
+        self.with(|core| match heartbeat {
+            Some(heartbeat) if *heartbeat.machine == *id => {
                 core.probe_answered(&id);
-                core.apply_heartbeat(&report, now());
+                core.apply_heartbeat(&heartbeat, now());
             }
             _ => core.probe_missed(&id),
         });
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -220,27 +220,27 @@
             to_worker: true,
         };
         let result = self.transport.send(request).await;
-        let report: Option<Heartbeat> = match &result {
+        let heartbeat: Option<Heartbeat> = match &result {
             Ok(response) if response.status == 200 || response.status == 409 => {
                 serde_json::from_slice(&response.body).ok()
             }
             _ => None,
         };
-        if let (Ok(response), None) = (&result, &report) {
+        if let (Ok(response), None) = (&result, &heartbeat) {
             tracing::warn!(
                 machine = id,
                 status = response.status,
                 "a worker's reply to direct commands cannot be parsed"
             );
         }
-        let end = match (&result, &report) {
-            (Ok(_), Some(report)) => CommandOutcome::Answered(report),
+        let outcome = match (&result, &heartbeat) {
+            (Ok(_), Some(heartbeat)) => CommandOutcome::Answered(heartbeat),
             (Err(TransportError::NotSent(_)), _) => CommandOutcome::NotDelivered,
             (Ok(response), None) if response.status == 400 => CommandOutcome::NotDelivered,
             _ => CommandOutcome::Unknown,
         };
-        self.with(|core| core.direct_commands_finished(id, &commands, end, now()));
-        if !matches!(end, CommandOutcome::Answered(_)) {
+        self.with(|core| core.direct_commands_finished(id, &commands, outcome, now()));
+        if !matches!(outcome, CommandOutcome::Answered(_)) {
             // Retries after a pause, unless a heartbeat of the worker arrives first.
             sleep(Duration::from_secs(1)).await;
             self.with(|core| core.wakeups.command.insert(id.into()));
--- a/crates/dapplecroft-controller/src/node.rs
+++ b/crates/dapplecroft-controller/src/node.rs
@@ -307,14 +307,14 @@
         {
             return heartbeat_reply(answer);
         }
-        let report: Heartbeat = match serde_json::from_slice(body) {
-            Ok(report) => report,
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::warn!(%error, "heartbeat could not be parsed");
                 return Reply::problem(400, "unreadable report");
             }
         };
-        heartbeat_reply(self.with(|core| core.handle_heartbeat(&report, now())))
+        heartbeat_reply(self.with(|core| core.handle_heartbeat(&heartbeat, now())))
     }
 }
 
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -333,7 +333,7 @@
                 JobLookup::OtherCell => return other_cell_reply(),
                 JobLookup::Unavailable => return Reply::unavailable("state service out of reach", 1),
             };
-            if matches!(status.stage, Stage::Done | Stage::Withdrawn) {
+            if matches!(status.stage, Stage::Done | Stage::Cancelled) {
                 return Reply::json(200, &status);
             }
             if self.with(|core| core.host_cell_of(id).is_some()) {
--- a/crates/dapplecroft-wire/src/users.rs
+++ b/crates/dapplecroft-wire/src/users.rs
@@ -89,7 +89,8 @@
     /// All tasks completed.
     Done,
     /// The user cancelled the job.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// Response to a request about a job.
