--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -113,7 +113,7 @@
                 }
             }
             if let Some(segment_id) = segment_id {
-                let version = self.segments.get(&segment_id).map_or(0, |l| l.version);
+                let version = self.segments.get(&segment_id).map_or(0, |segment| segment.version);
                 let entry = parts.entry(segment_id).or_insert_with(|| BlockRoom {
                     block: segment_id.shard,
                     version,
@@ -134,13 +134,13 @@
     /// Stores another shard holder's report of freed room. A report is valid only for
     /// the version of the segment's record that it names, and for a short time.
     pub fn apply_room_reply(&mut self, reply: &RoomReply, now: Instant) {
-        for shard in &reply.blocks {
-            let segment_id = SegmentId { shard: shard.block, segment: shard.part };
-            let current = self.segments.get(&segment_id).map_or(0, |l| l.version);
-            if current != shard.version || self.is_holder(shard.block) {
+        for segment_room in &reply.blocks {
+            let segment_id = SegmentId { shard: segment_room.block, segment: segment_room.part };
+            let current = self.segments.get(&segment_id).map_or(0, |segment| segment.version);
+            if current != segment_room.version || self.is_holder(segment_room.block) {
                 continue;
             }
-            let freed = shard
+            let freed = segment_room
                 .freed
                 .iter()
                 .map(|f| {
@@ -157,7 +157,7 @@
     pub(super) fn current_room_hints(&self, shard: u32, now: Instant) -> Vec<&RoomHint> {
         let shard_segments = SegmentId::whole(shard)..=SegmentId::new(shard, u32::MAX);
         let fresh = |id: &SegmentId, hint: &RoomHint| {
-            let current = self.segments.get(id).map_or(0, |l| l.version);
+            let current = self.segments.get(id).map_or(0, |segment| segment.version);
             now.saturating_duration_since(hint.at) < ROOM_HINT_LIFETIME && hint.version == current
         };
         self.capacity_hints
@@ -250,15 +250,15 @@
             // the revocation.
             return;
         }
-        let Some(book) = self.teams.get(&job.spec.team) else { return };
-        let headroom = book.headroom(&job.requirements.resources);
-        let most = i64::try_from(round.max_tasks_of_job).unwrap_or(i64::MAX);
-        let mut left = i64::from(job.unallocated.len()).min(headroom).min(most);
+        let Some(team) = self.teams.get(&job.spec.team) else { return };
+        let headroom = team.headroom(&job.requirements.resources);
+        let max_tasks = i64::try_from(round.max_tasks_of_job).unwrap_or(i64::MAX);
+        let mut left = i64::from(job.unallocated.len()).min(headroom).min(max_tasks);
         if left <= 0 {
             return;
         }
         let requirements = job.requirements.clone();
-        let spare = job.failed_machines.is_empty();
+        let never_failed = job.failed_machines.is_empty();
         if round.lacks_room_for(None, &requirements) {
             return self.allocate_ahead(id, left, round, now);
         }
@@ -280,19 +280,19 @@
                 if own { shard_fit.startable.min(round.placements_left as i64) } else { shard_fit.startable };
             // A service's replicas are spread over at least two shards if several fit.
             let most = if service && several { most.min((wanted + 1) / 2) } else { most };
-            let n = left.min(most);
-            if n > 0 {
-                if !self.allocate_to(id, shard_fit.shard, n as u32, round, now) {
+            let count = left.min(most);
+            if count > 0 {
+                if !self.allocate_to(id, shard_fit.shard, count as u32, round, now) {
                     return;
                 }
-                left -= n;
+                left -= count;
                 if own {
                     self.place_in_shard(id, shard_fit.shard, round, now);
                 }
             }
         }
         if left > 0 && !constrained && round.placements_left > 0 {
-            if spare {
+            if never_failed {
                 round.without_room.push((None, requirements));
             }
             self.allocate_ahead(id, left, round, now);
@@ -389,11 +389,12 @@
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let allowed = types
             .filter(|t| job.requirements.machine_types.as_ref().is_none_or(|names| names.contains(&t.name)));
-        let on_one = allowed.map(|t| {
+        let tasks_per_machine = allowed.map(|t| {
             let capacity = Resources::new(t.cpus, t.gpus, t.memory_gb);
             job.requirements.resources.copies_that_fit(&capacity)
         });
-        let tasks_per_shard = on_one.max().unwrap_or(1).max(1) as u64 * self.max_shard_machines() as u64;
+        let tasks_per_shard =
+            tasks_per_machine.max().unwrap_or(1).max(1) as u64 * self.max_shard_machines() as u64;
         (u64::from(shard) * tasks_per_shard % u64::from(job.record.tasks)) as u32
     }
 
@@ -429,11 +430,11 @@
         {
             return;
         }
-        let Some(book) = self.teams.get(&job.spec.team) else { return };
+        let Some(team) = self.teams.get(&job.spec.team) else { return };
         // Tasks that wait in a shard count against the team's limit, so only half of
         // the headroom is used for them.
-        let unlimited = book.limit.cpus == 0 && book.limit.gpus == 0;
-        let left = if unlimited { left } else { left.min(book.headroom(&requirements.resources) / 2) };
+        let unlimited = team.limit.cpus == 0 && team.limit.gpus == 0;
+        let left = if unlimited { left } else { left.min(team.headroom(&requirements.resources) / 2) };
         let divisor = if urgent { URGENT_BACKLOG_DIVISOR } else { BACKLOG_DIVISOR };
         let sizes =
             if requirements.spot_allowed { &round.cpus_by_shard } else { &round.on_demand_cpus_by_shard };
--- a/crates/dapplecroft-controller/src/core/catalog.rs
+++ b/crates/dapplecroft-controller/src/core/catalog.rs
@@ -18,7 +18,7 @@
 /// Number of catalog records that is assumed when their size is checked. Every record contains
 /// the actual number, which is known only after the split and is expected to have no more
 /// digits.
-const ASSUMED_CATALOG_SEGMENTS: u32 = 1000;
+const ASSUMED_CATALOG_PAGES: u32 = 1000;
 
 impl Core {
     /// Replaces the catalog. Returns whether its records are missing or outdated. A change of
@@ -54,10 +54,10 @@
         if self.uses_legacy_layout() {
             return vec![set(records::CATALOG_KEY.into(), to_value(catalog))];
         }
-        let segments = catalog_segments(&catalog.machine_types, self.limits().value);
-        let numbered = (0..).zip(segments);
-        let changed = numbered.filter(|(number, segment)| self.catalog_pages.get(number) != Some(segment));
-        changed.map(|(number, segment)| set(records::catalog_key(number), to_value(&segment))).collect()
+        let pages = catalog_pages(&catalog.machine_types, self.limits().value);
+        let numbered = (0..).zip(pages);
+        let changed = numbered.filter(|(number, page)| self.catalog_pages.get(number) != Some(page));
+        changed.map(|(number, page)| set(records::catalog_key(number), to_value(&page))).collect()
     }
 
     /// Kinds of machine that can be rented now: every machine type in each of its zones, as
@@ -154,16 +154,16 @@
     /// services; `None` if enough exist or are on their way. It selects the ordinary kind with
     /// the shortest sum of the boot time and the time to fetch one gigabyte of an image.
     pub(super) fn standby_scale_out(&self, offers: &[MachineOffer]) -> Option<ScaleOutRequest> {
-        let ordinary_count = |capacity: &PendingCapacity| if capacity.spot { 0 } else { capacity.count };
-        let existing: i64 = self.pending_capacity().iter().map(ordinary_count).sum();
+        let on_demand_count = |capacity: &PendingCapacity| if capacity.spot { 0 } else { capacity.count };
+        let existing: i64 = self.pending_capacity().iter().map(on_demand_count).sum();
         let missing = (self.standby_target() as i64 - existing).max(0) as u32;
         let catalog = self.catalog.as_ref()?;
         let fetch_s_per_gb = |name: &str| {
             let machine_type = catalog.machine_types.iter().find(|t| t.name == name);
             1.0 / machine_type.map_or(0.0, |t| t.fetch_gb_per_s).max(0.001)
         };
-        let ordinary = offers.iter().enumerate().filter(|(_, o)| !o.spot);
-        let fastest = ordinary.min_by(|(_, a), (_, b)| {
+        let on_demand = offers.iter().enumerate().filter(|(_, o)| !o.spot);
+        let fastest = on_demand.min_by(|(_, a), (_, b)| {
             let ready_s = |o: &MachineOffer| o.boot_s + fetch_s_per_gb(&o.machine_type);
             ready_s(a).total_cmp(&ready_s(b))
         });
@@ -173,22 +173,22 @@
 
 /// Splits machine types into records that each fit into a value of `limit` bytes. A type that
 /// is too large for a record of its own is left out.
-fn catalog_segments(machine_types: &[MachineType], limit: usize) -> Vec<CatalogPage> {
+fn catalog_pages(machine_types: &[MachineType], limit: usize) -> Vec<CatalogPage> {
     let fits = |machine_types: &[MachineType]| {
-        let segment = CatalogPage { total: ASSUMED_CATALOG_SEGMENTS, machine_types: machine_types.to_vec() };
-        stored_size(&to_value(&segment)) <= limit
+        let page = CatalogPage { total: ASSUMED_CATALOG_PAGES, machine_types: machine_types.to_vec() };
+        stored_size(&to_value(&page)) <= limit
     };
-    let mut segments: Vec<Vec<MachineType>> = Vec::new();
+    let mut pages: Vec<Vec<MachineType>> = Vec::new();
     for machine_type in machine_types.iter().filter(|m| fits(std::slice::from_ref(m))) {
-        match segments.last_mut() {
+        match pages.last_mut() {
             Some(last) if fits(&[last.as_slice(), std::slice::from_ref(machine_type)].concat()) => {
                 last.push(machine_type.clone());
             }
-            _ => segments.push(vec![machine_type.clone()]),
+            _ => pages.push(vec![machine_type.clone()]),
         }
     }
-    let total = segments.len() as u32;
-    segments.into_iter().map(|machine_types| CatalogPage { total, machine_types }).collect()
+    let total = pages.len() as u32;
+    pages.into_iter().map(|machine_types| CatalogPage { total, machine_types }).collect()
 }
 
 #[cfg(test)]
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -311,7 +311,7 @@
             if outcome == CommitOutcome::NotCommitted {
                 self.queue_segment_commit(id, false);
             } else {
-                self.inherited_results.remove(&id);
+                self.inherited_history.remove(&id);
             }
         }
         self.recompute_pending_weight(id);
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -220,10 +220,10 @@
     }
 
     /// Refused work that waits for credit in a bucket, and work recently accepted per second.
-    fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
+    fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall_clock_s: f64, now: Instant) -> (u64, f64) {
         let Some(credit) = &mut self.credit else { return (0, 0.0) };
         let waiting = credit.demand.waiting_work(bucket, now);
-        let recent = credit.ledger.recent_work_of(bucket, wall);
+        let recent = credit.ledger.recent_work_of(bucket, wall_clock_s);
         (waiting, recent / dapplecroft_admission::ledger::RECENT_WORK_DECAY.as_secs_f64())
     }
 
--- a/crates/dapplecroft-controller/src/core/credit/leader.rs
+++ b/crates/dapplecroft-controller/src/core/credit/leader.rs
@@ -65,7 +65,7 @@
     pub fn credit_update(
         &mut self,
         replies: &BTreeMap<String, DemandReply>,
-        wall: f64,
+        wall_clock_s: f64,
         now: Instant,
     ) -> Option<AtomicUpdate> {
         let leader = self.leader_condition()?;
@@ -77,7 +77,7 @@
             all_support_admission: self.live_controllers.values().all(|live| live.admission),
             cpus_up: self.cpus_up(),
             now,
-            unix_time_s: wall,
+            unix_time_s: wall_clock_s,
             max_value_bytes: self.limits().value,
             max_changes: self.limits().changes,
         };
--- a/crates/dapplecroft-controller/src/core/credit/submission.rs
+++ b/crates/dapplecroft-controller/src/core/credit/submission.rs
@@ -38,14 +38,14 @@
         &mut self,
         spec: &JobSpec,
         random: f64,
-        wall: f64,
+        wall_clock_s: f64,
         now: Instant,
     ) -> AdmissionDecision {
         match self.admit(spec) {
             Ok(plan) => AdmissionDecision::Admitted(plan),
             Err(Refusal::NoEpoch) => AdmissionDecision::Refused(EPOCH_RETRY_AFTER),
             Err(Refusal::NoCredit) => {
-                AdmissionDecision::Refused(self.record_refusal(spec, random, wall, now))
+                AdmissionDecision::Refused(self.record_refusal(spec, random, wall_clock_s, now))
             }
         }
     }
@@ -100,14 +100,14 @@
     }
 
     /// Records the refused demand, for the leader's next grants, and returns the retry hint.
-    fn record_refusal(&mut self, spec: &JobSpec, random: f64, wall: f64, now: Instant) -> Duration {
+    fn record_refusal(&mut self, spec: &JobSpec, random: f64, wall_clock_s: f64, now: Instant) -> Duration {
         let charge = self.computed_charge(spec, self.min_charge());
         let bucket = self.bucket_of(spec);
         if let Some(credit) = &mut self.credit {
             credit.demand.record_refusal(&spec.id, &bucket, charge, now);
             credit.refused += 1;
         }
-        let (waiting, rate) = self.bucket_backlog_and_rate(&bucket, wall, now);
+        let (waiting, rate) = self.bucket_backlog_and_rate(&bucket, wall_clock_s, now);
         retry_after(waiting, rate, random)
     }
 
--- a/crates/dapplecroft-controller/src/core/drain.rs
+++ b/crates/dapplecroft-controller/src/core/drain.rs
@@ -60,7 +60,8 @@
         // Each check looks at one shard, in rotation.
         let next_shard = self.drain_state.next_shard;
         let held = &self.role.leased_shards;
-        let shard = held.range(next_shard..).next().or_else(|| held.iter().next()).map(|(b, _)| *b)?;
+        let shard =
+            held.range(next_shard..).next().or_else(|| held.iter().next()).map(|(shard, _)| *shard)?;
         self.drain_state.next_shard = shard + 1;
         let record = self.plan_drain(shard, now)?;
         let value = serde_json::to_value(&record).ok()?;
@@ -96,12 +97,15 @@
     /// Samples the highest booked share among the open machines of the leased shards,
     /// and drops samples older than the drain window.
     fn record_highest_booked_share(&mut self, now: Instant) {
-        let silence = self.max_heartbeat_age();
+        let max_heartbeat_age = self.max_heartbeat_age();
         let highest = self
             .machines
             .values()
             .filter(|m| {
-                self.role.leased_shards.get(&m.shard).is_some_and(|h| m.accepts_tasks(h.epoch, silence, now))
+                self.role
+                    .leased_shards
+                    .get(&m.shard)
+                    .is_some_and(|h| m.accepts_tasks(h.epoch, max_heartbeat_age, now))
             })
             .map(|m| m.booked.dominant_share_of(&m.capacity))
             .fold(0.0, f64::max);
@@ -153,34 +157,36 @@
             return None;
         }
         let task_requirements: Vec<TaskRequirements> = waiting.iter().map(|(_, n)| n.clone()).collect();
-        let mut slots: Vec<MachineSnapshot> = Vec::new();
+        let mut snapshots: Vec<MachineSnapshot> = Vec::new();
         let mut tasks: Vec<TaskId> = Vec::new();
-        let mut residents: Vec<PlacedTask> = Vec::new();
+        let mut placed_tasks: Vec<PlacedTask> = Vec::new();
         for machine in self.machines.values().filter(|m| m.shard == shard) {
-            for (task, resident) in self.residents(machine, slots.len(), self.options.drain_interval, now) {
+            for (task, placed_task) in
+                self.placed_tasks_on(machine, snapshots.len(), self.options.drain_interval, now)
+            {
                 tasks.push(task);
-                residents.push(resident);
+                placed_tasks.push(placed_task);
             }
-            slots.push(self.slot(machine, now));
+            snapshots.push(self.machine_snapshot(machine, now));
         }
-        let rules = RepackLimits {
+        let limits = RepackLimits {
             max_source_share: self.options.drain_max_share,
             max_target_share: self.max_fill_share(now),
             max_task_age: self.options.drain_interval,
         };
-        let plan = plan_repack(&task_requirements, &slots, &residents, rules)?;
+        let plan = plan_repack(&task_requirements, &snapshots, &placed_tasks, limits)?;
         let moves = plan
             .moves
             .iter()
             .filter_map(|m| {
                 let task = &tasks[m.task];
                 let attempt = self.open_job(&task.job)?.placed.get(&task.index)?.attempt;
-                let to = slots[m.to].name.clone();
+                let to = snapshots[m.to].name.clone();
                 Some(DrainMove { job: task.job.to_string(), index: task.index, attempt, destination: to })
             })
             .collect();
         Some(DrainRecord {
-            machine: slots[plan.machine].name.clone(),
+            machine: snapshots[plan.machine].name.clone(),
             for_job: waiting[plan.waiting_task].0.to_string(),
             moves,
         })
@@ -221,9 +227,9 @@
         }
         let machine = self.machines.get(record.machine.as_str());
         let emptied = machine.is_none_or(|m| m.booked == Default::default());
-        let target_waits = self.waiting_jobs.contains(record.for_job.as_str());
+        let waiting_job_remains = self.waiting_jobs.contains(record.for_job.as_str());
         let overdue = now.saturating_duration_since(first_seen) > self.options.drain_interval * 2;
-        if (tasks_remain || (emptied && target_waits)) && !overdue {
+        if (tasks_remain || (emptied && waiting_job_remains)) && !overdue {
             return None;
         }
         let key = records::drain_key(shard);
--- a/crates/dapplecroft-controller/src/core/federation/host.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -236,26 +236,26 @@
         if self.backlog_cpus() > 0 || self.hosting_headroom_cpus(now) - promised_cpus < job_cpus {
             return false;
         }
-        let active = self.active_machine_rooms();
-        let rentable = self.rentable_machine_rooms(now);
-        let allowed = |room: &MachinePool| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&room.machine_type))
-                && spec.zone.as_ref().is_none_or(|zone| *zone == room.zone)
-                && (spec.spot || !room.spot)
+        let active = self.active_machine_pools();
+        let rentable = self.rentable_machine_pools(now);
+        let allowed = |pool: &MachinePool| {
+            spec.types.as_ref().is_none_or(|names| names.contains(&pool.machine_type))
+                && spec.zone.as_ref().is_none_or(|zone| *zone == pool.zone)
+                && (spec.spot || !pool.spot)
         };
-        let mut rooms = active.iter().chain(&rentable).filter(|room| allowed(room));
-        rooms.any(|room| resources.fits(&room.free))
+        let mut pools = active.iter().chain(&rentable).filter(|pool| allowed(pool));
+        pools.any(|pool| resources.fits(&pool.free))
     }
 
     /// Free capacity of the machines that take work, with equal machines grouped together.
-    fn active_machine_rooms(&self) -> Vec<MachinePool> {
-        type RoomKey<'a> = (&'a str, &'a str, bool, i64, i64, i64);
-        let mut rooms: BTreeMap<RoomKey, MachinePool> = BTreeMap::new();
+    fn active_machine_pools(&self) -> Vec<MachinePool> {
+        type PoolKey<'a> = (&'a str, &'a str, bool, i64, i64, i64);
+        let mut pools: BTreeMap<PoolKey, MachinePool> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.likely_accepts_tasks()) {
             let free = machine.free_resources();
             let key =
                 (&*machine.machine_type, &*machine.zone, machine.spot, free.cpus, free.gpus, free.memory);
-            let room = rooms.entry(key).or_insert_with(|| MachinePool {
+            let pool = pools.entry(key).or_insert_with(|| MachinePool {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
@@ -263,15 +263,15 @@
                 capacity: machine.capacity,
                 count: 0,
             });
-            room.count += 1;
+            pool.count += 1;
         }
-        rooms.into_values().collect()
+        pools.into_values().collect()
     }
 
     /// Capacity of one machine of each kind that could be rented now.
-    fn rentable_machine_rooms(&self, now: Instant) -> Vec<MachinePool> {
+    fn rentable_machine_pools(&self, now: Instant) -> Vec<MachinePool> {
         let offers = self.rental_offers(now).into_iter();
-        let room = |offer: dapplecroft_sched::MachineOffer| MachinePool {
+        let pool = |offer: dapplecroft_sched::MachineOffer| MachinePool {
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
@@ -279,7 +279,7 @@
             capacity: offer.capacity,
             count: 1,
         };
-        offers.map(room).collect()
+        offers.map(pool).collect()
     }
 
     /// Summary of this cell's capacity and backlog, which is sent to other cells with every
@@ -287,8 +287,8 @@
     pub fn cell_summary(&self, now: Instant) -> Option<Summary> {
         Some(Summary {
             cell: self.own_cell()?.clone(),
-            up: self.active_machine_rooms(),
-            rentable: self.rentable_machine_rooms(now),
+            up: self.active_machine_pools(),
+            rentable: self.rentable_machine_pools(now),
             backlog_cpus: self.backlog_cpus(),
             hosting_headroom_cpus: self.hosting_headroom_cpus(now),
         })
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -170,7 +170,9 @@
             .machines
             .values()
             .filter(|m| m.group.is_none() && self.role.leased_shards.contains_key(&m.shard))
-            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.applied_revision))
+            .filter(|m| {
+                self.segments_of(m.shard).all(|(_, segment)| segment.version <= self.applied_revision)
+            })
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
@@ -235,7 +237,7 @@
                 (&*machine.machine_type, &*machine.zone, machine.spot, room.cpus, room.gpus, room.memory);
             *kinds.entry(key).or_default() += 1;
         }
-        let mut rooms: Vec<PendingCapacity> = kinds
+        let mut pending: Vec<PendingCapacity> = kinds
             .into_iter()
             .map(|((machine_type, zone, spot, cpus, gpus, memory), count)| PendingCapacity {
                 machine_type: machine_type.to_string(),
@@ -251,31 +253,36 @@
             .values()
             .map(|(r, _)| (r.machine_type.clone(), r.zone.clone(), r.spot, i64::from(r.count)));
         let uncommitted = self.groups.values().filter(|g| g.version == 0).map(|g| {
-            let r = &g.record;
-            (r.machine_type.clone(), r.zone.clone(), r.spot, r.machines.len() as i64)
+            let record = &g.record;
+            (record.machine_type.clone(), record.zone.clone(), record.spot, record.machines.len() as i64)
         });
         for (machine_type, zone, spot, count) in requested.chain(uncommitted) {
             let room = self.machine_type_capacity(&machine_type).unwrap_or_default();
-            rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
+            pending.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
-        rooms
+        pending
     }
 
     /// Plans rent requests for the tasks that found no room, and for standby machines. Each
     /// request is for one shard with space for its machines.
     fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
-        let Some(leadership) = self.role.leader_key_version else { return };
+        let Some(leader_term) = self.role.leader_key_version else { return };
         let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
         if (self.unplaced_demand.is_empty() && self.standby_target() == 0)
             || self.fleet.pending_rentals.len() >= max_requests
         {
             return;
         }
-        let thrift = self.options.prefer_cheapest_machines;
+        let prefer_cheapest = self.options.prefer_cheapest_machines;
         let offers = self.rental_offers(now);
         let machines = MAX_MACHINES_PER_RENTAL * (max_requests - self.fleet.pending_rentals.len()) as u32;
-        let mut plan =
-            plan_scale_out(&self.unplaced_demand, self.pending_capacity(), &offers, thrift, machines);
+        let mut plan = plan_scale_out(
+            &self.unplaced_demand,
+            self.pending_capacity(),
+            &offers,
+            prefer_cheapest,
+            machines,
+        );
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_scale_out(&offers));
         }
@@ -295,7 +302,7 @@
                 // of the leader's key was committed before and belongs to this
                 // leadership term alone.
                 let request = RentRequest {
-                    request: format!("dc-{leadership}-{}", self.fleet.next_request_number()),
+                    request: format!("dc-{leader_term}-{}", self.fleet.next_request_number()),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -323,8 +330,9 @@
             zone: request.zone.clone(),
             spot: request.spot,
         };
-        let pausing = self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
-        if machines.len() < request.count as usize && pausing {
+        let already_backing_off =
+            self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
+        if machines.len() < request.count as usize && already_backing_off {
             // The request was sent before an earlier refusal was known, so this refusal
             // says nothing new. The backoff must not double with each of several
             // requests sent at the same time.
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -187,13 +187,14 @@
     pub(super) fn shard_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
         let max_machines = self.max_shard_machines();
         let sizes = self.shard_sizes();
-        let size = |b: u32| sizes.get(&b).copied().unwrap_or(0) + taken.get(&b).copied().unwrap_or(0);
+        let size =
+            |shard: u32| sizes.get(&shard).copied().unwrap_or(0) + taken.get(&shard).copied().unwrap_or(0);
         let mut numbers = self.shard_numbers();
         numbers.extend(taken.keys());
         numbers.sort_unstable();
         numbers.dedup();
-        let with_room = numbers.iter().copied().filter(|b| size(*b) < max_machines);
-        let shard = with_room.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
+        let with_room = numbers.iter().copied().filter(|shard| size(*shard) < max_machines);
+        let shard = with_room.max_by_key(|shard| (size(*shard), std::cmp::Reverse(*shard)));
         // The lowest number that no shard has.
         let unused = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
         let shard = shard.unwrap_or(unused);
@@ -484,7 +485,7 @@
         let sizes: BTreeMap<&str, _> = catalog
             .machine_types
             .iter()
-            .map(|h| (h.name.as_str(), dapplecroft_sched::Resources::new(h.cpus, h.gpus, h.memory_gb)))
+            .map(|t| (t.name.as_str(), dapplecroft_sched::Resources::new(t.cpus, t.gpus, t.memory_gb)))
             .collect();
         for machine in self.machines.values_mut() {
             let Some(size) = sizes.get(machine.machine_type.as_str()) else { continue };
--- a/crates/dapplecroft-controller/src/core/idle_reserve.rs
+++ b/crates/dapplecroft-controller/src/core/idle_reserve.rs
@@ -59,8 +59,8 @@
 /// `reserve` CPUs: the most expensive per CPU first, and among equals the longest idle.
 fn select_surplus(mut idle: Vec<IdleMachine>, reserve: i64) -> BTreeSet<Arc<str>> {
     idle.sort_by(|a, b| {
-        let dearest = b.price_per_cpu.total_cmp(&a.price_per_cpu);
-        dearest.then(a.since.cmp(&b.since)).then(a.id.cmp(&b.id))
+        let by_price = b.price_per_cpu.total_cmp(&a.price_per_cpu);
+        by_price.then(a.since.cmp(&b.since)).then(a.id.cmp(&b.id))
     });
     let mut left: i64 = idle.iter().map(|machine| machine.cpus).sum();
     let mut surplus = BTreeSet::new();
--- a/crates/dapplecroft-controller/src/core/layout.rs
+++ b/crates/dapplecroft-controller/src/core/layout.rs
@@ -88,7 +88,7 @@
     /// The transaction that switches the layout, if this process leads, its replica has
     /// caught up with the start of its term, and all members support the new layout.
     pub fn layout_switch_transaction(&self) -> Option<Transaction> {
-        let leadership = self.role.leader_key_version.filter(|l| *l <= self.applied_revision)?;
+        let leader_term = self.role.leader_key_version.filter(|l| *l <= self.applied_revision)?;
         let members = self.settings.peers.iter().map(|p| &p.host_name);
         let mut members = members.chain([&self.settings.host_name]);
         let all =
@@ -97,7 +97,7 @@
             return None;
         }
         let conditions = vec![
-            Condition { key: records::LEADER_KEY.into(), version: leadership },
+            Condition { key: records::LEADER_KEY.into(), version: leader_term },
             Condition { key: records::LAYOUT_KEY.into(), version: 0 },
         ];
         let value = to_value(&LayoutRecord { layout: NEWEST_LAYOUT });
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -225,7 +225,7 @@
         let mut demand: WaitingDemand = Vec::new();
         for job in self.waiting_jobs.iter().filter_map(|id| self.open_job(id)) {
             let headroom =
-                self.teams.get(&job.spec.team).map_or(0, |b| b.headroom(&job.requirements.resources));
+                self.teams.get(&job.spec.team).map_or(0, |team| team.headroom(&job.requirements.resources));
             let allocated: i64 = job.waiting.values().map(|r| i64::from(r.len())).sum();
             let count = allocated + i64::from(job.unallocated.len()).min(headroom);
             if count == 0 || job.failures > 0 {
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -20,11 +20,11 @@
 
 /// History of tasks that a segment takes over from another record besides machines.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Inherited {
+pub(super) struct InheritedHistory {
     /// Completed tasks by job.
     pub done: BTreeMap<String, Ranges>,
     /// Last attempts of unfinished tasks, by job and task index.
-    pub tries: BTreeMap<String, BTreeMap<u32, u64>>,
+    pub last_attempts: BTreeMap<String, BTreeMap<u32, u64>>,
 }
 
 impl Core {
@@ -35,53 +35,55 @@
         if self.uses_legacy_layout() || !self.segments.contains_key(&whole) {
             return;
         }
-        self.inherited_results.retain(|id, _| id.shard != shard);
-        let Some(old) = self.segments.get(&whole).map(|l| l.record.clone()) else { return };
-        let (done, tries) = self.unmigrated_history(shard, &old);
+        self.inherited_history.retain(|id, _| id.shard != shard);
+        let Some(old) = self.segments.get(&whole).map(|segment| segment.record.clone()) else { return };
+        let (done, last_attempts) = self.unmigrated_history(shard, &old);
         let mut segments: Vec<SegmentId> = Vec::new();
         for machine in old.machines.keys() {
             segments.extend(self.assign_segment(machine).filter(|p| p.segment.is_some()));
         }
         // Split the history into pieces, each for the first segment with room for it.
-        let mut pieces: Vec<Inherited> = Vec::new();
+        let mut pieces: Vec<InheritedHistory> = Vec::new();
         for (id, done) in done {
             for chunk in done.chunks(HISTORY_CHUNK_BYTES) {
-                pieces
-                    .push(Inherited { done: BTreeMap::from([(id.clone(), chunk)]), ..Inherited::default() });
+                pieces.push(InheritedHistory {
+                    done: BTreeMap::from([(id.clone(), chunk)]),
+                    ..InheritedHistory::default()
+                });
             }
         }
-        for (id, tries) in tries {
-            let tries: Vec<(u32, u64)> = tries.into_iter().collect();
-            for chunk in tries.chunks(HISTORY_CHUNK_BYTES / 16) {
+        for (id, last_attempts) in last_attempts {
+            let last_attempts: Vec<(u32, u64)> = last_attempts.into_iter().collect();
+            for chunk in last_attempts.chunks(HISTORY_CHUNK_BYTES / 16) {
                 let own = BTreeMap::from([(id.clone(), chunk.iter().copied().collect())]);
-                pieces.push(Inherited { tries: own, ..Inherited::default() });
+                pieces.push(InheritedHistory { last_attempts: own, ..InheritedHistory::default() });
             }
         }
         let limit = self.limits().value;
         for piece in pieces {
             let own = SegmentRecord {
                 done: piece.done.clone(),
-                last_attempts: piece.tries.clone(),
+                last_attempts: piece.last_attempts.clone(),
                 ..Default::default()
             };
             let weight = super::segments::record_weight(&own);
             let known = self.segment_numbers(shard);
             let fits = |n: &u32| {
                 let id = SegmentId::new(shard, *n);
-                let has = self.segments.get(&id).map_or(0, |l| l.max_size_bytes);
+                let has = self.segments.get(&id).map_or(0, |segment| segment.max_size_bytes);
                 has + self.proposed_bytes.get(&id).copied().unwrap_or(0) + weight <= limit * 3 / 4
             };
             let number = known.iter().copied().find(fits).or_else(|| (0..).find(|n| !known.contains(n)));
             let Some(number) = number else { return };
             let id = SegmentId::new(shard, number);
             *self.proposed_bytes.entry(id).or_default() += weight;
-            let segment = self.inherited_results.entry(id).or_default();
+            let segment = self.inherited_history.entry(id).or_default();
             for (job, done) in piece.done {
                 let all = segment.done.entry(job).or_default();
                 *all = all.union(&done);
             }
-            for (job, tries) in piece.tries {
-                segment.tries.entry(job).or_default().extend(tries);
+            for (job, last_attempts) in piece.last_attempts {
+                segment.last_attempts.entry(job).or_default().extend(last_attempts);
             }
             segments.push(id);
         }
@@ -104,12 +106,12 @@
         old: &SegmentRecord,
     ) -> (BTreeMap<String, Ranges>, LastAttempts) {
         let mut done = BTreeMap::new();
-        let mut tries: LastAttempts = BTreeMap::new();
+        let mut last_attempts: LastAttempts = BTreeMap::new();
         for (id, ranges) in &old.done {
             let Some(job) = self.open_job(id).filter(|j| j.is_open()) else { continue };
             let mut left = ranges.difference(&job.recorded_done());
-            for (_, load) in self.segments_of(shard).filter(|(id, _)| id.segment.is_some()) {
-                if let Some(have) = load.record.done.get(id) {
+            for (_, segment) in self.segments_of(shard).filter(|(id, _)| id.segment.is_some()) {
+                if let Some(have) = segment.record.done.get(id) {
                     left = left.difference(have);
                 }
             }
@@ -127,10 +129,10 @@
                 .map(|(i, n)| (*i, *n))
                 .collect();
             if !left.is_empty() {
-                tries.insert(id.clone(), left);
+                last_attempts.insert(id.clone(), left);
             }
         }
-        (done, tries)
+        (done, last_attempts)
     }
 
     /// Whether segments have taken over everything in a shard's layout 1 record.
@@ -144,8 +146,8 @@
             .machines
             .iter()
             .all(|(m, spans)| !spans.iter().any(open) || self.recorded_segment(shard, m).is_some());
-        let (done, tries) = self.unmigrated_history(shard, &old.record);
-        all && done.is_empty() && tries.is_empty()
+        let (done, last_attempts) = self.unmigrated_history(shard, &old.record);
+        all && done.is_empty() && last_attempts.is_empty()
     }
 
     /// Queues the remaining steps of a shard's migration: deletes the layout 1 record if
@@ -158,7 +160,7 @@
         if self.is_migration_complete(shard) {
             self.queue_segment_commit(whole, false);
         } else if !self.commit_queue.is_shard_in_flight(shard) {
-            let planned = self.inherited_results.keys().any(|id| id.shard == shard);
+            let planned = self.inherited_history.keys().any(|id| id.shard == shard);
             if !planned && self.machines.values().all(|m| m.shard != shard || m.segment.is_some()) {
                 self.plan_migration(shard, now);
             }
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -222,7 +222,7 @@
     last_sized_proposal: Option<(SegmentId, TaskId)>,
     /// Completed ranges and attempt numbers that the next commit of a segment takes over, from a
     /// shard's record of the first layout or from a segment that is merged into it.
-    inherited_results: BTreeMap<SegmentId, migration::Inherited>,
+    inherited_history: BTreeMap<SegmentId, migration::InheritedHistory>,
     /// Completed tasks that are kept in records of their own, by job and record number.
     completed_records: HashMap<Arc<str>, BTreeMap<u32, Ranges>>,
     /// Keys whose records are obsolete and can be deleted.
@@ -302,7 +302,7 @@
             proposed_bytes: BTreeMap::new(),
             merging_segments: BTreeSet::new(),
             last_sized_proposal: None,
-            inherited_results: BTreeMap::new(),
+            inherited_history: BTreeMap::new(),
             completed_records: HashMap::new(),
             obsolete_keys: BTreeSet::new(),
             departed_machines: Vec::new(),
@@ -481,7 +481,7 @@
 
     /// Summarizes this controller's state for the log.
     pub fn summary(&self, now: Instant) -> NodeSummary {
-        let silence = self.max_heartbeat_age();
+        let max_heartbeat_age = self.max_heartbeat_age();
         let mut summary = NodeSummary {
             leads: self.leads(now),
             shards: self.role.leased_shards.len(),
@@ -494,7 +494,7 @@
             let Some(shard_lease) = self.role.leased_shards.get(&machine.shard) else { continue };
             summary.machines += 1;
             summary.placed_tasks += machine.tasks.len();
-            if machine.accepts_tasks(shard_lease.epoch, silence, now) {
+            if machine.accepts_tasks(shard_lease.epoch, max_heartbeat_age, now) {
                 summary.schedulable_machines += 1;
                 free_cpus += machine.free_resources().cpus;
                 all_cpus += machine.capacity.cpus;
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -89,7 +89,7 @@
     /// the type is unknown.
     pub(super) fn image_fetch_mb_per_s(&self, machine_type: &str) -> u32 {
         let machine_types = self.catalog.iter().flat_map(|c| &c.machine_types);
-        let rate = machine_types.filter(|h| h.name == machine_type).map(|h| h.fetch_gb_per_s).next();
+        let rate = machine_types.filter(|t| t.name == machine_type).map(|t| t.fetch_gb_per_s).next();
         (rate.unwrap_or(0.0) * 1000.0) as u32
     }
 
@@ -213,7 +213,7 @@
         else {
             return Vec::new();
         };
-        let epoch = self.role.leased_shards.get(&shard).map(|h| h.epoch);
+        let epoch = self.role.leased_shards.get(&shard).map(|lease| lease.epoch);
         let max_heartbeat_age = self.max_heartbeat_age();
         let other_drain = self.drains.get(&shard).map(|(d, _)| d).filter(|d| *d.for_job != **id);
         let service = job.is_service();
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -20,18 +20,18 @@
 /// A machine that runs tasks which may be preempted.
 struct OccupiedMachine {
     shard: u32,
-    slot: MachineSnapshot,
-    /// The tasks booked on the machine, in the order of `residents`.
+    snapshot: MachineSnapshot,
+    /// The tasks booked on the machine, in the order of `placed_tasks`.
     tasks: Vec<TaskId>,
-    residents: Vec<PlacedTask>,
+    placed_tasks: Vec<PlacedTask>,
 }
 
 impl OccupiedMachine {
     /// Number of tasks that fit once the tasks that are already being stopped have ended.
     fn tasks_that_fit(&self, requirements: &TaskRequirements) -> i64 {
         let leaving: Resources =
-            self.residents.iter().filter(|r| r.stopping).map(|r| r.requirements.resources).sum();
-        requirements.resources.copies_that_fit(&(self.slot.room() + leaving))
+            self.placed_tasks.iter().filter(|r| r.stopping).map(|r| r.requirements.resources).sum();
+        requirements.resources.copies_that_fit(&(self.snapshot.room() + leaving))
     }
 }
 
@@ -83,16 +83,25 @@
     let requirements = request.requirements;
     let mut wanted_tasks = request.wanted_tasks;
     for machine in machines.iter_mut() {
-        let allowed = requirements.allows(&machine.slot.machine_type, &machine.slot.zone, machine.slot.spot);
-        if wanted_tasks > 0 && machine.slot.schedulable && allowed {
+        let allowed = requirements.allows(
+            &machine.snapshot.machine_type,
+            &machine.snapshot.zone,
+            machine.snapshot.spot,
+        );
+        if wanted_tasks > 0 && machine.snapshot.schedulable && allowed {
             let fitting = machine.tasks_that_fit(requirements).min(wanted_tasks);
-            machine.slot.booked += requirements.resources.times(fitting);
+            machine.snapshot.booked += requirements.resources.times(fitting);
             wanted_tasks -= fitting;
         }
     }
     let option_for = |(index, machine): (usize, &&mut OccupiedMachine)| {
-        let found =
-            pick_victims(&machine.slot, &machine.residents, requirements, request.claim, request.max_loss)?;
+        let found = pick_victims(
+            &machine.snapshot,
+            &machine.placed_tasks,
+            requirements,
+            request.claim,
+            request.max_loss,
+        )?;
         let cost = found.lost_time + found.eviction_delay + image_fetch_time(machine);
         Some(PreemptionOption { cost, machine: index, lost_time: found.lost_time, victims: found.tasks })
     };
@@ -105,12 +114,12 @@
         }
         let machine = &mut machines[option.machine];
         for victim in option.victims {
-            machine.residents[victim].stopping = true;
+            machine.placed_tasks[victim].stopping = true;
             preemption.tasks.push(machine.tasks[victim].clone());
         }
         preemption.lost_time += option.lost_time;
         let fitting = machine.tasks_that_fit(requirements).clamp(1, wanted_tasks);
-        machine.slot.booked += requirements.resources.times(fitting);
+        machine.snapshot.booked += requirements.resources.times(fitting);
         wanted_tasks -= fitting;
     }
     preemption
@@ -119,8 +128,8 @@
 impl Core {
     /// Describes a machine as the scheduler's drain and preemption planners need it.
     /// It is open for new tasks only in a shard whose lease this controller holds.
-    pub(super) fn slot(&self, machine: &Machine, now: Instant) -> MachineSnapshot {
-        let epoch = self.role.leased_shards.get(&machine.shard).map(|h| h.epoch);
+    pub(super) fn machine_snapshot(&self, machine: &Machine, now: Instant) -> MachineSnapshot {
+        let epoch = self.role.leased_shards.get(&machine.shard).map(|lease| lease.epoch);
         MachineSnapshot {
             name: machine.id.to_string(),
             machine_type: machine.machine_type.clone(),
@@ -128,27 +137,28 @@
             spot: machine.spot,
             capacity: machine.capacity,
             booked: machine.booked,
-            schedulable: epoch.is_some_and(|e| machine.accepts_tasks(e, self.max_heartbeat_age(), now)),
+            schedulable: epoch
+                .is_some_and(|epoch| machine.accepts_tasks(epoch, self.max_heartbeat_age(), now)),
         }
     }
 
-    /// The tasks booked on a machine, without those whose room is free already. `slot`
+    /// The tasks booked on a machine, without those whose room is free already. `machine_index`
     /// is the machine's index in the caller's list; tasks older than `max_movable_age`
     /// are marked as not movable.
-    pub(super) fn residents(
+    pub(super) fn placed_tasks_on(
         &self,
         machine: &Machine,
-        slot: usize,
+        machine_index: usize,
         max_movable_age: Duration,
         now: Instant,
     ) -> Vec<(TaskId, PlacedTask)> {
-        let mut residents = Vec::new();
+        let mut placed_tasks = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.open_job(&task.job) else { continue };
             let Some(placed) = job.placed.get(&task.index).filter(|p| !p.resources_freed) else { continue };
             let progress = job.progress(placed, now);
-            let resident = PlacedTask {
-                machine: slot,
+            let placed_task = PlacedTask {
+                machine: machine_index,
                 requirements: job.requirements.clone(),
                 age: progress.age,
                 lost_if_stopped: progress.lost_if_stopped(),
@@ -159,11 +169,11 @@
                 // A service replica is preempted only by a higher rank, not because
                 // its team is over quota.
                 over_quota: !job.is_service()
-                    && self.teams.get(&job.spec.team).is_some_and(|b| b.over_quota()),
+                    && self.teams.get(&job.spec.team).is_some_and(|team| team.over_quota()),
             };
-            residents.push((task.clone(), resident));
+            placed_tasks.push((task.clone(), placed_task));
         }
-        residents
+        placed_tasks
     }
 
     /// Preempts tasks in the leased shards for waiting jobs of a priority above normal,
@@ -194,8 +204,10 @@
                 self.is_holder(m.shard) && m.tasks.iter().any(outranked)
             })
             .map(|m| {
-                let (tasks, residents) = self.residents(m, 0, Duration::MAX, now).into_iter().unzip();
-                OccupiedMachine { shard: m.shard, slot: self.slot(m, now), tasks, residents }
+                let (tasks, placed_tasks) =
+                    self.placed_tasks_on(m, 0, Duration::MAX, now).into_iter().unzip();
+                let snapshot = self.machine_snapshot(m, now);
+                OccupiedMachine { shard: m.shard, snapshot, tasks, placed_tasks }
             })
             .collect();
         let mut remaining = MAX_PREEMPTED_TASKS;
@@ -206,14 +218,15 @@
             // Service replicas run for long, so tasks are preempted for them however
             // much work those tasks lose.
             let max_loss = if job.is_service() { Duration::MAX } else { self.options.max_preempted_loss };
-            let image_fetch_time = |machine: &OccupiedMachine| self.image_fetch_time(&machine.slot.name, job);
+            let image_fetch_time =
+                |machine: &OccupiedMachine| self.image_fetch_time(&machine.snapshot.name, job);
             let mut stopped: Vec<TaskId> = Vec::new();
             let mut lost = Duration::ZERO;
             for (&shard, &wanted_tasks) in &unplaced.waiting_by_shard {
                 // A task allocated to a shard can only use room in that shard. Room made
                 // in another shard would go to other tasks, and be made again and again.
                 let mut shard_machines: Vec<&mut OccupiedMachine> =
-                    machines.iter_mut().filter(|h| shard.is_none_or(|b| b == h.shard)).collect();
+                    machines.iter_mut().filter(|m| shard.is_none_or(|s| s == m.shard)).collect();
                 let request = PreemptionRequest {
                     requirements: &unplaced.requirements,
                     claim,
--- a/crates/dapplecroft-controller/src/core/record_replica.rs
+++ b/crates/dapplecroft-controller/src/core/record_replica.rs
@@ -84,8 +84,8 @@
         // The replica may now be complete enough for a shard that was leased to this process, or
         // for the work as leader, to begin.
         let is_applied = |version: u64| version <= applied_revision;
-        let leased = self.shards.iter().any(|(number, (shard, version))| {
-            shard.identity == self.identity
+        let leased = self.shards.iter().any(|(number, (record, version))| {
+            record.identity == self.identity
                 && is_applied(*version)
                 && !self.role.leased_shards.contains_key(number)
         });
@@ -424,7 +424,7 @@
     /// Applies the record of a job that was handed over to another cell. The job takes no part in
     /// the scheduling of this cell.
     fn apply_away_job(&mut self, id: &Arc<str>, record: JobRecord, version: u64) {
-        let heard = match self.jobs.get(id) {
+        let last_answer = match self.jobs.get(id) {
             Some(Job::Final { .. }) => return,
             Some(Job::Away(job))
                 if job.record.away.as_ref().map(|a| a.epoch) == record.away.as_ref().map(|a| a.epoch) =>
@@ -434,7 +434,7 @@
             _ => None,
         };
         self.forget_job(id);
-        self.jobs.insert(id.clone(), Job::Away(Box::new(AwayJob { record, version, last_answer: heard })));
+        self.jobs.insert(id.clone(), Job::Away(Box::new(AwayJob { record, version, last_answer })));
         self.wakeups.federation = true;
     }
 
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -169,7 +169,7 @@
         let nodes = f64::from(self.settings.params.nodes.max(1));
         let sizes = self.shard_sizes();
         let total: usize = sizes.values().sum();
-        let own: usize = self.role.leased_shards.keys().filter_map(|b| sizes.get(b)).sum();
+        let own: usize = self.role.leased_shards.keys().filter_map(|shard| sizes.get(shard)).sum();
         let machine_share = match total {
             0 => f64::from(u8::from(self.role.leader_key_version.is_some())),
             _ => own as f64 / total as f64,
@@ -178,7 +178,7 @@
         // as much as the number of machines.
         let bytes = |held_only: bool| -> usize {
             let segments = self.segments.iter().filter(|(id, _)| !held_only || self.is_holder(id.shard));
-            segments.map(|(_, l)| l.size_bytes).sum()
+            segments.map(|(_, segment)| segment.size_bytes).sum()
         };
         let placement_share = match bytes(false) {
             0 => machine_share,
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -218,12 +218,12 @@
     fn jobs_with_changed_history(&self, old: &SegmentRecord, new: &SegmentRecord) -> BTreeSet<Arc<str>> {
         let done = old.done.keys().chain(new.done.keys());
         let done = done.filter(|job| ranges_of(&new.done, job) != ranges_of(&old.done, job));
-        let tries = old.last_attempts.keys().chain(new.last_attempts.keys());
+        let last_attempts = old.last_attempts.keys().chain(new.last_attempts.keys());
         let known = |id: &String| match self.jobs.get_key_value(id.as_str()) {
             Some((id, Job::Open(_))) => Some(id.clone()),
             _ => None,
         };
-        done.chain(tries).filter_map(known).collect()
+        done.chain(last_attempts).filter_map(known).collect()
     }
 
     /// Copies a job's completed tasks and last attempts from a segment's record.
@@ -236,7 +236,7 @@
             job.done_by_segment.insert(id, done);
         }
         match record.last_attempts.get(job_id) {
-            Some(tries) => job.last_attempts.insert(id, tries.clone()),
+            Some(last_attempts) => job.last_attempts.insert(id, last_attempts.clone()),
             None => job.last_attempts.remove(&id),
         };
         let placed = &job.placed;
@@ -253,16 +253,16 @@
             .segments
             .iter()
             .filter(|(_, segment)| {
-                let r = &segment.record;
-                r.jobs.iter().any(|j| **j == **id)
-                    || r.done.contains_key(&**id)
-                    || r.last_attempts.contains_key(&**id)
+                let record = &segment.record;
+                record.jobs.iter().any(|j| **j == **id)
+                    || record.done.contains_key(&**id)
+                    || record.last_attempts.contains_key(&**id)
             })
-            .map(|(segment, _)| *segment)
+            .map(|(segment_id, _)| *segment_id)
             .collect();
-        for segment in known {
-            if let Some(load) = self.segments.remove(&segment) {
-                self.apply_segment(segment, load.record, load.size_bytes, load.version, now);
+        for segment_id in known {
+            if let Some(segment) = self.segments.remove(&segment_id) {
+                self.apply_segment(segment_id, segment.record, segment.size_bytes, segment.version, now);
             }
         }
     }
@@ -274,28 +274,30 @@
     pub fn replica_inconsistencies(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut seen: BTreeMap<(&str, u32), SegmentId> = BTreeMap::new();
-        for (segment, load) in &self.segments {
-            for (machine, spans) in spans_by_machine(&load.record) {
-                if segment.segment.is_none() && self.recorded_segment(segment.shard, machine).is_some() {
+        for (segment_id, segment) in &self.segments {
+            for (machine, spans) in spans_by_machine(&segment.record) {
+                if segment_id.segment.is_none() && self.recorded_segment(segment_id.shard, machine).is_some()
+                {
                     continue;
                 }
                 for (id, span) in spans {
                     let Some(job) = self.open_job(id) else { continue };
                     for index in span.first..=span.last {
-                        if let Some(other) = seen.insert((id, index), *segment).filter(|o| o != segment) {
+                        if let Some(other) = seen.insert((id, index), *segment_id).filter(|o| o != segment_id)
+                        {
                             faults.push(format!(
-                                "task {id}/{index} is recorded in both {other:?} and {segment:?}"
+                                "task {id}/{index} is recorded in both {other:?} and {segment_id:?}"
                             ));
                         }
                         let placed = job.placed.get(&index);
                         let here = |p: &Placement| p.attempt == span.attempt && *p.machine == *machine;
                         let moved = |p: &Placement| {
-                            let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment);
-                            other.is_some_and(|l| l.version > load.version)
+                            let other = self.segments.get(&p.segment).filter(|_| p.segment != *segment_id);
+                            other.is_some_and(|other| other.version > segment.version)
                         };
                         if !placed.is_some_and(|p| here(p) || moved(p)) {
                             faults.push(format!(
-                                "{segment:?} has task {id}/{index} on {machine}, but the replica has {placed:?}"
+                                "{segment_id:?} has task {id}/{index} on {machine}, but the replica has {placed:?}"
                             ));
                         }
                     }
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -121,16 +121,16 @@
 
     /// The segment whose committed record lists a machine, if there is one.
     pub(super) fn recorded_segment(&self, shard: u32, machine: &str) -> Option<u32> {
-        let in_it = |id: &SegmentId, l: &super::Segment| {
-            id.segment.filter(|_| l.record.machines.contains_key(machine))
+        let number_if_listed = |id: &SegmentId, segment: &super::Segment| {
+            id.segment.filter(|_| segment.record.machines.contains_key(machine))
         };
-        self.segments_of(shard).find_map(|(id, l)| in_it(id, l))
+        self.segments_of(shard).find_map(|(id, segment)| number_if_listed(id, segment))
     }
 
     /// Weight of a segment including proposed placements and newly assigned machines.
     fn segment_weight(&self, id: &SegmentId) -> usize {
         let pending = self.proposed_bytes.get(id).copied().unwrap_or(0);
-        self.segments.get(id).map_or(0, |l| l.max_size_bytes) + pending
+        self.segments.get(id).map_or(0, |segment| segment.max_size_bytes) + pending
     }
 
     /// Whether a segment has no room left for another task.
@@ -179,8 +179,9 @@
     /// the default.
     fn average_machine_weight(&self, shard: u32) -> usize {
         let segments = self.segments_of(shard).filter(|(id, _)| id.segment.is_some());
-        let used = segments
-            .map(|(_, l)| (l.max_size_bytes, l.record.machines.values().filter(|s| !s.is_empty()).count()));
+        let used = segments.map(|(_, segment)| {
+            (segment.max_size_bytes, segment.record.machines.values().filter(|s| !s.is_empty()).count())
+        });
         let (weight, machines) = used.fold((0, 0), |(w, m), (own, n)| (w + own, m + n));
         weight
             .checked_div(machines)
@@ -224,16 +225,18 @@
         let lightest = self
             .segments
             .range(range)
-            .filter(|(_, load)| !load.is_empty())
+            .filter(|(_, segment)| !segment.is_empty())
             .map(|(other, _)| *other)
             .filter(|other| *other != id && !self.commit_queue.is_in_flight(&CommitTarget::Segment(*other)))
             .min_by_key(|other| self.segment_weight(other))?;
         if self.limits().changes < 2 || weight + self.segment_weight(&lightest) > max_weight {
             return None;
         }
-        let record = self.segments.get(&lightest).map(|l| l.record.clone())?;
-        self.inherited_results
-            .insert(id, super::migration::Inherited { done: record.done, tries: record.last_attempts });
+        let record = self.segments.get(&lightest).map(|segment| segment.record.clone())?;
+        self.inherited_history.insert(
+            id,
+            super::migration::InheritedHistory { done: record.done, last_attempts: record.last_attempts },
+        );
         let moved = |m: &&mut Machine| m.shard == id.shard && m.segment == lightest.segment;
         for machine in self.machines.values_mut().filter(moved) {
             machine.segment = Some(segment);
@@ -260,9 +263,11 @@
     /// Reverts a merge that was not committed: the machines that the record of the
     /// segment `merged` lists are assigned to that segment again.
     pub(super) fn undo_segment_merge(&mut self, merged: SegmentId, into: SegmentId) {
-        self.inherited_results.remove(&into);
+        self.inherited_history.remove(&into);
         self.merging_segments.remove(&merged);
-        let Some(record) = self.segments.get(&merged).map(|l| l.record.machines.clone()) else { return };
+        let Some(record) = self.segments.get(&merged).map(|segment| segment.record.machines.clone()) else {
+            return;
+        };
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str()) {
                 machine.segment = merged.segment;
@@ -276,7 +281,7 @@
     /// machines that the record lists to the segment, since no two segments may have the
     /// same machine.
     pub(super) fn assign_recorded_machines(&mut self, id: SegmentId) {
-        let Some(record) = self.segments.get(&id).map(|l| &l.record.machines) else { return };
+        let Some(record) = self.segments.get(&id).map(|segment| &segment.record.machines) else { return };
         let mut moved = false;
         for name in record.keys() {
             if let Some(machine) = self.machines.get_mut(name.as_str())
@@ -322,7 +327,7 @@
             if stored_size(&self.segment_value(id, &record)) <= limit {
                 return;
             }
-            let recorded = self.segments.get(&id).map(|l| &l.record.machines);
+            let recorded = self.segments.get(&id).map(|segment| &segment.record.machines);
             let unrecorded = |m: &&Machine| {
                 let here = m.shard == id.shard && m.segment == Some(segment) && !m.tasks.is_empty();
                 here && !recorded.is_some_and(|machines| machines.contains_key(&*m.id))
@@ -354,7 +359,7 @@
     /// inherited history will add to a segment's record.
     pub(super) fn recompute_pending_weight(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
-        let record = self.segments.get(&id).map(|l| &l.record);
+        let record = self.segments.get(&id).map(|segment| &segment.record);
         let mut weight = 0;
         for machine in self.machines.values().filter(|m| m.shard == id.shard && m.segment == Some(segment)) {
             if record.is_some_and(|r| r.machines.contains_key(&*machine.id)) {
@@ -363,10 +368,10 @@
                 weight += machine_weight(&machine.id) + self.machine_tasks_weight(machine, |_| true);
             }
         }
-        if let Some(inherited) = self.inherited_results.get(&id) {
+        if let Some(inherited) = self.inherited_history.get(&id) {
             let history = SegmentRecord {
                 done: inherited.done.clone(),
-                last_attempts: inherited.tries.clone(),
+                last_attempts: inherited.last_attempts.clone(),
                 ..SegmentRecord::default()
             };
             weight += record_weight(&history);
@@ -381,7 +386,7 @@
     /// Numbers of the shard's segments that are in use, whether committed yet or not.
     pub(super) fn segment_numbers(&self, shard: u32) -> BTreeSet<u32> {
         let range = SegmentId::new(shard, 0)..=SegmentId::new(shard, u32::MAX);
-        let used = self.segments.range(range.clone()).filter(|(_, load)| !load.is_empty());
+        let used = self.segments.range(range.clone()).filter(|(_, segment)| !segment.is_empty());
         let recorded = used.filter_map(|(id, _)| id.segment);
         recorded.chain(self.proposed_bytes.range(range).filter_map(|(id, _)| id.segment)).collect()
     }
@@ -410,9 +415,9 @@
     /// them.
     pub(super) fn load_machine_segments(&mut self, shard: u32) {
         let mut segments: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-        for (id, load) in self.segments_of(shard) {
-            let Some(segment) = id.segment else { continue };
-            segments.extend(load.record.machines.keys().map(|m| (Arc::from(m.as_str()), segment)));
+        for (id, segment) in self.segments_of(shard) {
+            let Some(number) = id.segment else { continue };
+            segments.extend(segment.record.machines.keys().map(|m| (Arc::from(m.as_str()), number)));
         }
         for machine in self.machines.values_mut().filter(|m| m.shard == shard) {
             machine.segment = segments.get(&machine.id).copied();
--- a/crates/dapplecroft-controller/src/core/shards.rs
+++ b/crates/dapplecroft-controller/src/core/shards.rs
@@ -56,7 +56,7 @@
     /// work grows with the number of shards and counts as load, so that the leader holds
     /// fewer shards when there are many.
     pub fn plan_leases(&self, now: Instant) -> Vec<LeaseGrant> {
-        let Some(leadership) = self.role.leader_key_version.filter(|l| *l <= self.applied_revision) else {
+        let Some(leader_term) = self.role.leader_key_version.filter(|l| *l <= self.applied_revision) else {
             return Vec::new();
         };
         let shards = self.shard_numbers();
@@ -71,8 +71,8 @@
         let mut vacant = Vec::new();
         let mut held: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for shard in &shards {
-            let holder = self.shards.get(shard).map(|(b, _)| b).filter(|b| {
-                self.live_controllers.get(&b.host).is_some_and(|live| live.identity == b.identity)
+            let holder = self.shards.get(shard).map(|(record, _)| record).filter(|record| {
+                self.live_controllers.get(&record.host).is_some_and(|live| live.identity == record.identity)
             });
             match holder {
                 Some(holder) => {
@@ -93,7 +93,8 @@
             let since = self.controller_live_since.get(host);
             since.is_some_and(|at| now.saturating_duration_since(*at) >= self.options.node_lease * 2)
         };
-        let mut counts: BTreeMap<&str, usize> = held.iter().map(|(host, b)| (*host, b.len())).collect();
+        let mut counts: BTreeMap<&str, usize> =
+            held.iter().map(|(host, shards)| (*host, shards.len())).collect();
         let least_loaded = |load: &BTreeMap<&str, usize>, counts: &BTreeMap<&str, usize>| {
             load.iter()
                 .filter(|(host, _)| is_settled(host) || counts.get(*host).is_none_or(|n| *n < fair_share))
@@ -101,7 +102,7 @@
                 .map(|(host, n)| (host.to_string(), *n))
         };
         let mut leases = Vec::new();
-        vacant.sort_by_key(|b| std::cmp::Reverse(size(b)));
+        vacant.sort_by_key(|shard| std::cmp::Reverse(size(shard)));
         for shard in vacant {
             let Some((host, _)) = least_loaded(&load, &counts) else { break };
             if let Some((name, n)) = load.iter_mut().find(|(name, _)| **name == host) {
@@ -109,7 +110,7 @@
                 // Count an empty shard as half full, since machines will join it.
                 *n += size(&shard).max(self.max_shard_machines() / 2);
             }
-            leases.extend(self.lease_grant(shard, &host, leadership));
+            leases.extend(self.lease_grant(shard, &host, leader_term));
         }
         if leases.is_empty()
             && let Some((to, low)) = least_loaded(&load, &counts)
@@ -121,27 +122,28 @@
                 .get(from)
                 .into_iter()
                 .flatten()
-                .filter(|b| size(b) > 0 && low + size(b) * 2 <= *high)
-                .max_by_key(|b| size(b));
-            leases.extend(moved.and_then(|shard| self.lease_grant(*shard, &to, leadership)));
+                .filter(|shard| size(shard) > 0 && low + size(shard) * 2 <= *high)
+                .max_by_key(|shard| size(shard));
+            leases.extend(moved.and_then(|shard| self.lease_grant(*shard, &to, leader_term)));
         }
         leases
     }
 
-    fn lease_grant(&self, shard: u32, host: &str, leadership: u64) -> Option<LeaseGrant> {
+    fn lease_grant(&self, shard: u32, host: &str, leader_term: u64) -> Option<LeaseGrant> {
         let live = self.live_controllers.get(host)?;
-        let (old, version) = self.shards.get(&shard).map_or((0, 0), |(b, v)| (b.epoch, *v));
+        let (old, version) =
+            self.shards.get(&shard).map_or((0, 0), |(record, version)| (record.epoch, *version));
         // The leader's term is a revision of the state service, so epochs only grow, even
         // if a shard's record is missing.
-        let epoch = (old + 1).max(leadership);
+        let epoch = (old + 1).max(leader_term);
         let record = ShardRecord { host: host.to_string(), identity: live.identity.clone(), epoch };
         Some(LeaseGrant { shard, record, version })
     }
 
     /// The transaction that grants the first of these leases, as many as fit into it.
     pub fn lease_transaction(&self, leases: &[LeaseGrant]) -> Option<Transaction> {
-        let leadership = self.role.leader_key_version?;
-        let mut conditions = vec![Condition { key: records::LEADER_KEY.into(), version: leadership }];
+        let leader_term = self.role.leader_key_version?;
+        let mut conditions = vec![Condition { key: records::LEADER_KEY.into(), version: leader_term }];
         let mut changes = Vec::new();
         for lease in leases.iter().take(self.limits().changes) {
             let key = records::shard_key(lease.shard);
@@ -165,12 +167,12 @@
         let taken: Vec<(u32, ShardLease)> = self
             .shards
             .iter()
-            .filter(|(n, (b, version))| {
-                b.identity == self.identity
+            .filter(|(n, (record, version))| {
+                record.identity == self.identity
                     && *version <= self.applied_revision
                     && !self.role.leased_shards.contains_key(n)
             })
-            .map(|(n, (b, version))| (*n, ShardLease { epoch: b.epoch, version: *version }))
+            .map(|(n, (record, version))| (*n, ShardLease { epoch: record.epoch, version: *version }))
             .collect();
         if taken.is_empty() {
             return;
@@ -233,7 +235,7 @@
         }
         self.withdraw_shard_proposals(shard);
         self.commit_queue.drop_deferred_exits(shard);
-        self.inherited_results.retain(|id, _| id.shard != shard);
+        self.inherited_history.retain(|id, _| id.shard != shard);
         self.proposed_bytes.retain(|id, _| id.shard != shard);
         let machines = &self.machines;
         self.unexpected_tasks.retain(|_, on| machines.get(on).is_none_or(|m| m.shard != shard));
@@ -263,8 +265,8 @@
     /// Host of the live controller, other than this one, that holds a shard and should
     /// get the heartbeats of its workers.
     pub fn remote_holder_host(&self, shard: u32) -> Option<&str> {
-        let (shard, _) = self.shards.get(&shard)?;
-        let live = self.live_controllers.get(&shard.host).is_some_and(|l| l.identity == shard.identity);
-        (live && shard.identity != self.identity).then_some(shard.host.as_str())
+        let (record, _) = self.shards.get(&shard)?;
+        let live = self.live_controllers.get(&record.host).is_some_and(|l| l.identity == record.identity);
+        (live && record.identity != self.identity).then_some(record.host.as_str())
     }
 }
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -28,9 +28,9 @@
     /// record, and the machines that it must list even without tasks.
     fn carried_history(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
-        let old = self.segments.get(&id).map(|l| (&l.record.done, &l.record.last_attempts));
-        let inherited = self.inherited_results.get(&id).map(|i| (&i.done, &i.tries));
-        for (done, tries) in old.into_iter().chain(inherited) {
+        let old = self.segments.get(&id).map(|segment| (&segment.record.done, &segment.record.last_attempts));
+        let inherited = self.inherited_history.get(&id).map(|i| (&i.done, &i.last_attempts));
+        for (done, last_attempts) in old.into_iter().chain(inherited) {
             for (job_id, ranges) in done {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
                 let left = ranges.difference(&job.recorded_done());
@@ -39,7 +39,7 @@
                     *all = all.union(&left);
                 }
             }
-            for (job_id, own) in tries {
+            for (job_id, own) in last_attempts {
                 let Some(job) = self.open_job(job_id).filter(|j| j.is_open()) else { continue };
                 for (index, attempt) in own {
                     if !job.done.contains(*index) && !job.has_later_attempt(id, *index, *attempt) {
@@ -119,8 +119,8 @@
                         record.done.entry(task.job.to_string()).or_default().insert(task.index);
                     }
                     Some(exit) => {
-                        let tries = record.last_attempts.entry(task.job.to_string()).or_default();
-                        tries.insert(task.index, exit.attempt);
+                        let last_attempts = record.last_attempts.entry(task.job.to_string()).or_default();
+                        last_attempts.insert(task.index, exit.attempt);
                     }
                 }
             }
@@ -144,8 +144,8 @@
                 continue;
             }
             proposed_jobs.insert(task.job.clone());
-            if let Some(tries) = record.last_attempts.get_mut(&*task.job) {
-                tries.remove(&task.index);
+            if let Some(last_attempts) = record.last_attempts.get_mut(&*task.job) {
+                last_attempts.remove(&task.index);
             }
             add_task_span(&mut record, &mut job_indices, &task, &p);
             proposals.push((task, p));
@@ -220,7 +220,7 @@
     /// allocations, or the final record of a job that is over. `None` if nothing is to be
     /// written or this process may not write it.
     pub(super) fn job_update(&self, id: &Arc<str>) -> Option<(AtomicUpdate, Vec<(TaskId, Placement)>)> {
-        let leadership = self.role.leader_key_version.filter(|_| self.fleet.has_started());
+        let leader_term = self.role.leader_key_version.filter(|_| self.fleet.has_started());
         let job = self.open_job(id)?;
         let mut conditions = vec![Condition { key: records::job_key(id), version: job.version }];
         let mut record = if job.is_open() && job.done.len() == job.record.tasks {
@@ -239,7 +239,7 @@
             self.record_with_allocations(job)
         };
         if record.spec.is_some() {
-            conditions.push(Condition { key: records::LEADER_KEY.into(), version: leadership? });
+            conditions.push(Condition { key: records::LEADER_KEY.into(), version: leader_term? });
         }
         if record == job.record {
             return None;
@@ -325,7 +325,10 @@
     pub(super) fn is_legacy_record_full(&self, shard: u32) -> bool {
         let limit = self.limits().value as f64 * LEGACY_PLACEMENT_SIZE_FRACTION;
         self.uses_legacy_layout()
-            && self.segments.get(&SegmentId::whole(shard)).is_some_and(|l| l.size_bytes as f64 > limit)
+            && self
+                .segments
+                .get(&SegmentId::whole(shard))
+                .is_some_and(|segment| segment.size_bytes as f64 > limit)
     }
 }
 
--- a/crates/dapplecroft-controller/src/loops/admission.rs
+++ b/crates/dapplecroft-controller/src/loops/admission.rs
@@ -29,8 +29,8 @@
             let _ = timeout(GRANT_INTERVAL, self.wake_admission.notified()).await;
             if self.with(|core| core.grants_credit(now())) {
                 let replies = self.collect_demand().await;
-                let wall = self.wall_seconds();
-                if let Some(update) = self.with(|core| core.credit_update(&replies, wall, now())) {
+                let wall_clock_s = self.wall_seconds();
+                if let Some(update) = self.with(|core| core.credit_update(&replies, wall_clock_s, now())) {
                     self.commit_credit_update(update).await;
                 }
             }
--- a/crates/dapplecroft-controller/src/loops/election.rs
+++ b/crates/dapplecroft-controller/src/loops/election.rs
@@ -358,7 +358,7 @@
                 && u128::from(reply.state_age_ms) < max_age.as_millis()
             {
                 let candidate = (reply.state_age_ms, n);
-                freshest = Some(freshest.map_or(candidate, |b: (u64, usize)| b.min(candidate)));
+                freshest = Some(freshest.map_or(candidate, |best: (u64, usize)| best.min(candidate)));
             }
         }
         freshest.map(|(_, n)| n)
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -39,7 +39,7 @@
         loop {
             let _ = timeout(MAX_IDLE_INTERVAL, self.wake_place.notified()).await;
             let started_at = now();
-            let wall = self.wall_seconds();
+            let wall_clock_s = self.wall_seconds();
             // While writes are scarce and many decisions wait to be committed, the next round is
             // delayed so that it decides more at once. The delay is limited, because the backlog
             // may be this controller's alone while other shard holders are idle.
@@ -55,7 +55,7 @@
             }
             last_round = started_at;
             let update = self.with(|core| {
-                core.place(wall, writes_scarce, now());
+                core.place(wall_clock_s, writes_scarce, now());
                 core.drain_step(now())
             });
             if let Some(update) = update {
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -234,8 +234,8 @@
 
     fn decide_admission(&self, spec: &JobSpec) -> AdmissionDecision {
         let random = lock(&self.rng).random();
-        let wall = self.wall_seconds();
-        self.with(|core| core.decide_admission(spec, random, wall, now()))
+        let wall_clock_s = self.wall_seconds();
+        self.with(|core| core.decide_admission(spec, random, wall_clock_s, now()))
     }
 
     async fn commit_submission(
--- a/crates/dapplecroft-sched/src/preempt.rs
+++ b/crates/dapplecroft-sched/src/preempt.rs
@@ -28,7 +28,7 @@
 
 /// Chooses the tasks to preempt on one machine so that a waiting task fits there,
 /// preferring tasks that lose little machine time; no task that would lose more than
-/// `limit` is chosen. A task may be preempted by one of higher rank, or, if its team
+/// `max_lost_time` is chosen. A task may be preempted by one of higher rank, or, if its team
 /// is over its guaranteed quota, by one within its own team's guaranteed quota. The
 /// resources of tasks that are already being stopped count as free.
 ///
@@ -40,7 +40,7 @@
     placed_tasks: &[PlacedTask],
     requirements: &TaskRequirements,
     claim: Claim,
-    limit: Duration,
+    max_lost_time: Duration,
 ) -> Option<Victims> {
     let allowed = requirements.allows(&machine.machine_type, &machine.zone, machine.spot);
     if !machine.schedulable || !allowed || !requirements.resources.fits(&machine.capacity) {
@@ -50,7 +50,7 @@
         .filter(|&index| {
             let placed_task = &placed_tasks[index];
             !placed_task.stopping
-                && placed_task.lost_if_stopped <= limit
+                && placed_task.lost_if_stopped <= max_lost_time
                 && (claim.rank < placed_task.rank || (claim.within_quota && placed_task.over_quota))
         })
         .collect();
--- a/crates/dapplecroft-sched/src/teams.rs
+++ b/crates/dapplecroft-sched/src/teams.rs
@@ -24,8 +24,10 @@
 impl TeamQuota {
     /// Whether starting `task` keeps the team's usage within its limits.
     pub fn limit_allows(&self, task: &Resources) -> bool {
-        let ok = |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
-        ok(self.used.cpus, task.cpus, self.limit.cpus) && ok(self.used.gpus, task.gpus, self.limit.gpus)
+        let allows =
+            |used: i64, more: i64, limit: i64| limit == NO_LIMIT || more == 0 || used + more <= limit;
+        allows(self.used.cpus, task.cpus, self.limit.cpus)
+            && allows(self.used.gpus, task.gpus, self.limit.gpus)
     }
 
     /// How many more tasks of this size may start within the team's limits;
