--- a/crates/dapplecroft-controller/src/core/allocation.rs
+++ b/crates/dapplecroft-controller/src/core/allocation.rs
@@ -26,7 +26,7 @@
 /// Waiting tasks may be allocated to a shard in advance for one eighth of its CPUs, so
 /// that the shard's holder can fill freed room without asking the leader.
 const BACKLOG_DIVISOR: i64 = 8;
-/// The same for urgent jobs: a quarter, since the holder preempts other tasks for them.
+/// Like [`BACKLOG_DIVISOR`], for urgent jobs: a quarter, since the holder preempts other tasks for them.
 const URGENT_BACKLOG_DIVISOR: i64 = 4;
 
 /// How long another holder's report of freed room is used.
@@ -384,8 +384,8 @@
         if let Some(last) = last(&job.record.allocated).max(last(&job.allocating)) {
             return last + 1;
         }
-        // Each part has as many tasks as a shard full of the largest allowed machines
-        // can run: this number does not change while the fleet grows.
+        // Each shard's part has as many tasks as fit in a full shard of the allowed machine type
+        // that holds most of them: this number does not change while the fleet grows.
         let types = self.catalog.iter().flat_map(|catalog| &catalog.machine_types);
         let allowed = types
             .filter(|t| job.requirements.machine_types.as_ref().is_none_or(|names| names.contains(&t.name)));
--- a/crates/dapplecroft-controller/src/core/capacity_usage.rs
+++ b/crates/dapplecroft-controller/src/core/capacity_usage.rs
@@ -66,7 +66,7 @@
 }
 
 impl Core {
-    /// What the CPUs of the machines in this controller's shards are used for now.
+    /// Numbers of CPUs in this controller's shards by what they are used for now.
     pub(super) fn capacity_usage(&self, now: Instant) -> CapacityUsage {
         let max_heartbeat_age = self.max_heartbeat_age();
         let mut usage = CapacityUsage::default();
--- a/crates/dapplecroft-controller/src/core/catalog.rs
+++ b/crates/dapplecroft-controller/src/core/catalog.rs
@@ -61,7 +61,7 @@
     }
 
     /// Kinds of machine that can be rented now: every machine type in each of its zones, as
-    /// ordinary and as spot machine, except kinds that the cloud has recently refused.
+    /// on-demand and as spot machine, except kinds that the cloud has recently refused.
     pub(super) fn rental_offers(&self, now: Instant) -> Vec<MachineOffer> {
         let Some(catalog) = &self.catalog else { return Vec::new() };
         let mut offers = Vec::new();
@@ -130,14 +130,14 @@
             .collect()
     }
 
-    /// Number of ordinary (non-spot) machines to hold ready for services that may be submitted.
+    /// Number of on-demand (non-spot) machines to hold ready for services that may be submitted.
     /// Services must start within seconds, and no machine boots that quickly.
     pub(super) fn standby_target(&self) -> usize {
         let services_expected = self.settings.expects_services() && !self.uses_legacy_layout();
         if services_expected { self.options.standby_machines } else { 0 }
     }
 
-    /// Machines that are held ready for services: the first active ordinary ones in the order
+    /// Machines that are held ready for services: the first active on-demand ones in the order
     /// of their ids, so that every controller selects the same machines.
     pub(super) fn standby_machine_ids(&self) -> BTreeSet<Arc<str>> {
         let mut ids: Vec<&Arc<str>> = self
@@ -151,7 +151,7 @@
     }
 
     /// Returns the kind and the number of machines to rent so that enough are held ready for
-    /// services; `None` if enough exist or are on their way. It selects the ordinary kind with
+    /// services; `None` if enough exist or are on their way. It selects the on-demand kind with
     /// the shortest sum of the boot time and the time to fetch one gigabyte of an image.
     pub(super) fn standby_scale_out(&self, offers: &[MachineOffer]) -> Option<ScaleOutRequest> {
         let on_demand_count = |capacity: &PendingCapacity| if capacity.spot { 0 } else { capacity.count };
--- a/crates/dapplecroft-controller/src/core/commit.rs
+++ b/crates/dapplecroft-controller/src/core/commit.rs
@@ -36,7 +36,7 @@
     pub update: AtomicUpdate,
     /// Whether urgent work or the completion of a job waits for this commit.
     pub urgent: bool,
-    /// Number of the commit, by which its end is told from that of a later commit of the target.
+    /// Number of the commit, which distinguishes it from later commits of the same target.
     sequence_number: u64,
     /// Proposed placements that the commit contains.
     proposals: Vec<(TaskId, Placement)>,
@@ -319,9 +319,8 @@
     }
 
     /// Withdraws a segment's proposals that did not fit into its record for `PROPOSAL_TIMEOUT`, and
-    /// those whose allocation was revoked. While a commit of the segment was in flight, they could
-    /// not be told apart from the proposals in that commit, and no other event would withdraw them
-    /// later.
+    /// those whose allocation was revoked. While a commit of the segment was in flight, these
+    /// proposals may have been part of it and had to stay; no later event would withdraw them.
     fn withdraw_stale_proposals(&mut self, segment: SegmentId, now: Instant) {
         let timed_out = |p: &Placement| now.saturating_duration_since(p.learned_at) > PROPOSAL_TIMEOUT;
         self.withdraw_shard_proposals_if(segment.shard, |job, index, p| {
--- a/crates/dapplecroft-controller/src/core/commit_queue.rs
+++ b/crates/dapplecroft-controller/src/core/commit_queue.rs
@@ -10,8 +10,8 @@
 /// While the write budget is scarce, task exits that do not finish their job wait this long, so
 /// that one commit can cover several exits of a segment.
 const DEFERRED_EXITS_DELAY: Duration = Duration::from_secs(3);
-/// Deferred exits give way to allocations and placements for at most this long: a worker lists an
-/// exited task in its heartbeats until the exit is committed.
+/// Allocations and placements are committed before deferred exits for at most this long: a worker
+/// lists an exited task in its heartbeats until the exit is committed.
 const DEFERRED_EXITS_MAX_DELAY: Duration = Duration::from_secs(8);
 
 /// A first-in, first-out queue of commit targets without duplicates.
--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -166,7 +166,7 @@
         self.with_credit(|credit| credit.ledger.remove_job(id));
     }
 
-    /// Tells the ledger up to which revision all records have been applied.
+    /// Informs the ledger up to which revision all records have been applied.
     pub(super) fn set_credit_revision(&mut self, revision: u64) {
         self.with_credit(|credit| credit.ledger.set_applied_revision(revision));
     }
@@ -198,7 +198,7 @@
             .map(|t| ResourceAmounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
             .collect();
         let per_task = ResourceAmounts { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
-        // A service has no end, so it is charged for the whole time over which the policy limits
+        // A service never completes, so it is charged for the whole time over which the policy limits
         // outstanding work.
         let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_for_limit(limit));
         let horizon_s = limit as f64 / cpus.max(1.0);
--- a/crates/dapplecroft-controller/src/core/federation/host.rs
+++ b/crates/dapplecroft-controller/src/core/federation/host.rs
@@ -247,7 +247,7 @@
         pools.any(|pool| resources.fits(&pool.free))
     }
 
-    /// Free capacity of the machines that take work, with equal machines grouped together.
+    /// Free capacity of the machines that accept tasks, with equal machines grouped together.
     fn active_machine_pools(&self) -> Vec<MachinePool> {
         type PoolKey<'a> = (&'a str, &'a str, bool, i64, i64, i64);
         let mut pools: BTreeMap<PoolKey, MachinePool> = BTreeMap::new();
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -263,7 +263,7 @@
         pending
     }
 
-    /// Plans rent requests for the tasks that found no room, and for standby machines. Each
+    /// Plans rent requests for the tasks that fit on no machine, and for standby machines. Each
     /// request is for one shard with space for its machines.
     fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
         let Some(leader_term) = self.role.leader_key_version else { return };
@@ -398,7 +398,7 @@
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
-        // Until then the list may still show machines that an earlier leader released.
+        // During the first two list delays of its term, the list may still show machines that an earlier leader released.
         let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -372,7 +372,7 @@
     }
 
     /// Marks the write of a group's record as finished, whatever its outcome. Changes that
-    /// were not committed are found again by the next [`Core::group_updates`].
+    /// were not committed are found again by the next call of `group_updates`.
     pub fn finish_group_write(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.write_in_flight = false;
@@ -405,7 +405,7 @@
 
     /// Updates the machines of a group from a new version of its record; `None` means
     /// that the record was deleted. Machines that the record no longer has are removed
-    /// by [`Core::remove_departed_machines`].
+    /// by `remove_departed_machines`.
     pub(super) fn apply_group(
         &mut self,
         name: &str,
--- a/crates/dapplecroft-controller/src/core/machine_phase.rs
+++ b/crates/dapplecroft-controller/src/core/machine_phase.rs
@@ -15,8 +15,8 @@
 /// Maximum number of probes in flight to machines that have not sent a heartbeat yet. A
 /// controller that acquires shards with hundreds of machines must not probe all at once.
 const MAX_CONCURRENT_PROBES: usize = 32;
-/// The same for machines that have stopped sending heartbeats. The limit is higher
-/// because most of these probes time out, and the tasks of the machines cannot be
+/// Maximum number of probes in flight to machines that have stopped sending heartbeats. The
+/// limit is higher because most of these probes time out, and the tasks of the machines cannot be
 /// restarted before that.
 const MAX_CONCURRENT_SILENT_PROBES: usize = 128;
 /// After a controller acquires a shard, most workers report on their own within this
@@ -32,8 +32,8 @@
 /// A worker counts as silent after this many heartbeat intervals without a heartbeat, if
 /// it has not answered a probe either.
 const SILENT_AFTER_INTERVALS: f64 = 1.9;
-/// The same for machines that run service replicas. They serve users, so an outage has to
-/// be found soonest: their workers are probed even between two heartbeats.
+/// [`PROBE_AFTER_INTERVALS`] for machines that run service replicas. Replicas serve users, so an
+/// outage has to be found soonest: their workers are probed even between two heartbeats.
 const REPLICA_PROBE_AFTER_INTERVALS: f64 = 0.6;
 /// [`SILENT_AFTER_INTERVALS`] for machines that run service replicas.
 const REPLICA_SILENT_AFTER_INTERVALS: f64 = 0.9;
--- a/crates/dapplecroft-controller/src/core/migration.rs
+++ b/crates/dapplecroft-controller/src/core/migration.rs
@@ -2,8 +2,8 @@
 //! size, to segments of bounded size.
 //!
 //! The old value may exceed the present size limit, so it is never written again.
-//! Segments take over its machines one by one, and the value is deleted when they have
-//! taken over all of it. The records are consistent after every step, so that the next
+//! Segments adopt its machines one by one, and the value is deleted when nothing is left that only
+//! that value records. The records are consistent after every step, so that the next
 //! holder of the shard can continue the migration.
 //!
 //! To be deleted together with [`crate::legacy`].
@@ -18,7 +18,7 @@
 /// Maximum size of a piece of a job's completed tasks that is assigned to one segment.
 const HISTORY_CHUNK_BYTES: usize = 400;
 
-/// History of tasks that a segment takes over from another record besides machines.
+/// History of tasks that a segment inherits from another record, in addition to machines.
 #[derive(Debug, Clone, Default)]
 pub(super) struct InheritedHistory {
     /// Completed tasks by job.
@@ -28,7 +28,7 @@
 }
 
 impl Core {
-    /// Decides, as the shard's holder, which segment takes over which part of the layout 1
+    /// Decides, as the shard's holder, which segment inherits which part of the layout 1
     /// record, and queues the segments for commits with no urgency.
     pub(super) fn plan_migration(&mut self, shard: u32, _now: Instant) {
         let whole = SegmentId::whole(shard);
@@ -135,7 +135,7 @@
         (done, last_attempts)
     }
 
-    /// Whether segments have taken over everything in a shard's layout 1 record.
+    /// Whether segment records contain everything that is still needed of a shard's layout 1 record.
     pub(super) fn is_migration_complete(&self, shard: u32) -> bool {
         let Some(old) = self.segments.get(&SegmentId::whole(shard)) else { return false };
         let open = |span: &crate::records::TaskSpan| {
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -139,7 +139,7 @@
     pub segment_bytes: usize,
     /// Share of the CPUs of machines that accept tasks which is free, in percent.
     pub free_cpu_percent: i64,
-    /// What the CPUs of all machines in the held shards are used for.
+    /// Numbers of CPUs in the held shards by what they are used for.
     pub usage: CapacityUsage,
     /// Layout of the records that is in force.
     pub layout: u32,
@@ -154,13 +154,13 @@
     pub version: u64,
     /// Size of the record as stored, in bytes.
     pub size_bytes: usize,
-    /// Estimate of the size in bytes to which the record may grow when the tasks in it end, since ends
+    /// Estimate of the size in bytes to which the record may grow when its tasks exit, since exits
     /// split task ranges and add completed ranges.
     pub max_size_bytes: usize,
 }
 
 impl Segment {
-    /// Whether the record is empty, because another segment has taken over its content.
+    /// Whether the record is empty, because its content was merged into another segment.
     fn is_empty(&self) -> bool {
         self.record == SegmentRecord::default()
     }
@@ -220,7 +220,7 @@
     /// The last proposal whose size was added to `proposed_bytes`, and its segment. The next task
     /// of the same job may extend its span and then takes fewer bytes.
     last_sized_proposal: Option<(SegmentId, TaskId)>,
-    /// Completed ranges and attempt numbers that the next commit of a segment takes over, from a
+    /// Completed ranges and attempt numbers that the next commit of a segment adds to it, from a
     /// shard's record of the first layout or from a segment that is merged into it.
     inherited_history: BTreeMap<SegmentId, migration::InheritedHistory>,
     /// Completed tasks that are kept in records of their own, by job and record number.
@@ -250,7 +250,7 @@
     /// Leadership and shard leases of this process.
     pub role: Role,
     /// Tasks that a worker reports although no record places them on its machine. They must end
-    /// before the same task may run elsewhere.
+    /// before the same task may be started on another machine.
     pub unexpected_tasks: HashMap<TaskId, Arc<str>>,
     /// When the cloud confirmed the release of each machine.
     pub released_machines: HashMap<Arc<str>, Instant>,
@@ -366,8 +366,8 @@
         self.wakeups.place = true;
     }
 
-    /// Frees the resources of a task that provably no longer runs on its machine, before the end of
-    /// the task is committed. A new placement in the freed room is committed together with that end
+    /// Frees the resources of a task that provably no longer runs on its machine, before the exit of
+    /// the task is committed. A new placement in the freed room is committed together with that exit
     /// or after it, since both are in the same segment record.
     fn free_exited_task(&mut self, task: &TaskId) {
         let Some(Job::Open(job)) = self.jobs.get_mut(&task.job) else { return };
--- a/crates/dapplecroft-controller/src/core/preemption.rs
+++ b/crates/dapplecroft-controller/src/core/preemption.rs
@@ -39,7 +39,7 @@
 struct PreemptionRequest<'a> {
     /// Requirements of each waiting task.
     requirements: &'a TaskRequirements,
-    /// Rank and quota standing of the waiting job, which decide what it may preempt.
+    /// Rank of the waiting job and whether it is within quota, which decide what it may preempt.
     claim: Claim,
     /// Number of waiting tasks.
     wanted_tasks: i64,
@@ -68,7 +68,7 @@
     machine: usize,
     /// Machine time that the stopped tasks lose.
     lost_time: Duration,
-    /// Indices of the machine's residents to stop.
+    /// Indices of the tasks to stop in the machine's `placed_tasks`.
     victims: Vec<usize>,
 }
 
@@ -126,8 +126,8 @@
 }
 
 impl Core {
-    /// Describes a machine as the scheduler's drain and preemption planners need it.
-    /// It is open for new tasks only in a shard whose lease this controller holds.
+    /// Describes a machine for the planners of drains and preemption. The machine counts as
+    /// schedulable only if this controller holds the lease of its shard.
     pub(super) fn machine_snapshot(&self, machine: &Machine, now: Instant) -> MachineSnapshot {
         let epoch = self.role.leased_shards.get(&machine.shard).map(|lease| lease.epoch);
         MachineSnapshot {
@@ -224,7 +224,8 @@
             let mut lost = Duration::ZERO;
             for (&shard, &wanted_tasks) in &unplaced.waiting_by_shard {
                 // A task allocated to a shard can only use room in that shard. Room made
-                // in another shard would go to other tasks, and be made again and again.
+                // in another shard would go to other tasks, so that each pass would preempt
+                // again for the same task.
                 let mut shard_machines: Vec<&mut OccupiedMachine> =
                     machines.iter_mut().filter(|m| shard.is_none_or(|s| s == m.shard)).collect();
                 let request = PreemptionRequest {
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -24,7 +24,7 @@
 
     /// Records a confirmation of this process's role: when the request was sent, and the revision at which
     /// the state service confirmed it. It counts only once the record replica has applied all changes up to
-    /// that revision, so that a shard holder in contact knows of every cancellation committed before.
+    /// that revision, so that the replica of a shard holder in contact contains every cancellation committed before.
     pub fn confirm_role(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
             self.role.last_confirmation_sent = self.role.last_confirmation_sent.max(Some(sent));
@@ -130,7 +130,7 @@
     }
 
     /// How long this process may act without a confirmation: the term of its shard leases, or less if
-    /// that is needed to end tasks in time after a cancellation that it has not heard of.
+    /// that is needed to end tasks in time after a cancellation that is not in its replica yet.
     pub fn contact_limit(&self) -> Duration {
         self.settings.contact_limit().min(self.options.shard_lease)
     }
--- a/crates/dapplecroft-controller/src/core/segment_sync.rs
+++ b/crates/dapplecroft-controller/src/core/segment_sync.rs
@@ -226,7 +226,7 @@
         done.chain(last_attempts).filter_map(known).collect()
     }
 
-    /// Copies a job's completed tasks and last attempts from a segment's record.
+    /// Replaces a job's completed tasks and last attempts in this segment by those in the segment's record.
     fn apply_history(&mut self, job_id: &str, id: SegmentId, record: &SegmentRecord) {
         let Some(job) = self.open_job_mut(job_id) else { return };
         let done = ranges_of(&record.done, job_id);
--- a/crates/dapplecroft-controller/src/core/segments.rs
+++ b/crates/dapplecroft-controller/src/core/segments.rs
@@ -44,7 +44,7 @@
     id.len() / 2 + 4
 }
 
-/// Weight of a task that extends the preceding span, or else begins a new one.
+/// Weight of a task: small if it extends the preceding span, larger if it begins a new one.
 fn task_weight(extends_span: bool) -> usize {
     if extends_span { 1 } else { SPAN_BYTES + SPAN_COMPLETIONS_BYTES }
 }
@@ -317,8 +317,8 @@
     }
 
     /// Assigns machines that the segment's record does not list yet to other segments
-    /// until the tasks on the remaining ones fit a value. Committed tasks must always
-    /// fit. They can fail to only when they migrate here from a layout 1 record.
+    /// until the tasks on the remaining ones fit a value. Committed tasks must always fit;
+    /// they can exceed a value only when they migrate to this segment from a layout 1 record.
     pub(super) fn move_excess_machines(&mut self, id: SegmentId) {
         let Some(segment) = id.segment else { return };
         let limit = self.limits().value;
--- a/crates/dapplecroft-controller/src/core/serving_order.rs
+++ b/crates/dapplecroft-controller/src/core/serving_order.rs
@@ -138,7 +138,7 @@
     /// jobs of a higher rank would preempt them again and again.
     pub(super) fn effective_rank(&self, job: &OpenJob) -> u8 {
         let waited_long = self.wall_clock_s - job.record.submitted_at > MAX_START_WAIT_S;
-        // A few tasks are enough for a start: a large job must not displace all work of
+        // A few tasks are enough for a start: a large job must not preempt all work of
         // the higher rank.
         let few_started = job.placed.len() <= MAX_BOOSTED_TASKS && job.done.is_empty();
         if waited_long && few_started { job.priority_rank().saturating_sub(1) } else { job.priority_rank() }
--- a/crates/dapplecroft-controller/src/core/session.rs
+++ b/crates/dapplecroft-controller/src/core/session.rs
@@ -94,7 +94,7 @@
     }
 
     /// Updates the machine and its tasks from a worker's report, whether it came as a heartbeat or in
-    /// answer to a probe or to commands. Reports no newer than the last one are ignored.
+    /// answer to a probe or to commands. A report that is not newer than the last applied one is ignored.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let Some(machine) = self.machines.get_mut(heartbeat.machine.as_str()) else { return };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else { return };
@@ -104,8 +104,8 @@
             return;
         }
         let first = machine.last_heartbeat.is_none();
-        // `commanding` is kept even if the session is new: `clear` must wait until no direct command
-        // can still be in flight.
+        // `command_in_flight` is kept even if the session is new: a `clear` command must wait until no
+        // direct command can still be in flight.
         machine.session = heartbeat.session;
         machine.sequence = heartbeat.sequence;
         machine.seen_token = heartbeat.token;
@@ -212,7 +212,8 @@
             .filter(|(_, r)| r.state == TaskState::Running)
             .filter_map(|(t, _)| self.open_job(&t.job).and_then(|j| j.requirements.image.clone()))
             .collect();
-        // A task that runs on this machine without a record must end here before it may run elsewhere.
+        // A task that runs on this machine although no record places it there must end before it may be
+        // started on another machine.
         self.unexpected_tasks.retain(|_, on| on != id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         for image in running_images {
@@ -355,8 +356,8 @@
     }
 
     /// Commands that bring a machine from what it last reported to what the records ask of it. `clear` is
-    /// only sent in the reply to a heartbeat (`in_reply`): a delayed copy of a start must not arrive after
-    /// it.
+    /// only sent in the reply to a heartbeat (`in_reply`): a delayed `start` of the same attempt must
+    /// not arrive after the `clear`.
     fn pending_commands(&self, id: &str, in_reply: bool, now: Instant) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let Some(shard_lease) = self.role.leased_shards.get(&machine.shard).copied() else {
--- a/crates/dapplecroft-controller/src/core/updates.rs
+++ b/crates/dapplecroft-controller/src/core/updates.rs
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Starts the next version of a segment's record: the completed tasks and last attempts
-    /// that are still needed, including those that the segment takes over from another
+    /// that are still needed, including those that the segment inherits from another
     /// record, and the machines that it must list even without tasks.
     fn carried_history(&self, id: SegmentId) -> SegmentRecord {
         let mut record = SegmentRecord::default();
@@ -167,7 +167,7 @@
         conditions.push(Condition { key: key.clone(), version: old.map_or(0, |o| o.version) });
         if !self.uses_legacy_layout() && id.segment.is_none() {
             // After the layout switch the record of the whole shard is never written
-            // again, only deleted when segments have taken over all of it.
+            // again, only deleted when segment records contain all that is still needed of it.
             let moved = old.is_some() && self.is_migration_complete(id.shard);
             let changes = vec![Change::Drop { key }];
             return moved.then_some((AtomicUpdate { conditions, changes }, Vec::new()));
--- a/crates/dapplecroft-controller/src/loops.rs
+++ b/crates/dapplecroft-controller/src/loops.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 
 impl Node {
-    /// Starts all loops. Returns only if this process must exit ([`Node::ended`] gives the
+    /// Starts all loops. Returns only if this process must exit ([`Node::shutdown_reason`] gives the
     /// reason); no loop returns by itself.
     pub async fn run(self: &Arc<Self>) {
         let mut loops = JoinSet::new();
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -45,7 +45,7 @@
     format!("dc/a/g/{page}")
 }
 
-/// Key of one part of the list of machine types.
+/// Key of one page of the catalog of machine types.
 pub fn catalog_key(part: u32) -> String {
     format!("dc/c/{part}")
 }
@@ -293,7 +293,8 @@
     /// Where the job comes from, if another cell is its home cell.
     #[serde(rename = "or", default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
-    /// What admission control charged for the job, and to which grant; kept forever.
+    /// Credit that admission control charged for the job, and the grant that was charged; kept
+    /// forever.
     #[serde(rename = "cr", default, skip_serializing_if = "Option::is_none")]
     pub credit: Option<CreditTag>,
 }
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -103,7 +103,7 @@
         reply
     }
 
-    /// What is committed about a job. The final stages (done and withdrawn) never change, so they are
+    /// What is committed about a job. The final stages (done and cancelled) never change, so they are
     /// answered from memory, even in an outage. Anything else, including that there is no such job, is
     /// first confirmed with the state service.
     async fn look_up_job(self: &Arc<Self>, id: &str) -> JobLookup {
--- a/crates/dapplecroft/src/cells_grpc.rs
+++ b/crates/dapplecroft/src/cells_grpc.rs
@@ -22,7 +22,7 @@
 /// stay open and carry few requests.
 const MAX_STREAMS_PER_CONNECTION: u32 = 4;
 /// Message of the `ABORTED` status for a sender whose incarnation has been replaced. The client compares it,
-/// because [`ExchangeError::OtherCell`] is sent with the same status code.
+/// because [`ExchangeError::WrongReceiver`] is sent with the same status code.
 const OUTDATED_SENDER_MESSAGE: &str = "the sender's incarnation is outdated";
 /// Message of the `ABORTED` status for a request addressed to another cell or incarnation.
 const OTHER_CELL_MESSAGE: &str = "another cell or incarnation";
--- a/crates/dapplecroft/src/options/admission.rs
+++ b/crates/dapplecroft/src/options/admission.rs
@@ -5,7 +5,7 @@
 use dapplecroft_admission::{RawAdmissionConfig, SettingsError};
 use prost_reflect::DynamicMessage;
 
-/// Reads one class. A missing weight becomes 0, which [`RawAdmission::check`] rejects.
+/// Reads one class. A missing weight becomes 0, which [`RawAdmissionConfig::check`] rejects.
 fn parse_class(message: &DynamicMessage) -> RawClass {
     RawClass { name: string_field(message, "name"), weight: f64_field(message, "weight").unwrap_or(0.0) }
 }
