--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -398,7 +398,8 @@
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
-        // During the first two list delays of its term, the list may still show machines that an earlier leader released.
+        // During the first two list lags of its term, the leader may still see machines in the list
+        // that an earlier leader released.
         let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -24,7 +24,8 @@
 
     /// Records a confirmation of this process's role: when the request was sent, and the revision at which
     /// the state service confirmed it. It counts only once the record replica has applied all changes up to
-    /// that revision, so that the replica of a shard holder in contact contains every cancellation committed before.
+    /// that revision, so that the replica of a shard holder in contact contains every cancellation
+    /// committed before.
     pub fn confirm_role(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
             self.role.last_confirmation_sent = self.role.last_confirmation_sent.max(Some(sent));
--- a/crates/dapplecroft/src/main.rs
+++ b/crates/dapplecroft/src/main.rs
@@ -69,7 +69,8 @@
 }
 
 /// Lower bound on the process's socket limit, even if the platform's `max_connections` is smaller. A process
-/// with fewer could serve nobody: [`SocketLimiter`] reserves this many for the connections that the process makes.
+/// with fewer could serve nobody: [`SocketLimiter`] reserves this many for the connections that the process
+/// makes.
 const MIN_SOCKET_LIMIT: usize = 64;
 /// Number of task polls after which the runtime checks for I/O events and expired timers, so that urgent work
 /// such as a lease renewal does not wait until all ready tasks have run.
