--- a/crates/dapplecroft-controller/tests/stories/answers.rs
+++ b/crates/dapplecroft-controller/tests/stories/answers.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-fn runs(timing: &mut WorkerTiming) {
+fn set_run_times(timing: &mut WorkerTiming) {
     for k in 0..10 {
         timing.runs.insert(format!("run-1{k}"), Duration::from_secs(100));
         timing.runs.insert(format!("run-2{k}"), Duration::from_millis(700));
@@ -14,13 +14,13 @@
 }
 
 /// Asks at all nodes within milliseconds, a few times, and submits again.
-async fn close_looks(c: &Cluster, id: &str, body: &Value, expected: &[&str]) {
+async fn assert_answers_have_stage(cluster: &Cluster, id: &str, body: &Value, expected: &[&str]) {
     for round in 0..4 {
-        for (status, answer) in c.look(id).await {
+        for (status, answer) in cluster.look(id).await {
             let stage = answer["stage"].as_str().unwrap_or_default();
             assert!(status == 503 || (status == 200 && expected.contains(&stage)), "{id}: {status} {answer}");
         }
-        let (status, stage) = c.ask_submit(round % 3, id, body).await;
+        let (status, stage) = cluster.ask_submit(round % 3, id, body).await;
         assert!(
             status == 503 || (status == 200 && expected.contains(&stage.as_str())),
             "{id}: {status} {stage}"
@@ -31,127 +31,131 @@
 
 /// Jobs are accepted, withdrawn at once or later, or end; after each fact all
 /// nodes are asked. Returns how many answers were of use.
-async fn a_spell_of_looks(c: &Cluster, round: usize) {
-    const OPEN: &[&str] = &["queued", "running"];
-    let at = |n: usize| (round + n) % 3;
+async fn submit_and_query_two_jobs(cluster: &Cluster, round: usize) {
+    const OPEN_STAGES: &[&str] = &["queued", "running"];
+    let node_at = |n: usize| (round + n) % 3;
     // Withdrawn at once, by another node than the one that accepted it.
     let (id, body) = (format!("run-1{round}"), job(&format!("run-1{round}"), "free", 2, 4.0, "normal"));
-    c.referee.job(&id, "free", 4.0);
-    while !matches!(c.ask_submit(at(0), &id, &body).await.0, 200 | 201) {
+    cluster.referee.job(&id, "free", 4.0);
+    while !matches!(cluster.ask_submit(node_at(0), &id, &body).await.0, 200 | 201) {
         pause(0.2).await;
     }
-    while c.ask_withdraw(at(1), &id).await.0 != 200 {
+    while cluster.ask_withdraw(node_at(1), &id).await.0 != 200 {
         pause(0.2).await;
     }
-    close_looks(c, &id, &body, &["withdrawn"]).await;
+    assert_answers_have_stage(cluster, &id, &body, &["withdrawn"]).await;
     // Looked at, and left to end.
     let (id, body) = (format!("run-2{round}"), job(&format!("run-2{round}"), "free", 2, 4.0, "normal"));
-    c.referee.job(&id, "free", 4.0);
-    while !matches!(c.ask_submit(at(2), &id, &body).await.0, 200 | 201) {
+    cluster.referee.job(&id, "free", 4.0);
+    while !matches!(cluster.ask_submit(node_at(2), &id, &body).await.0, 200 | 201) {
         pause(0.2).await;
     }
-    close_looks(c, &id, &body, &["queued", "running", "done"]).await;
+    assert_answers_have_stage(cluster, &id, &body, &["queued", "running", "done"]).await;
     let mut done = false;
     for _ in 0..600 {
-        done = c.look(&id).await.iter().any(|(_, answer)| answer["stage"] == "done");
+        done = cluster.look(&id).await.iter().any(|(_, answer)| answer["stage"] == "done");
         if done {
             break;
         }
         pause(0.05).await;
     }
     assert!(done, "{id} ends");
-    close_looks(c, &id, &body, &["done"]).await;
-    assert_eq!(c.ask_withdraw(at(1), &id).await.1, "done");
-    assert!(!OPEN.contains(&c.referee_stage(&id).as_str()));
+    assert_answers_have_stage(cluster, &id, &body, &["done"]).await;
+    assert_eq!(cluster.ask_withdraw(node_at(1), &id).await.1, "done");
+    assert!(!OPEN_STAGES.contains(&cluster.referee_stage(&id).as_str()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_node_answers_older_than_another_did() {
-    let c = Cluster::with(4, runs, Options::default()).await;
+async fn no_controller_answers_with_an_older_stage_than_another_did() {
+    let cluster = Cluster::with(4, set_run_times, Options::default()).await;
     for round in 0..3 {
-        a_spell_of_looks(&c, round).await;
+        submit_and_query_two_jobs(&cluster, round).await;
     }
-    c.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_node_answers_older_than_another_did_whose_answer_from_the_state_service_was_lost() {
+async fn no_controller_answers_with_an_older_stage_after_a_state_service_answer_was_lost() {
     for action in [Action::LoseAnswer, Action::Hold] {
-        let c = Cluster::with(4, runs, Options::default()).await;
+        let cluster = Cluster::with(4, set_run_times, Options::default()).await;
         for round in 0..3 {
             // Of every node's changes of jobs one has no answer: carried out, or late.
             for n in 0..3 {
-                c.net
+                cluster
+                    .net
                     .rule(Rule::all(&host(n), STATE, action).path("/multi").body("\"set\":\"dc/j/").times(1));
             }
-            a_spell_of_looks(&c, round).await;
-            c.net.deliver().await;
+            submit_and_query_two_jobs(&cluster, round).await;
+            cluster.net.deliver().await;
             for id in [format!("run-1{round}"), format!("run-2{round}")] {
-                c.look(&id).await;
+                cluster.look(&id).await;
             }
         }
-        assert!(c.net.matched(action) >= 6, "{}", c.net.matched(action));
-        c.assert_rules_kept();
+        assert!(cluster.net.matched(action) >= 6, "{}", cluster.net.matched(action));
+        cluster.assert_rules_kept();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_process_that_has_just_started_and_none_that_asks_a_peer_answers_older() {
-    let c = Cluster::with(4, runs, Options::default()).await;
+async fn restarted_and_forwarding_controllers_do_not_answer_with_an_older_stage() {
+    let cluster = Cluster::with(4, set_run_times, Options::default()).await;
     for round in 0..6 {
-        let leader = c.leader().unwrap();
+        let leader = cluster.leader().unwrap();
         let other = (leader + 1) % 3;
         if round % 2 == 0 {
             // Its copy is loading while it is asked.
-            c.kill_node(other);
-            c.start_node(other);
+            cluster.kill_node(other);
+            cluster.start_node(other);
         } else {
             // It has its users answered by a peer, and takes over again.
-            c.state.bar(&host(other), true);
+            cluster.state.bar(&host(other), true);
             pause(3.0).await;
         }
-        a_spell_of_looks(&c, round).await;
-        c.state.bar(&host(other), false);
+        submit_and_query_two_jobs(&cluster, round).await;
+        cluster.state.bar(&host(other), false);
         for k in 0..=round {
             for id in [format!("run-1{k}"), format!("run-2{k}")] {
-                c.look(&id).await;
+                cluster.look(&id).await;
             }
         }
     }
-    assert!(c.state.turned_away() > 0);
-    c.assert_rules_kept();
+    assert!(cluster.state.turned_away() > 0);
+    cluster.assert_rules_kept();
 }
 
 // Done or withdrawn, one of both and for ever, at every node.
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_that_meets_the_end_of_the_last_task_is_one_or_the_other_for_ever() {
+async fn a_cancellation_racing_with_completion_has_one_permanent_outcome() {
     let (mut done, mut withdrawn) = (0, 0);
     for step in 0..24 {
-        let c = Cluster::with(2, runs, Options::default()).await;
+        let cluster = Cluster::with(2, set_run_times, Options::default()).await;
         let body = job("run-21", "free", 2, 4.0, "normal");
-        c.hand_in("run-21", &body).await;
-        c.until_running(2).await;
+        cluster.hand_in("run-21", &body).await;
+        cluster.until_running(2).await;
         pause(0.55 + f64::from(step) * 0.02).await;
-        let (a, b) = tokio::join!(c.ask_withdraw(0, "run-21"), c.ask_withdraw(1, "run-21"));
+        let (a, b) = tokio::join!(cluster.ask_withdraw(0, "run-21"), cluster.ask_withdraw(1, "run-21"));
         for (status, stage) in [a, b] {
             assert_eq!(status, 200);
             done += usize::from(stage == "done");
             withdrawn += usize::from(stage == "withdrawn");
         }
         pause(5.0).await;
-        let (leader, stage) = (c.leader().unwrap(), c.referee_stage("run-21"));
-        c.kill_node(leader);
-        c.start_node(leader);
+        let (leader, stage) = (cluster.leader().unwrap(), cluster.referee_stage("run-21"));
+        cluster.kill_node(leader);
+        cluster.start_node(leader);
         pause(8.0).await;
-        let answers = c.look("run-21").await;
-        assert!(answers.iter().all(|(s, a)| *s == 200 && a["stage"] == stage.as_str()), "{answers:?}");
-        c.assert_rules_kept();
+        let answers = cluster.look("run-21").await;
+        assert!(
+            answers.iter().all(|(status, answer)| *status == 200 && answer["stage"] == stage.as_str()),
+            "{answers:?}"
+        );
+        cluster.assert_rules_kept();
     }
     assert!(done >= 4 && withdrawn >= 4, "both happen: {done}, {withdrawn}");
 }
 
 #[test]
-fn a_job_that_must_not_be_accepted_is_caught() {
+fn unacceptable_detects_missing_fields_and_jobs_that_can_never_run() {
     let good = job("run-1", "free", 1, 4.0, "normal");
     assert_eq!(unacceptable(&good), None);
     for (field, value) in
@@ -166,10 +170,10 @@
 // Odd requests at every node: what is missing, what fits nowhere, what is repeated, and
 // cancellations of what is done and of what nobody submitted.
 #[tokio::test(start_paused = true)]
-async fn odd_requests_are_answered_as_they_should_be_and_nothing_is_accepted_that_can_not_run() {
-    let c = Cluster::with(4, runs, Options::default()).await;
+async fn invalid_and_repeated_requests_get_the_right_status() {
+    let cluster = Cluster::with(4, set_run_times, Options::default()).await;
     let good = job("run-20", "free", 2, 4.0, "normal");
-    c.hand_in("run-20", &good).await;
+    cluster.hand_in("run-20", &good).await;
     for n in 0..3 {
         for field in good.as_object().unwrap().keys() {
             if ["hulls", "yard", "due_s", "id"].contains(&field.as_str()) {
@@ -178,23 +182,23 @@
             let mut body = good.clone();
             body["id"] = format!("run-9{n}").into();
             body[field] = Value::Null;
-            assert_eq!(c.ask_submit(n, "run-9", &body).await.0, 400, "{field}");
+            assert_eq!(cluster.ask_submit(n, "run-9", &body).await.0, 400, "{field}");
         }
         for (field, value) in [("cpus", 17.0.into()), ("memory_gb", 65.0.into()), ("crew", Value::from("x"))]
         {
             let mut body = good.clone();
             body["id"] = format!("run-9{n}").into();
             body[field] = value;
-            assert_eq!(c.ask_submit(n, "run-9", &body).await.0, 422, "{field}");
+            assert_eq!(cluster.ask_submit(n, "run-9", &body).await.0, 422, "{field}");
         }
-        assert_eq!(c.ask_submit(n, "run-20", &good).await.0, 200, "a repeat");
-        assert_eq!(c.ask_withdraw(n, "run-404").await.0, 404);
-        assert_eq!(c.show(n, "run-404").await.0, 404);
+        assert_eq!(cluster.ask_submit(n, "run-20", &good).await.0, 200, "a repeat");
+        assert_eq!(cluster.ask_withdraw(n, "run-404").await.0, 404);
+        assert_eq!(cluster.show(n, "run-404").await.0, 404);
     }
-    c.until_stage("run-20", "done").await;
+    cluster.until_stage("run-20", "done").await;
     for n in 0..3 {
-        assert_eq!(c.ask_withdraw(n, "run-20").await, (200, "done".to_string()));
-        assert_eq!(c.ask_submit(n, "run-20", &good).await, (200, "done".to_string()));
+        assert_eq!(cluster.ask_withdraw(n, "run-20").await, (200, "done".to_string()));
+        assert_eq!(cluster.ask_submit(n, "run-20", &good).await, (200, "done".to_string()));
     }
-    c.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
--- a/crates/dapplecroft-controller/tests/stories/checkpoints.rs
+++ b/crates/dapplecroft-controller/tests/stories/checkpoints.rs
@@ -11,20 +11,26 @@
 use tokio::time::Instant;
 
 /// What of each task is saved, outside of all machines.
-type Saved = Arc<Mutex<BTreeMap<String, Duration>>>;
+type SavedProgress = Arc<Mutex<BTreeMap<String, Duration>>>;
 
-const INTERVAL: f64 = 20.0;
-const SAVE_TIME: f64 = 2.0;
+const CHECKPOINT_INTERVAL_S: f64 = 20.0;
+const SAVE_TIME_S: f64 = 2.0;
 
 /// A cluster in which `run-1` saves, and how long jobs run there.
-async fn cluster(machines: usize, save_time: f64, runs: &[(&str, f64)]) -> (Cluster, Saved) {
-    let saved = Saved::default();
+async fn start_cluster(
+    machines: usize,
+    save_time_s: f64,
+    run_times_s: &[(&str, f64)],
+) -> (Cluster, SavedProgress) {
+    let saved = SavedProgress::default();
     let adjust = |timing: &mut WorkerTiming| {
         timing.saved = saved.clone();
-        let saves =
-            Saves { interval: Duration::from_secs_f64(INTERVAL), time: Duration::from_secs_f64(save_time) };
+        let saves = Saves {
+            interval: Duration::from_secs_f64(CHECKPOINT_INTERVAL_S),
+            time: Duration::from_secs_f64(save_time_s),
+        };
         timing.saves.insert("run-1".into(), saves);
-        for (job, seconds) in runs {
+        for (job, seconds) in run_times_s {
             timing.runs.insert((*job).into(), Duration::from_secs_f64(*seconds));
         }
     };
@@ -32,178 +38,184 @@
     (cluster, saved)
 }
 
-fn saving_job(save_time: f64, cpus: f64, rank: &str) -> Value {
+fn checkpointing_job(save_time_s: f64, cpus: f64, rank: &str) -> Value {
     let mut body = job("run-1", "free", 1, cpus, rank);
-    body["mark_s"] = json!(INTERVAL);
-    body["stow_s"] = json!(save_time);
+    body["mark_s"] = json!(CHECKPOINT_INTERVAL_S);
+    body["stow_s"] = json!(save_time_s);
     body["reckon_s"] = json!(100.0);
     body
 }
 
-async fn begin(c: &Cluster, save_time: f64, cpus: f64, rank: &str) -> Instant {
-    c.referee.job("run-1", "free", cpus);
-    c.hand_in("run-1", &saving_job(save_time, cpus, rank)).await;
-    c.until_running(1).await;
+async fn submit_and_await_start(cluster: &Cluster, save_time_s: f64, cpus: f64, rank: &str) -> Instant {
+    cluster.referee.job("run-1", "free", cpus);
+    cluster.hand_in("run-1", &checkpointing_job(save_time_s, cpus, rank)).await;
+    cluster.until_running(1).await;
     Instant::now()
 }
 
-fn progress(saved: &Saved) -> f64 {
+fn saved_progress_s(saved: &SavedProgress) -> f64 {
     saved.lock().unwrap().get("run-1/0").map_or(0.0, Duration::as_secs_f64)
 }
 
-fn runs(c: &Cluster, task: &str) -> bool {
-    c.referee.on().contains_key(task)
+fn is_running(cluster: &Cluster, task: &str) -> bool {
+    cluster.referee.on().contains_key(task)
 }
 
 // After a minute nothing could be displaced, however little it would have lost.
 #[tokio::test(start_paused = true)]
-async fn an_old_task_that_saves_gives_way_and_goes_on_where_it_was() {
-    let (c, saved) = cluster(1, SAVE_TIME, &[("run-1", 120.0), ("run-2", 10.0)]).await;
-    let began = begin(&c, SAVE_TIME, 16.0, "low").await;
+async fn a_long_running_checkpointing_task_is_preempted_and_resumes() {
+    let (cluster, saved) = start_cluster(1, SAVE_TIME_S, &[("run-1", 120.0), ("run-2", 10.0)]).await;
+    let started_at = submit_and_await_start(&cluster, SAVE_TIME_S, 16.0, "low").await;
     pause(72.0).await;
-    let asked = Instant::now();
-    c.submit("run-2", "free", 1, 16.0, "urgent").await;
-    c.until("the urgent task runs", || runs(&c, "run-2/0")).await;
-    assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
-    assert!(progress(&saved) > 71.0, "{}", progress(&saved));
-    c.until_stage("run-1", "done").await;
+    let requested_at = Instant::now();
+    cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
+    cluster.until("the urgent task runs", || is_running(&cluster, "run-2/0")).await;
+    assert!(requested_at.elapsed() < Duration::from_secs(6), "{:?}", requested_at.elapsed());
+    assert!(saved_progress_s(&saved) > 71.0, "{}", saved_progress_s(&saved));
+    cluster.until_stage("run-1", "done").await;
     // Its own time, that of the urgent task, the save, two images and commits.
-    assert!(began.elapsed() < Duration::from_secs(140), "{:?}", began.elapsed());
-    c.assert_rules_kept();
+    assert!(started_at.elapsed() < Duration::from_secs(140), "{:?}", started_at.elapsed());
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_has_just_been_saved_is_stopped_at_once() {
-    let (c, saved) = cluster(1, SAVE_TIME, &[("run-1", 120.0), ("run-2", 10.0)]).await;
-    begin(&c, SAVE_TIME, 16.0, "low").await;
+async fn a_task_with_a_fresh_checkpoint_is_preempted_without_another_save() {
+    let (cluster, saved) = start_cluster(1, SAVE_TIME_S, &[("run-1", 120.0), ("run-2", 10.0)]).await;
+    submit_and_await_start(&cluster, SAVE_TIME_S, 16.0, "low").await;
     pause(60.5).await;
-    let asked = Instant::now();
-    c.submit("run-2", "free", 1, 16.0, "urgent").await;
-    c.until("it stops", || !runs(&c, "run-1/0")).await;
-    assert!(asked.elapsed() < Duration::from_secs_f64(SAVE_TIME), "{:?}", asked.elapsed());
-    assert_eq!(progress(&saved).round(), 60.0);
-    c.until_stage("run-1", "done").await;
-    c.assert_rules_kept();
+    let requested_at = Instant::now();
+    cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
+    cluster.until("it stops", || !is_running(&cluster, "run-1/0")).await;
+    assert!(requested_at.elapsed() < Duration::from_secs_f64(SAVE_TIME_S), "{:?}", requested_at.elapsed());
+    assert_eq!(saved_progress_s(&saved).round(), 60.0);
+    cluster.until_stage("run-1", "done").await;
+    cluster.assert_rules_kept();
 }
 
 // The room of a task that saves is taken until it has ended, and so is its team's.
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_in_the_room_of_a_task_that_still_saves() {
-    let save_time = 6.0;
-    let (c, _) = cluster(1, save_time, &[("run-1", 120.0), ("run-2", 10.0)]).await;
-    begin(&c, save_time, 16.0, "low").await;
+async fn no_task_starts_on_the_resources_of_a_task_that_is_still_saving() {
+    let save_time_s = 6.0;
+    let (cluster, _) = start_cluster(1, save_time_s, &[("run-1", 120.0), ("run-2", 10.0)]).await;
+    submit_and_await_start(&cluster, save_time_s, 16.0, "low").await;
     pause(72.0).await;
-    let asked = Instant::now();
-    c.submit("run-2", "free", 1, 16.0, "urgent").await;
-    while asked.elapsed() < Duration::from_secs_f64(save_time) {
-        assert!(runs(&c, "run-1/0") && !runs(&c, "run-2/0"), "{:?}", c.referee.on());
+    let requested_at = Instant::now();
+    cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
+    while requested_at.elapsed() < Duration::from_secs_f64(save_time_s) {
+        assert!(
+            is_running(&cluster, "run-1/0") && !is_running(&cluster, "run-2/0"),
+            "{:?}",
+            cluster.referee.on()
+        );
         pause(0.1).await;
     }
-    c.until("the urgent task runs", || runs(&c, "run-2/0")).await;
-    assert!(!runs(&c, "run-1/0"));
-    c.assert_rules_kept();
+    cluster.until("the urgent task runs", || is_running(&cluster, "run-2/0")).await;
+    assert!(!is_running(&cluster, "run-1/0"));
+    cluster.assert_rules_kept();
 }
 
 // What was left of a notice shrank while the task saved, until nothing was, and a
 // second command ended the save.
 #[tokio::test(start_paused = true)]
-async fn a_second_command_never_ends_a_save_that_is_under_way() {
-    let save_time = 4.9;
-    let (c, saved) = cluster(2, save_time, &[("run-1", 120.0)]).await;
-    begin(&c, save_time, 16.0, "normal").await;
+async fn a_repeated_stop_command_does_not_abort_a_save_in_progress() {
+    let save_time_s = 4.9;
+    let (cluster, saved) = start_cluster(2, save_time_s, &[("run-1", 120.0)]).await;
+    submit_and_await_start(&cluster, save_time_s, 16.0, "normal").await;
     pause(30.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
-    c.cloud.worker(&machine).notice(5.0);
-    c.until("it has ended", || !runs(&c, "run-1/0")).await;
-    assert!(progress(&saved) > 29.0, "{}", progress(&saved));
-    c.until_stage("run-1", "done").await;
-    assert_eq!(c.referee.starts("run-1/0"), 2);
-    c.assert_rules_kept();
+    let machine = cluster.referee.on()["run-1/0"].clone();
+    cluster.cloud.worker(&machine).notice(5.0);
+    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
+    assert!(saved_progress_s(&saved) > 29.0, "{}", saved_progress_s(&saved));
+    cluster.until_stage("run-1", "done").await;
+    assert_eq!(cluster.referee.starts("run-1/0"), 2);
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_notice_too_short_to_save_in_costs_no_more_than_an_interval() {
-    let (c, saved) = cluster(2, SAVE_TIME, &[("run-1", 100.0)]).await;
-    let began = begin(&c, SAVE_TIME, 16.0, "normal").await;
+async fn a_reclaim_notice_too_short_for_a_save_loses_at_most_one_checkpoint_interval() {
+    let (cluster, saved) = start_cluster(2, SAVE_TIME_S, &[("run-1", 100.0)]).await;
+    let started_at = submit_and_await_start(&cluster, SAVE_TIME_S, 16.0, "normal").await;
     pause(50.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
-    let worker = c.cloud.worker(&machine);
+    let machine = cluster.referee.on()["run-1/0"].clone();
+    let worker = cluster.cloud.worker(&machine);
     worker.notice(1.0);
-    let noticed = Instant::now();
-    c.until("it has ended", || !runs(&c, "run-1/0")).await;
+    let notice_given_at = Instant::now();
+    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
     // It is stopped at once instead of being lost in the middle of a save.
-    assert!(noticed.elapsed() < Duration::from_secs(1), "{:?}", noticed.elapsed());
-    assert_eq!(progress(&saved).round(), 40.0);
-    c.cloud.take(&machine);
-    c.until_stage("run-1", "done").await;
-    assert!(began.elapsed() < Duration::from_secs(150), "{:?}", began.elapsed());
-    c.assert_rules_kept();
+    assert!(notice_given_at.elapsed() < Duration::from_secs(1), "{:?}", notice_given_at.elapsed());
+    assert_eq!(saved_progress_s(&saved).round(), 40.0);
+    cluster.cloud.take(&machine);
+    cluster.until_stage("run-1", "done").await;
+    assert!(started_at.elapsed() < Duration::from_secs(150), "{:?}", started_at.elapsed());
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_task_lost_with_its_machine_goes_on_from_its_last_checkpoint() {
-    let (c, saved) = cluster(2, SAVE_TIME, &[("run-1", 100.0)]).await;
-    let began = begin(&c, SAVE_TIME, 16.0, "normal").await;
+async fn a_task_lost_with_its_machine_resumes_from_its_last_checkpoint() {
+    let (cluster, saved) = start_cluster(2, SAVE_TIME_S, &[("run-1", 100.0)]).await;
+    let started_at = submit_and_await_start(&cluster, SAVE_TIME_S, 16.0, "normal").await;
     pause(50.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
-    c.cloud.take(&machine);
-    assert_eq!(progress(&saved).round(), 40.0);
-    c.until_stage("run-1", "done").await;
+    let machine = cluster.referee.on()["run-1/0"].clone();
+    cluster.cloud.take(&machine);
+    assert_eq!(saved_progress_s(&saved).round(), 40.0);
+    cluster.until_stage("run-1", "done").await;
     // Ten seconds are repeated; noticing the loss and a boot come on top.
-    assert!(began.elapsed() < Duration::from_secs(160), "{:?}", began.elapsed());
-    assert_eq!(c.referee.starts("run-1/0"), 2);
-    c.assert_rules_kept();
+    assert!(started_at.elapsed() < Duration::from_secs(160), "{:?}", started_at.elapsed());
+    assert_eq!(cluster.referee.starts("run-1/0"), 2);
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_ends_a_save_that_is_under_way() {
-    let save_time = 30.0;
-    let (c, _) = cluster(1, save_time, &[("run-1", 120.0), ("run-2", 10.0)]).await;
-    begin(&c, save_time, 16.0, "low").await;
+async fn a_cancellation_aborts_a_save_in_progress() {
+    let save_time_s = 30.0;
+    let (cluster, _) = start_cluster(1, save_time_s, &[("run-1", 120.0), ("run-2", 10.0)]).await;
+    submit_and_await_start(&cluster, save_time_s, 16.0, "low").await;
     pause(35.0).await;
     // Its checkpoint is 15 s old: it has to save to keep that.
-    c.submit("run-2", "free", 1, 16.0, "urgent").await;
+    cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
     pause(3.0).await;
-    c.withdraw(0, "run-1").await;
-    let asked = Instant::now();
-    c.until("it has ended", || !runs(&c, "run-1/0")).await;
-    assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
-    c.until_stage("run-2", "done").await;
-    c.assert_rules_kept();
+    cluster.withdraw(0, "run-1").await;
+    let requested_at = Instant::now();
+    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
+    assert!(requested_at.elapsed() < Duration::from_secs(5), "{:?}", requested_at.elapsed());
+    cluster.until_stage("run-2", "done").await;
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_drained_task_goes_on_where_it_was() {
-    let saved = Saved::default();
+async fn a_task_moved_by_a_drain_resumes_from_its_checkpoint() {
+    let saved = SavedProgress::default();
     let adjust = |timing: &mut WorkerTiming| {
         timing.saved = saved.clone();
-        let saves =
-            Saves { interval: Duration::from_secs_f64(INTERVAL), time: Duration::from_secs_f64(SAVE_TIME) };
+        let saves = Saves {
+            interval: Duration::from_secs_f64(CHECKPOINT_INTERVAL_S),
+            time: Duration::from_secs_f64(SAVE_TIME_S),
+        };
         timing.saves.insert("run-1".into(), saves);
         for (job, seconds) in [("run-1", 100), ("run-2", 8), ("run-3", 8), ("run-4", 5)] {
             timing.runs.insert(job.into(), Duration::from_secs(seconds));
         }
     };
     let options = Options { preempt: false, drain_interval: Duration::from_secs(20), ..Options::default() };
-    let c = Cluster::with(2, adjust, options).await;
+    let cluster = Cluster::with(2, adjust, options).await;
     // Two larger tasks bring both machines up, a small one that saves fills each;
     // then the larger ones end, and a task waits that needs a whole machine.
-    c.submit("run-2", "free", 1, 12.0, "normal").await;
-    c.submit("run-3", "free", 1, 12.0, "normal").await;
-    c.until_running(2).await;
-    c.referee.job("run-1", "free", 4.0);
-    let mut body = saving_job(SAVE_TIME, 4.0, "normal");
+    cluster.submit("run-2", "free", 1, 12.0, "normal").await;
+    cluster.submit("run-3", "free", 1, 12.0, "normal").await;
+    cluster.until_running(2).await;
+    cluster.referee.job("run-1", "free", 4.0);
+    let mut body = checkpointing_job(SAVE_TIME_S, 4.0, "normal");
     body["shares"] = json!(2);
-    c.hand_in("run-1", &body).await;
-    c.until_running(4).await;
-    c.until_stage("run-2", "done").await;
-    c.until_stage("run-3", "done").await;
-    c.submit("run-4", "free", 1, 16.0, "normal").await;
-    c.until_stage("run-4", "done").await;
+    cluster.hand_in("run-1", &body).await;
+    cluster.until_running(4).await;
+    cluster.until_stage("run-2", "done").await;
+    cluster.until_stage("run-3", "done").await;
+    cluster.submit("run-4", "free", 1, 16.0, "normal").await;
+    cluster.until_stage("run-4", "done").await;
     let moved: Vec<&str> =
-        ["run-1/0", "run-1/1"].into_iter().filter(|task| c.referee.starts(task) > 1).collect();
+        ["run-1/0", "run-1/1"].into_iter().filter(|task| cluster.referee.starts(task) > 1).collect();
     assert_eq!(moved.len(), 1, "one small task was moved, once");
     assert!(saved.lock().unwrap()[moved[0]] > Duration::from_secs(2));
-    c.until_stage("run-1", "done").await;
-    c.assert_rules_kept();
+    cluster.until_stage("run-1", "done").await;
+    cluster.assert_rules_kept();
 }
--- a/crates/dapplecroft-controller/tests/stories/large_fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/large_fleet.rs
@@ -12,92 +12,93 @@
 /// Tasks of the job that takes every machine.
 const TASKS: u32 = MACHINES as u32;
 
-async fn running() -> Cluster {
-    let adjust = |t: &mut WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(300));
+async fn start_with_all_machines_busy() -> Cluster {
+    let adjust = |timing: &mut WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(300));
     };
-    let c = Cluster::with(MACHINES, adjust, Options::default()).await;
-    c.submit("run-1", "free", TASKS, 16.0, "normal").await;
-    c.until_running(MACHINES).await;
-    c
+    let cluster = Cluster::with(MACHINES, adjust, Options::default()).await;
+    cluster.submit("run-1", "free", TASKS, 16.0, "normal").await;
+    cluster.until_running(MACHINES).await;
+    cluster
 }
 
 /// Every machine is in exactly one live controller's shards and takes work there.
-fn all_machines_are_open(c: &Cluster) -> bool {
+fn all_machines_are_schedulable(cluster: &Cluster) -> bool {
     let now = Instant::now().into_std();
-    let open = |n: usize| c.node(n).with(|core| core.summary(now).schedulable_machines);
-    (0..c.nodes).filter(|n| c.is_up(*n)).map(open).sum::<usize>() == MACHINES
+    let schedulable = |n: usize| cluster.node(n).with(|core| core.summary(now).schedulable_machines);
+    (0..cluster.nodes).filter(|n| cluster.is_up(*n)).map(schedulable).sum::<usize>() == MACHINES
 }
 
-async fn assert_all_done_once(c: &Cluster) {
-    c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.referee.starts(&format!("run-1/{i}")) != 1).count();
-    assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_rules_kept();
+async fn assert_all_tasks_ran_once(cluster: &Cluster) {
+    cluster.until_stage("run-1", "done").await;
+    let not_run_once = (0..TASKS).filter(|i| cluster.referee.starts(&format!("run-1/{i}")) != 1).count();
+    assert_eq!(not_run_once, 0, "tasks that did not run exactly once");
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_of_4000_machines_are_rented_run_a_job_and_outlive_a_change_of_leader() {
-    let c = running().await;
-    assert!(c.state.largest_value() <= 8 * 1024, "a value of {}", c.state.largest_value());
-    let leader = c.leader().unwrap();
-    let other = (leader + 1) % c.nodes;
+async fn a_job_on_4000_machines_survives_a_controller_restart_and_a_leader_change() {
+    let cluster = start_with_all_machines_busy().await;
+    assert!(cluster.state.largest_value() <= 8 * 1024, "a value of {}", cluster.state.largest_value());
+    let leader = cluster.leader().unwrap();
+    let other = (leader + 1) % cluster.nodes;
     // A fresh process has to read every record, which takes several pages.
-    c.kill_node(other);
-    c.start_node(other);
-    c.until("the fresh controller knows all", || {
-        c.node(other).with(|core| core.loaded && core.machines.len() == MACHINES)
-    })
-    .await;
-    c.kill_node(leader);
-    let begun = Instant::now();
-    c.until("another leader", || c.leader().is_some_and(|n| n != leader)).await;
-    assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    c.until("all machines are held", || all_machines_are_open(&c)).await;
-    assert!(begun.elapsed() < Duration::from_secs(25), "{:?}", begun.elapsed());
-    c.start_node(leader);
-    assert_all_done_once(&c).await;
+    cluster.kill_node(other);
+    cluster.start_node(other);
+    cluster
+        .until("the fresh controller knows all", || {
+            cluster.node(other).with(|core| core.loaded && core.machines.len() == MACHINES)
+        })
+        .await;
+    cluster.kill_node(leader);
+    let started_at = Instant::now();
+    cluster.until("another leader", || cluster.leader().is_some_and(|n| n != leader)).await;
+    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    cluster.until("all machines are held", || all_machines_are_schedulable(&cluster)).await;
+    assert!(started_at.elapsed() < Duration::from_secs(25), "{:?}", started_at.elapsed());
+    cluster.start_node(leader);
+    assert_all_tasks_ran_once(&cluster).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn one_controller_alone_holds_4000_machines() {
-    let c = running().await;
-    let leader = c.leader().unwrap();
-    for n in (0..c.nodes).filter(|n| *n != leader) {
-        c.kill_node(n);
+    let cluster = start_with_all_machines_busy().await;
+    let leader = cluster.leader().unwrap();
+    for n in (0..cluster.nodes).filter(|n| *n != leader) {
+        cluster.kill_node(n);
     }
-    c.until("all machines are held", || all_machines_are_open(&c)).await;
-    let holders: BTreeSet<String> = c.holders().into_values().collect();
+    cluster.until("all machines are held", || all_machines_are_schedulable(&cluster)).await;
+    let holders: BTreeSet<String> = cluster.holders().into_values().collect();
     assert_eq!(holders, BTreeSet::from([host(leader)]));
-    assert_all_done_once(&c).await;
+    assert_all_tasks_ran_once(&cluster).await;
 }
 
-const SMALL: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
+const SMALL_LIMITS: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
 
-async fn with_small_limits(jobs: &[&str], tasks: u32) -> Cluster {
-    let adjust = |t: &mut WorkerTiming| {
+async fn start_with_small_limits(jobs: &[&str], tasks: u32) -> Cluster {
+    let adjust = |timing: &mut WorkerTiming| {
         for id in jobs {
-            t.runs.insert(id.to_string(), Duration::from_secs(300));
+            timing.runs.insert(id.to_string(), Duration::from_secs(300));
         }
     };
-    let next = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
-    let c = Cluster::custom(MACHINES, adjust, Options::default(), next, |_| {}).await;
-    c.until("the switch", || c.is_switched()).await;
-    c.state.limit(SMALL);
+    let lower_limits = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
+    let cluster = Cluster::custom(MACHINES, adjust, Options::default(), lower_limits, |_| {}).await;
+    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.state.limit(SMALL_LIMITS);
     for id in jobs {
-        c.submit(id, "free", tasks, 16.0, "normal").await;
+        cluster.submit(id, "free", tasks, 16.0, "normal").await;
     }
-    c
+    cluster
 }
 
 #[tokio::test(start_paused = true)]
 async fn jobs_fill_4000_machines_within_the_smallest_limits_of_the_state_service() {
     let jobs = ["run-1", "run-2", "run-3", "run-4"];
-    let c = with_small_limits(&jobs, TASKS / 4).await;
-    c.until_running(MACHINES).await;
-    let refused = c.state.refused();
+    let cluster = start_with_small_limits(&jobs, TASKS / 4).await;
+    cluster.until_running(MACHINES).await;
+    let refused = cluster.state.refused();
     assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
-    c.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 // A job's record names each shard that runs some of it, so with values of 2 KiB one
@@ -105,12 +106,12 @@
 // one range; by turns, as they came, it ran 2,880 of them.
 #[tokio::test(start_paused = true)]
 async fn one_job_runs_on_most_of_4000_machines_within_the_smallest_limits() {
-    let c = with_small_limits(&["run-1"], TASKS).await;
-    c.until("most of its tasks run", || c.referee.on().len() >= 3300).await;
+    let cluster = start_with_small_limits(&["run-1"], TASKS).await;
+    cluster.until("most of its tasks run", || cluster.referee.on().len() >= 3300).await;
     // The others begin when those end.
     pause(420.0).await;
-    c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.referee.starts(&format!("run-1/{i}")) != 1).count();
-    assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_rules_kept();
+    cluster.until_stage("run-1", "done").await;
+    let not_run_once = (0..TASKS).filter(|i| cluster.referee.starts(&format!("run-1/{i}")) != 1).count();
+    assert_eq!(not_run_once, 0, "tasks that did not run exactly once");
+    cluster.assert_rules_kept();
 }
--- a/crates/dapplecroft-controller/tests/stories/main.rs
+++ b/crates/dapplecroft-controller/tests/stories/main.rs
@@ -12,7 +12,7 @@
 mod credit_checker;
 mod failures;
 mod federation;
-mod five;
+mod five_controllers;
 mod fleet;
 mod gap;
 mod large_fleet;
--- a/crates/dapplecroft-controller/tests/stories/services.rs
+++ b/crates/dapplecroft-controller/tests/stories/services.rs
@@ -9,61 +9,65 @@
 use std::time::Duration;
 
 /// Replicas of these services run for ever.
-fn for_ever(ids: &[&str]) -> impl FnOnce(&mut WorkerTiming) {
+fn run_forever(ids: &[&str]) -> impl FnOnce(&mut WorkerTiming) {
     let ids: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
-    move |t| {
+    move |timing| {
         for id in ids {
-            t.runs.insert(id, Duration::from_secs(1_000_000));
+            timing.runs.insert(id, Duration::from_secs(1_000_000));
         }
     }
 }
 
-async fn serving(capacity: usize, replicas: u32, cpus: f64) -> Cluster {
-    let c = Cluster::with(capacity, for_ever(&["run-1"]), Options::default()).await;
-    c.serve("run-1", "free", replicas, cpus).await;
-    c.until_all_serve().await;
-    c
+async fn start_with_service(capacity: usize, replicas: u32, cpus: f64) -> Cluster {
+    let cluster = Cluster::with(capacity, run_forever(&["run-1"]), Options::default()).await;
+    cluster.serve("run-1", "free", replicas, cpus).await;
+    cluster.until_all_serve().await;
+    cluster
 }
 
 /// No replica is missing for longer than so many seconds from now on.
-async fn assert_serves_on(c: &Cluster, longest: f64, seconds: u32) {
-    c.referee.calm();
+async fn assert_keeps_serving(cluster: &Cluster, longest: f64, seconds: u32) {
+    cluster.referee.calm();
     for _ in 0..seconds * 2 {
         pause(0.5).await;
-        assert_eq!(c.referee.lost(Duration::from_secs_f64(longest)), Vec::<String>::new());
+        assert_eq!(cluster.referee.lost(Duration::from_secs_f64(longest)), Vec::<String>::new());
     }
-    c.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_runs_until_it_is_withdrawn_and_is_never_done() {
-    let c = serving(4, 3, 2.0).await;
-    let (status, answer) = c.show(1, "run-1").await;
+async fn a_service_runs_until_it_is_cancelled_and_is_never_done() {
+    let cluster = start_with_service(4, 3, 2.0).await;
+    let (status, answer) = cluster.show(1, "run-1").await;
     assert_eq!((status, &answer["stage"], &answer["running"]), (200, &json!("running"), &json!(3)));
     assert_eq!(answer["done"].as_u64().unwrap_or(0), 0);
-    let machines: BTreeSet<String> = c.referee.on().into_values().collect();
+    let machines: BTreeSet<String> = cluster.referee.on().into_values().collect();
     assert_eq!(machines.len(), 1, "there is no second machine to spread over");
     pause(600.0).await;
-    assert!((0..3).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
-    c.withdraw(2, "run-1").await;
+    assert!((0..3).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1));
+    cluster.withdraw(2, "run-1").await;
     pause(10.0).await;
-    assert!(c.referee.on().is_empty());
-    assert_eq!(c.show(0, "run-1").await.1["stage"], "withdrawn");
-    c.until("its record is final", || c.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none()))
+    assert!(cluster.referee.on().is_empty());
+    assert_eq!(cluster.show(0, "run-1").await.1["stage"], "withdrawn");
+    cluster
+        .until("its record is final", || {
+            cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
+        })
         .await;
-    let again = c.call(0, Method::POST, "/v2/runs", &service("run-1", "free", 3, 2.0)).await;
-    assert_eq!((again.0, &again.1["stage"]), (200, &json!("withdrawn")));
-    c.assert_rules_kept();
+    let resubmission = cluster.call(0, Method::POST, "/v2/runs", &service("run-1", "free", 3, 2.0)).await;
+    assert_eq!((resubmission.0, &resubmission.1["stage"]), (200, &json!("withdrawn")));
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_service_must_not_be_is_told_at_once() {
-    let c = Cluster::start(2).await;
-    c.until("the switch", || c.is_switched()).await;
-    c.until("machine types known", || {
-        c.state.value("dc/catalog").is_some() || c.state.value("dc/c/0").is_some()
-    })
-    .await;
+async fn invalid_services_are_rejected_at_submission() {
+    let cluster = Cluster::start(2).await;
+    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster
+        .until("machine types known", || {
+            cluster.state.value("dc/catalog").is_some() || cluster.state.value("dc/c/0").is_some()
+        })
+        .await;
     pause(1.0).await;
     for (field, value, status) in [
         ("shares", json!(0), 400),
@@ -78,174 +82,177 @@
     ] {
         let mut body = service("run-9", "tight", 4, 4.0);
         body[field] = value;
-        let (got, answer) = c.call(1, Method::POST, "/v2/runs", &body).await;
+        let (got, answer) = cluster.call(1, Method::POST, "/v2/runs", &body).await;
         assert_eq!(got, status, "{field}: {answer}");
     }
     // As many tasks of an array run one after the other.
-    assert_eq!(c.call(1, Method::POST, "/v2/runs", &job("run-8", "tight", 5, 4.0, "low")).await.0, 201);
-    assert_eq!(c.show(0, "run-9").await.0, 404);
+    assert_eq!(cluster.call(1, Method::POST, "/v2/runs", &job("run-8", "tight", 5, 4.0, "low")).await.0, 201);
+    assert_eq!(cluster.show(0, "run-9").await.0, 404);
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_are_spread_over_machines_and_come_back_when_their_machine_is_lost() {
-    let c = Cluster::with(6, for_ever(&["run-1", "run-2"]), Options::default()).await;
+async fn service_replicas_are_spread_over_machines_and_restart_when_theirs_is_lost() {
+    let cluster = Cluster::with(6, run_forever(&["run-1", "run-2"]), Options::default()).await;
     // Two machines are in use already, about equally full.
-    c.submit("run-2", "free", 2, 9.0, "normal").await;
-    c.until_running(2).await;
+    cluster.submit("run-2", "free", 2, 9.0, "normal").await;
+    cluster.until_running(2).await;
     let mut body = service("run-1", "free", 2, 2.0);
     body["loaners"] = json!(true);
-    c.referee.service("run-1", "free", 2.0, 2);
-    assert_eq!(c.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
-    c.until_all_serve().await;
-    let on = c.referee.on();
-    assert_ne!(on["run-1/0"], on["run-1/1"]);
-    let begun = tokio::time::Instant::now();
-    c.cloud.take(&on["run-1/0"]);
-    c.until_all_serve().await;
-    assert!(begun.elapsed() < Duration::from_secs(8), "{:?}", begun.elapsed());
-    assert_eq!(c.referee.starts("run-1/1"), 1);
-    assert_serves_on(&c, 5.0, 30).await;
+    cluster.referee.service("run-1", "free", 2.0, 2);
+    assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
+    cluster.until_all_serve().await;
+    let placements = cluster.referee.on();
+    assert_ne!(placements["run-1/0"], placements["run-1/1"]);
+    let started_at = tokio::time::Instant::now();
+    cluster.cloud.take(&placements["run-1/0"]);
+    cluster.until_all_serve().await;
+    assert!(started_at.elapsed() < Duration::from_secs(8), "{:?}", started_at.elapsed());
+    assert_eq!(cluster.referee.starts("run-1/1"), 1);
+    assert_keeps_serving(&cluster, 5.0, 30).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_ends_by_itself_is_wanted_again_whatever_it_ended_by() {
-    let adjust = |t: &mut WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(40));
+async fn a_service_replica_that_completes_is_started_again() {
+    let adjust = |timing: &mut WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(40));
     };
-    let c = Cluster::with(2, adjust, Options::default()).await;
-    c.serve("run-1", "free", 2, 2.0).await;
+    let cluster = Cluster::with(2, adjust, Options::default()).await;
+    cluster.serve("run-1", "free", 2, 2.0).await;
     // Each of them completes again and again.
     for _ in 0..20 {
         pause(45.0).await;
-        c.until_all_serve().await;
-        assert_eq!(c.show(0, "run-1").await.1["stage"], "running");
+        cluster.until_all_serve().await;
+        assert_eq!(cluster.show(0, "run-1").await.1["stage"], "running");
     }
-    assert!(c.referee.starts("run-1/0") >= 20);
+    assert!(cluster.referee.starts("run-1/0") >= 20);
     let sizes: usize =
-        c.state.keys("dc/q/").iter().map(|k| c.state.value(k).unwrap().to_string().len()).sum();
+        cluster.state.keys("dc/q/").iter().map(|k| cluster.state.value(k).unwrap().to_string().len()).sum();
     assert!(sizes < 400, "{sizes} bytes after so many attempts");
-    c.assert_rules_kept();
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_that_fails_everywhere_backs_off_and_harms_nothing_else() {
-    let c = Cluster::with(4, |t| t.fails.push("run-1".into()), Options::default()).await;
-    c.submit("run-2", "free", 2, 16.0, "normal").await;
-    c.serve("run-1", "free", 2, 2.0).await;
-    c.until_stage("run-2", "done").await;
+async fn a_service_that_always_fails_backs_off_and_harms_no_other_job() {
+    let cluster = Cluster::with(4, |timing| timing.fails.push("run-1".into()), Options::default()).await;
+    cluster.submit("run-2", "free", 2, 16.0, "normal").await;
+    cluster.serve("run-1", "free", 2, 2.0).await;
+    cluster.until_stage("run-2", "done").await;
     pause(300.0).await;
-    let starts: usize = (0..2).map(|i| c.referee.starts(&format!("run-1/{i}"))).sum();
+    let starts: usize = (0..2).map(|i| cluster.referee.starts(&format!("run-1/{i}"))).sum();
     assert!((6..40).contains(&starts), "{starts} starts in 300 s");
-    assert_ne!(c.show(0, "run-1").await.1["stage"], "done");
+    assert_ne!(cluster.show(0, "run-1").await.1["stage"], "done");
     // Its machine takes other work.
-    c.submit("run-3", "free", 4, 4.0, "normal").await;
-    c.until_stage("run-3", "done").await;
-    c.withdraw(0, "run-1").await;
+    cluster.submit("run-3", "free", 4, 4.0, "normal").await;
+    cluster.until_stage("run-3", "done").await;
+    cluster.withdraw(0, "run-1").await;
     pause(70.0).await;
-    assert!(c.referee.on().is_empty());
-    c.assert_rules_kept();
+    assert!(cluster.referee.on().is_empty());
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_serves_until_its_machine_is_about_to_go() {
-    let c = serving(3, 2, 2.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
-    c.cloud.worker(&machine).notice(12.0);
+async fn a_service_replica_runs_until_shortly_before_its_machine_is_reclaimed() {
+    let cluster = start_with_service(3, 2, 2.0).await;
+    let machine = cluster.referee.on()["run-1/0"].clone();
+    cluster.cloud.worker(&machine).notice(12.0);
     pause(8.0).await;
-    assert_eq!(c.referee.on()["run-1/0"], machine, "it is not stopped long before");
-    c.until("it serves elsewhere", || c.referee.on().get("run-1/0").is_some_and(|m| *m != machine)).await;
-    c.cloud.take(&machine);
-    assert_serves_on(&c, 3.0, 20).await;
+    assert_eq!(cluster.referee.on()["run-1/0"], machine, "it is not stopped long before");
+    cluster
+        .until("it serves elsewhere", || cluster.referee.on().get("run-1/0").is_some_and(|m| *m != machine))
+        .await;
+    cluster.cloud.take(&machine);
+    assert_keeps_serving(&cluster, 3.0, 20).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn work_of_lower_rank_gives_way_to_replicas_at_once_and_comes_back() {
-    let adjust = |t: &mut WorkerTiming| {
-        for_ever(&["run-1"])(t);
-        t.runs.insert("run-2".into(), Duration::from_secs(200));
+async fn service_replicas_preempt_a_lower_rank_at_once_and_its_task_restarts_later() {
+    let adjust = |timing: &mut WorkerTiming| {
+        run_forever(&["run-1"])(timing);
+        timing.runs.insert("run-2".into(), Duration::from_secs(200));
     };
-    let c = Cluster::with(1, adjust, Options::default()).await;
+    let cluster = Cluster::with(1, adjust, Options::default()).await;
     let mut body = job("run-2", "free", 4, 4.0, "urgent");
     body["loaners"] = json!(false);
-    c.referee.job("run-2", "free", 4.0);
-    assert_eq!(c.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
-    c.until_running(4).await;
+    cluster.referee.job("run-2", "free", 4.0);
+    assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
+    cluster.until_running(4).await;
     // It is older than what else may be displaced.
     pause(100.0).await;
-    let begun = tokio::time::Instant::now();
-    c.serve("run-1", "free", 2, 2.0).await;
-    c.until_all_serve().await;
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
-    assert_eq!(c.referee.on().len(), 5, "one task gave way");
-    c.withdraw(0, "run-1").await;
-    c.until("what gave way runs again", || c.referee.on().len() == 4).await;
-    c.until_stage("run-2", "done").await;
-    c.assert_rules_kept();
+    let started_at = tokio::time::Instant::now();
+    cluster.serve("run-1", "free", 2, 2.0).await;
+    cluster.until_all_serve().await;
+    assert!(started_at.elapsed() < Duration::from_secs(4), "{:?}", started_at.elapsed());
+    assert_eq!(cluster.referee.on().len(), 5, "one task gave way");
+    cluster.withdraw(0, "run-1").await;
+    cluster.until("what gave way runs again", || cluster.referee.on().len() == 4).await;
+    cluster.until_stage("run-2", "done").await;
+    cluster.assert_rules_kept();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_at_its_teams_limit_is_restored_within_it() {
-    let c = Cluster::with(4, for_ever(&["run-1"]), Options::default()).await;
-    c.serve("run-1", "tight", 4, 4.0).await;
-    c.until_all_serve().await;
-    let machine = c.referee.on()["run-1/0"].clone();
+async fn a_service_at_its_teams_quota_limit_recovers_without_exceeding_it() {
+    let cluster = Cluster::with(4, run_forever(&["run-1"]), Options::default()).await;
+    cluster.serve("run-1", "tight", 4, 4.0).await;
+    cluster.until_all_serve().await;
+    let machine = cluster.referee.on()["run-1/0"].clone();
     // Cut off, it still runs: nothing may start in its place before it is proven gone.
-    c.net.rule(Rule::all(&machine, "", Action::Hold));
-    c.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
-    c.until("it is released", || !c.cloud.machines().contains(&machine)).await;
-    c.until_all_serve().await;
-    c.net.clear_rules();
-    c.net.deliver().await;
-    assert_serves_on(&c, 2.0, 30).await;
+    cluster.net.rule(Rule::all(&machine, "", Action::Hold));
+    cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
+    cluster.until("it is released", || !cluster.cloud.machines().contains(&machine)).await;
+    cluster.until_all_serve().await;
+    cluster.net.clear_rules();
+    cluster.net.deliver().await;
+    assert_keeps_serving(&cluster, 2.0, 30).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_withdrawal_in_the_middle_of_a_restart_wins() {
+async fn a_service_cancelled_while_a_replica_restarts_stays_cancelled() {
     for delay in [0.0, 0.5, 2.0, 4.0, 5.0, 5.5, 6.0, 7.0] {
-        let c = serving(3, 2, 2.0).await;
-        let machine = c.referee.on()["run-1/0"].clone();
-        c.cloud.take(&machine);
+        let cluster = start_with_service(3, 2, 2.0).await;
+        let machine = cluster.referee.on()["run-1/0"].clone();
+        cluster.cloud.take(&machine);
         pause(delay).await;
-        c.withdraw(0, "run-1").await;
+        cluster.withdraw(0, "run-1").await;
         pause(47.0).await;
-        assert!(c.referee.on().is_empty());
-        c.until("its record is final", || {
-            c.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
-        })
-        .await;
-        c.assert_rules_kept();
+        assert!(cluster.referee.on().is_empty());
+        cluster
+            .until("its record is final", || {
+                cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
+            })
+            .await;
+        cluster.assert_rules_kept();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_end_and_every_replica_runs_on() {
+async fn service_replicas_keep_running_while_all_controllers_restart() {
     for back_after in [0.1, 6.0] {
         let options = Options { shard_machines: Some(1), ..Options::default() };
-        let c = Cluster::with(6, for_ever(&["run-1"]), options).await;
-        c.serve("run-1", "free", 6, 16.0).await;
-        c.until_all_serve().await;
-        (0..3).for_each(|n| c.kill_node(n));
+        let cluster = Cluster::with(6, run_forever(&["run-1"]), options).await;
+        cluster.serve("run-1", "free", 6, 16.0).await;
+        cluster.until_all_serve().await;
+        (0..3).for_each(|n| cluster.kill_node(n));
         pause(back_after).await;
-        (0..3).for_each(|n| c.start_node(n));
-        c.until("a leader", || c.leader().is_some()).await;
-        assert_serves_on(&c, 0.0, 40).await;
-        assert!((0..6).all(|i| c.referee.starts(&format!("run-1/{i}")) == 1));
+        (0..3).for_each(|n| cluster.start_node(n));
+        cluster.until("a leader", || cluster.leader().is_some()).await;
+        assert_keeps_serving(&cluster, 0.0, 40).await;
+        assert!((0..6).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_lost_while_its_holder_ends_and_the_state_service_is_out_comes_back() {
-    let c = serving(4, 2, 9.0).await;
-    let machine = c.referee.on()["run-1/0"].clone();
-    c.net.rule(Rule::all("", STATE, Action::Refuse));
-    c.cloud.take(&machine);
-    c.kill_node(c.leader().unwrap_or(0));
+async fn a_service_replica_lost_during_an_outage_and_a_leader_crash_restarts() {
+    let cluster = start_with_service(4, 2, 9.0).await;
+    let machine = cluster.referee.on()["run-1/0"].clone();
+    cluster.net.rule(Rule::all("", STATE, Action::Refuse));
+    cluster.cloud.take(&machine);
+    cluster.kill_node(cluster.leader().unwrap_or(0));
     pause(5.0).await;
-    c.net.clear_rules();
+    cluster.net.clear_rules();
     (0..3).for_each(|n| {
-        c.kill_node(n);
-        c.start_node(n);
+        cluster.kill_node(n);
+        cluster.start_node(n);
     });
-    c.until_all_serve().await;
-    assert_serves_on(&c, 2.0, 30).await;
+    cluster.until_all_serve().await;
+    assert_keeps_serving(&cluster, 2.0, 30).await;
 }
