--- a/crates/dapplecroft-controller/tests/stories/answers.rs
+++ b/crates/dapplecroft-controller/tests/stories/answers.rs
@@ -1,4 +1,5 @@
-//! Users ask at all nodes, again and again, right after something became a fact.
+//! Consistency of answers to users: all controllers are queried repeatedly right after a job
+//! changes its stage.
 
 use crate::cluster::{Cluster, STATE, host, job, pause, unacceptable};
 use dapplecroft_controller::Options;
@@ -13,7 +14,8 @@
     }
 }
 
-/// Asks at all nodes within milliseconds, a few times, and submits again.
+/// Queries the job at all controllers and resubmits it, a few times within milliseconds. Every
+/// answer must be a 503 or have one of the expected stages.
 async fn assert_answers_have_stage(cluster: &Cluster, id: &str, body: &Value, expected: &[&str]) {
     for round in 0..4 {
         for (status, answer) in cluster.look(id).await {
@@ -29,12 +31,12 @@
     }
 }
 
-/// Jobs are accepted, withdrawn at once or later, or end; after each fact all
-/// nodes are asked. Returns how many answers were of use.
+/// Submits one job that is cancelled at once and one that completes, and queries all controllers
+/// after each change of their stages.
 async fn submit_and_query_two_jobs(cluster: &Cluster, round: usize) {
     const OPEN_STAGES: &[&str] = &["queued", "running"];
     let node_at = |n: usize| (round + n) % 3;
-    // Withdrawn at once, by another node than the one that accepted it.
+    // Cancelled at once, at another controller than the one that accepted the job.
     let (id, body) = (format!("run-1{round}"), job(&format!("run-1{round}"), "free", 2, 4.0, "normal"));
     cluster.referee.job(&id, "free", 4.0);
     while !matches!(cluster.ask_submit(node_at(0), &id, &body).await.0, 200 | 201) {
@@ -44,7 +46,7 @@
         pause(0.2).await;
     }
     assert_answers_have_stage(cluster, &id, &body, &["withdrawn"]).await;
-    // Looked at, and left to end.
+    // Queried while it runs, and left to complete.
     let (id, body) = (format!("run-2{round}"), job(&format!("run-2{round}"), "free", 2, 4.0, "normal"));
     cluster.referee.job(&id, "free", 4.0);
     while !matches!(cluster.ask_submit(node_at(2), &id, &body).await.0, 200 | 201) {
@@ -59,12 +61,14 @@
         }
         pause(0.05).await;
     }
-    assert!(done, "{id} ends");
+    assert!(done, "{id} is not done");
     assert_answers_have_stage(cluster, &id, &body, &["done"]).await;
     assert_eq!(cluster.ask_withdraw(node_at(1), &id).await.1, "done");
     assert!(!OPEN_STAGES.contains(&cluster.referee_stage(&id).as_str()));
 }
 
+/// A controller whose record replica lags behind must not answer with an earlier stage than another
+/// controller has already told the user.
 #[tokio::test(start_paused = true)]
 async fn no_controller_answers_with_an_older_stage_than_another_did() {
     let cluster = Cluster::with(4, set_run_times, Options::default()).await;
@@ -74,12 +78,15 @@
     cluster.assert_rules_kept();
 }
 
+/// A transaction on a job was carried out, or is carried out later, but its controller never
+/// receives the answer. The controllers must still agree on the job's stage.
 #[tokio::test(start_paused = true)]
 async fn no_controller_answers_with_an_older_stage_after_a_state_service_answer_was_lost() {
     for action in [Action::LoseAnswer, Action::Hold] {
         let cluster = Cluster::with(4, set_run_times, Options::default()).await;
         for round in 0..3 {
-            // Of every node's changes of jobs one has no answer: carried out, or late.
+            // One transaction on job records of each controller gets no answer: it is carried out
+            // at once (`LoseAnswer`) or later (`Hold`).
             for n in 0..3 {
                 cluster
                     .net
@@ -96,6 +103,8 @@
     }
 }
 
+/// A controller that is still loading its records, or that forwards requests to a peer because the
+/// state service refuses it, must not answer with an earlier stage.
 #[tokio::test(start_paused = true)]
 async fn restarted_and_forwarding_controllers_do_not_answer_with_an_older_stage() {
     let cluster = Cluster::with(4, set_run_times, Options::default()).await;
@@ -103,11 +112,12 @@
         let leader = cluster.leader().unwrap();
         let other = (leader + 1) % 3;
         if round % 2 == 0 {
-            // Its copy is loading while it is asked.
+            // The restarted controller is queried while it loads the records.
             cluster.kill_node(other);
             cluster.start_node(other);
         } else {
-            // It has its users answered by a peer, and takes over again.
+            // The state service refuses this controller, which forwards requests to a peer until it
+            // is let in again.
             cluster.state.bar(&host(other), true);
             pause(3.0).await;
         }
@@ -123,7 +133,9 @@
     cluster.assert_rules_kept();
 }
 
-// Done or withdrawn, one of both and for ever, at every node.
+// A cancellation arrives at about the time the last task completes. The job must end as either done
+// or withdrawn, with the same answer at every controller from then on, also after the leader
+// restarts.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_racing_with_completion_has_one_permanent_outcome() {
     let (mut done, mut withdrawn) = (0, 0);
@@ -151,7 +163,7 @@
         );
         cluster.assert_rules_kept();
     }
-    assert!(done >= 4 && withdrawn >= 4, "both happen: {done}, {withdrawn}");
+    assert!(done >= 4 && withdrawn >= 4, "each outcome must occur: {done} done, {withdrawn} withdrawn");
 }
 
 #[test]
@@ -167,8 +179,8 @@
     }
 }
 
-// Odd requests at every node: what is missing, what fits nowhere, what is repeated, and
-// cancellations of what is done and of what nobody submitted.
+// Requests at every controller with missing fields, for jobs that fit on no machine, repeated
+// submissions, and cancellations of completed and of unknown jobs.
 #[tokio::test(start_paused = true)]
 async fn invalid_and_repeated_requests_get_the_right_status() {
     let cluster = Cluster::with(4, set_run_times, Options::default()).await;
@@ -191,7 +203,7 @@
             body[field] = value;
             assert_eq!(cluster.ask_submit(n, "run-9", &body).await.0, 422, "{field}");
         }
-        assert_eq!(cluster.ask_submit(n, "run-20", &good).await.0, 200, "a repeat");
+        assert_eq!(cluster.ask_submit(n, "run-20", &good).await.0, 200, "repeated submission");
         assert_eq!(cluster.ask_withdraw(n, "run-404").await.0, 404);
         assert_eq!(cluster.show(n, "run-404").await.0, 404);
     }
--- a/crates/dapplecroft-controller/tests/stories/checkpoints.rs
+++ b/crates/dapplecroft-controller/tests/stories/checkpoints.rs
@@ -1,5 +1,5 @@
-//! Tasks that save their progress are stopped: displaced, drained, on a machine
-//! that the cloud takes back, lost with it, cancelled.
+//! Tasks with checkpoints are stopped: preempted, moved by a drain, on a machine that the cloud
+//! reclaims, lost with their machine, or cancelled.
 
 use crate::cluster::{Cluster, job, pause};
 use dapplecroft_controller::Options;
@@ -10,13 +10,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What of each task is saved, outside of all machines.
+/// Progress of each task as of its last checkpoint, by task; it outlives the machines.
 type SavedProgress = Arc<Mutex<BTreeMap<String, Duration>>>;
 
 const CHECKPOINT_INTERVAL_S: f64 = 20.0;
 const SAVE_TIME_S: f64 = 2.0;
 
-/// A cluster in which `run-1` saves, and how long jobs run there.
+/// Starts a cluster in which `run-1` writes checkpoints and jobs take the given run times. Also
+/// returns the progress saved by the checkpoints.
 async fn start_cluster(
     machines: usize,
     save_time_s: f64,
@@ -61,7 +62,8 @@
     cluster.referee.on().contains_key(task)
 }
 
-// After a minute nothing could be displaced, however little it would have lost.
+// Tasks older than a minute used to be exempt from preemption, even if a checkpoint kept almost all
+// of their progress.
 #[tokio::test(start_paused = true)]
 async fn a_long_running_checkpointing_task_is_preempted_and_resumes() {
     let (cluster, saved) = start_cluster(1, SAVE_TIME_S, &[("run-1", 120.0), ("run-2", 10.0)]).await;
@@ -73,7 +75,7 @@
     assert!(requested_at.elapsed() < Duration::from_secs(6), "{:?}", requested_at.elapsed());
     assert!(saved_progress_s(&saved) > 71.0, "{}", saved_progress_s(&saved));
     cluster.until_stage("run-1", "done").await;
-    // Its own time, that of the urgent task, the save, two images and commits.
+    // The run times of both tasks, the save, two image pulls, and commits.
     assert!(started_at.elapsed() < Duration::from_secs(140), "{:?}", started_at.elapsed());
     cluster.assert_rules_kept();
 }
@@ -85,14 +87,14 @@
     pause(60.5).await;
     let requested_at = Instant::now();
     cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
-    cluster.until("it stops", || !is_running(&cluster, "run-1/0")).await;
+    cluster.until("run-1/0 has stopped", || !is_running(&cluster, "run-1/0")).await;
     assert!(requested_at.elapsed() < Duration::from_secs_f64(SAVE_TIME_S), "{:?}", requested_at.elapsed());
     assert_eq!(saved_progress_s(&saved).round(), 60.0);
     cluster.until_stage("run-1", "done").await;
     cluster.assert_rules_kept();
 }
 
-// The room of a task that saves is taken until it has ended, and so is its team's.
+// A preempted task that still saves uses its resources and its team's quota until it has exited.
 #[tokio::test(start_paused = true)]
 async fn no_task_starts_on_the_resources_of_a_task_that_is_still_saving() {
     let save_time_s = 6.0;
@@ -114,8 +116,8 @@
     cluster.assert_rules_kept();
 }
 
-// What was left of a notice shrank while the task saved, until nothing was, and a
-// second command ended the save.
+// The stop command is repeated while the task saves, each time with the remaining time of the spot
+// notice. A repeated command without time left used to abort the save.
 #[tokio::test(start_paused = true)]
 async fn a_repeated_stop_command_does_not_abort_a_save_in_progress() {
     let save_time_s = 4.9;
@@ -124,7 +126,7 @@
     pause(30.0).await;
     let machine = cluster.referee.on()["run-1/0"].clone();
     cluster.cloud.worker(&machine).notice(5.0);
-    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
+    cluster.until("run-1/0 has stopped", || !is_running(&cluster, "run-1/0")).await;
     assert!(saved_progress_s(&saved) > 29.0, "{}", saved_progress_s(&saved));
     cluster.until_stage("run-1", "done").await;
     assert_eq!(cluster.referee.starts("run-1/0"), 2);
@@ -140,8 +142,8 @@
     let worker = cluster.cloud.worker(&machine);
     worker.notice(1.0);
     let notice_given_at = Instant::now();
-    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
-    // It is stopped at once instead of being lost in the middle of a save.
+    cluster.until("run-1/0 has stopped", || !is_running(&cluster, "run-1/0")).await;
+    // The task is stopped at once, since the machine would be lost during the save.
     assert!(notice_given_at.elapsed() < Duration::from_secs(1), "{:?}", notice_given_at.elapsed());
     assert_eq!(saved_progress_s(&saved).round(), 40.0);
     cluster.cloud.take(&machine);
@@ -159,7 +161,7 @@
     cluster.cloud.take(&machine);
     assert_eq!(saved_progress_s(&saved).round(), 40.0);
     cluster.until_stage("run-1", "done").await;
-    // Ten seconds are repeated; noticing the loss and a boot come on top.
+    // 10 s of work are repeated, plus the time to detect the loss and to boot a machine.
     assert!(started_at.elapsed() < Duration::from_secs(160), "{:?}", started_at.elapsed());
     assert_eq!(cluster.referee.starts("run-1/0"), 2);
     cluster.assert_rules_kept();
@@ -171,12 +173,12 @@
     let (cluster, _) = start_cluster(1, save_time_s, &[("run-1", 120.0), ("run-2", 10.0)]).await;
     submit_and_await_start(&cluster, save_time_s, 16.0, "low").await;
     pause(35.0).await;
-    // Its checkpoint is 15 s old: it has to save to keep that.
+    // The last checkpoint is 15 s old, so run-1 saves before it is preempted.
     cluster.submit("run-2", "free", 1, 16.0, "urgent").await;
     pause(3.0).await;
     cluster.withdraw(0, "run-1").await;
     let requested_at = Instant::now();
-    cluster.until("it has ended", || !is_running(&cluster, "run-1/0")).await;
+    cluster.until("run-1/0 has stopped", || !is_running(&cluster, "run-1/0")).await;
     assert!(requested_at.elapsed() < Duration::from_secs(5), "{:?}", requested_at.elapsed());
     cluster.until_stage("run-2", "done").await;
     cluster.assert_rules_kept();
@@ -198,8 +200,8 @@
     };
     let options = Options { preempt: false, drain_interval: Duration::from_secs(20), ..Options::default() };
     let cluster = Cluster::with(2, adjust, options).await;
-    // Two larger tasks bring both machines up, a small one that saves fills each;
-    // then the larger ones end, and a task waits that needs a whole machine.
+    // Two large tasks make the leader rent two machines, and a small task with checkpoints fills
+    // each of them. Then the large tasks complete, and a task arrives that needs a whole machine.
     cluster.submit("run-2", "free", 1, 12.0, "normal").await;
     cluster.submit("run-3", "free", 1, 12.0, "normal").await;
     cluster.until_running(2).await;
@@ -214,7 +216,7 @@
     cluster.until_stage("run-4", "done").await;
     let moved: Vec<&str> =
         ["run-1/0", "run-1/1"].into_iter().filter(|task| cluster.referee.starts(task) > 1).collect();
-    assert_eq!(moved.len(), 1, "one small task was moved, once");
+    assert_eq!(moved.len(), 1, "exactly one small task must be moved");
     assert!(saved.lock().unwrap()[moved[0]] > Duration::from_secs(2));
     cluster.until_stage("run-1", "done").await;
     cluster.assert_rules_kept();
--- a/crates/dapplecroft-controller/tests/stories/five_controllers.rs
+++ b/crates/dapplecroft-controller/tests/stories/five_controllers.rs
@@ -1,4 +1,4 @@
-//! Five controllers in three zones, as a further deployment has them.
+//! Failures in a deployment of five controllers, as one that spans three zones has.
 
 use crate::cluster::{CANCEL, CLOUD, Cluster, STATE, address, host, pause};
 use dapplecroft_controller::Options;
@@ -9,13 +9,13 @@
 const NODES: usize = 5;
 
 async fn start_five_controllers(shard_machines: Option<usize>) -> Cluster {
-    let runs = |timing: &mut WorkerTiming| {
+    let adjust = |timing: &mut WorkerTiming| {
         for (id, seconds) in [("run-1", 300), ("run-2", 300), ("run-3", 5)] {
             timing.runs.insert(id.into(), Duration::from_secs(seconds));
         }
     };
     let options = Options { shard_machines, ..Options::default() };
-    let cluster = Cluster::of(NODES, 10, runs, options, serde_json::Value::Null, |_| {}).await;
+    let cluster = Cluster::of(NODES, 10, adjust, options, serde_json::Value::Null, |_| {}).await;
     cluster.submit("run-1", "free", 10, 8.0, "normal").await;
     cluster.submit("run-2", "tight", 2, 8.0, "normal").await;
     cluster.until_running(12).await;
@@ -29,7 +29,8 @@
     }
 }
 
-/// Cuts controllers off, with the machines of a zone or with none.
+/// Partitions the isolated controllers and the given machines, if any, from the other controllers
+/// and machines. The isolated controllers also lose the state service and the cloud.
 fn partition(cluster: &Cluster, isolated: &BTreeSet<usize>, machines: &[String]) {
     for n in isolated {
         cluster.apart.lock().unwrap().insert(host(*n));
@@ -51,7 +52,7 @@
     for (leader_isolated, shard) in [(true, Some(2)), (false, Some(2)), (true, None)] {
         let cluster = start_five_controllers(shard).await;
         let leader = cluster.leader().unwrap();
-        // Two of five: with the leader, or without it.
+        // Isolate two of the five controllers, with or without the leader.
         let first = if leader_isolated { leader } else { (leader + 1) % NODES };
         let isolated: BTreeSet<usize> = [first, (first + 1) % NODES].into();
         assert_eq!(isolated.contains(&leader), leader_isolated);
@@ -83,9 +84,7 @@
         let survivor = (leader + 4) % NODES;
         pause(restart_after).await;
         cluster
-            .until("the one left leads, or one that is back", || {
-                cluster.leader().is_some() || restart_after < 1.0
-            })
+            .until("the surviving controller leads", || cluster.leader().is_some() || restart_after < 1.0)
             .await;
         crashed.iter().for_each(|n| cluster.start_node(*n));
         cluster.withdraw(survivor, "run-1").await;
@@ -94,7 +93,7 @@
         cluster.until_stage("run-3", "done").await;
         assert!(
             (0..2).all(|i| cluster.referee.starts(&format!("run-2/{i}")) == 1),
-            "nothing was started again"
+            "no task of run-2 may be restarted"
         );
         cluster.assert_day_ends(&["run-1", "run-2", "run-3"]).await;
     }
@@ -108,7 +107,7 @@
     cluster.cloud.take(&lost_machine);
     cluster.submit("run-3", "free", 4, 4.0, "urgent").await;
     cluster.until_stage("run-3", "done").await;
-    cluster.until("what was lost runs elsewhere", || cluster.referee.starts("run-1/0") == 2).await;
+    cluster.until("the lost task runs on another machine", || cluster.referee.starts("run-1/0") == 2).await;
     cluster.withdraw(1, "run-1").await;
     assert_rules_kept_for(&cluster, CANCEL.as_secs()).await;
     assert_eq!(cluster.referee.on().len(), 2);
@@ -116,7 +115,8 @@
     cluster.assert_day_ends(&["run-1", "run-2", "run-3"]).await;
 }
 
-// Its tasks are wanted elsewhere before it goes on.
+// A worker hangs, for shorter or longer than the controllers take to detect it. If its tasks are
+// restarted elsewhere meanwhile, the worker must not run them when it resumes.
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_hangs_and_resumes_runs_no_task_that_was_replaced() {
     for hang in [6.0, 14.0, 22.0, 35.0] {
@@ -127,7 +127,7 @@
         let placements = cluster.referee.on();
         assert_eq!(placements.len(), 12, "{hang}");
         let restarted = cluster.referee.starts("run-1/0") == 2;
-        assert_eq!(restarted, hang > 10.0, "{hang}: noticed in time, and no sooner");
+        assert_eq!(restarted, hang > 10.0, "{hang}: tasks restart only after a hang of more than 10 s");
         cluster.assert_rules_kept();
     }
 }
--- a/crates/dapplecroft-controller/tests/stories/limits.rs
+++ b/crates/dapplecroft-controller/tests/stories/limits.rs
@@ -1,4 +1,5 @@
-//! The state service takes less from some moment on, without notice.
+//! The state service lowers its limits to the announced future values at some moment, without
+//! further notice.
 
 use crate::cluster::{Cluster, STATE, job, pause};
 use dapplecroft_controller::Options;
@@ -9,6 +10,8 @@
 
 const SMALL_LIMITS: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
 
+/// The announced future limits of the state service (`facts.state.next` of the settings), the same
+/// as [`SMALL_LIMITS`].
 fn lower_limits() -> Value {
     json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0})
 }
@@ -26,7 +29,7 @@
 async fn limits_lowered_during_a_burst_of_jobs_lose_and_duplicate_no_task() {
     for lower_after_s in [0.0, 2.0, 5.5, 7.0] {
         let cluster = start_cluster(30, &[]).await;
-        cluster.until("the switch", || cluster.is_switched()).await;
+        cluster.until("the switch to the second layout", || cluster.is_switched()).await;
         let mut jobs = Vec::new();
         for k in 0..10 {
             let id = format!("run-1{k}");
@@ -39,7 +42,7 @@
             cluster.until_stage(id, "done").await;
             assert!((0..12).all(|i| cluster.referee.starts(&format!("{id}/{i}")) == 1), "{id}");
         }
-        // Nothing larger than they will be was written since the switch.
+        // Since the switch to the second layout, nothing is written that exceeds the lower limits.
         let refused = cluster.state.refused();
         assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
         let jobs: Vec<&str> = jobs.iter().map(String::as_str).collect();
@@ -61,13 +64,13 @@
     let mut limits = lower_limits();
     limits["now"] = json!({"value_kb": 16.0});
     let cluster = Cluster::custom(60, adjust, options, limits, Cluster::hold_back).await;
-    // Many tasks that were done out of order, and many that run.
+    // Many tasks that completed out of order, and many that run.
     cluster.submit("run-2", "free", 300, 4.0, "normal").await;
     for k in 0..JOBS {
         cluster.submit(&name(k), "free", 3, 1.5, "normal").await;
     }
     cluster
-        .until("they run", || {
+        .until("all tasks of the run-1 jobs run", || {
             cluster.referee.on().keys().filter(|t| t.starts_with("run-1")).count() == 3 * JOBS
         })
         .await;
@@ -75,8 +78,8 @@
     for n in 0..3 {
         cluster.upgrade(n, 0.1).await;
     }
-    cluster.until("the switch", || cluster.is_switched()).await;
-    // They fall while it is being moved.
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
+    // The limits are lowered during the migration.
     pause(0.3).await;
     cluster.state.limit(SMALL_LIMITS);
     cluster.until("no record of the first layout is left", || cluster.state.keys("dc/p/").is_empty()).await;
@@ -96,7 +99,7 @@
     let name = |letter: &str| letter.repeat(120);
     let id = format!("run-{}", "7".repeat(40));
     let cluster = start_cluster(40, &[(&id, 3)]).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     pause(2.0).await;
     cluster.state.limit(SMALL_LIMITS);
     let mut body = job(&id, "free", 100_000, 0.4, "normal");
@@ -106,21 +109,21 @@
     body["yard"] = json!("z");
     assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
     cluster
-        .until("a part of it is done", || {
+        .until("more than 3000 tasks are done", || {
             let n = cluster.leader().unwrap_or(0);
             cluster.node(n).with(|core| core.open_job(&id).is_some_and(|j| j.done.len() > 3000))
         })
         .await;
     cluster.withdraw(0, &id).await;
     cluster
-        .until("its record is final", || {
+        .until("the cancelled job's record is compacted", || {
             cluster.state.value(&format!("dc/j/{id}")).is_some_and(|v| v.get("spec").is_none())
         })
         .await;
     let refused = cluster.state.refused();
     assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
     assert!(cluster.referee.on().is_empty());
-    // One that leaves no room for what is noted of it is not taken.
+    // A job whose specification leaves no space in the value for the job's progress is rejected.
     body["id"] = json!("run-1");
     body["hulls"] = json!(vec![name("h"); 13]);
     body["hulls"][0] = json!("m");
@@ -131,7 +134,7 @@
 #[tokio::test(start_paused = true)]
 async fn restarted_controllers_recover_600_machines_under_small_limits() {
     let cluster = start_cluster(600, &[("run-1", 150)]).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.submit("run-1", "free", 1200, 8.0, "normal").await;
     cluster.until_running(1200).await;
     cluster.state.limit(SMALL_LIMITS);
@@ -146,7 +149,7 @@
                 .with(|core| core.summary(tokio::time::Instant::now().into_std()).schedulable_machines)
         })
         .sum();
-    assert!(schedulable >= 590, "{schedulable} machines take work after 10 s");
+    assert!(schedulable >= 590, "only {schedulable} machines are schedulable after 10 s");
     cluster.until_stage("run-1", "done").await;
     let restarted_tasks = (0..1200).filter(|i| cluster.referee.starts(&format!("run-1/{i}")) > 1).count();
     assert_eq!(restarted_tasks, 0);
@@ -163,15 +166,15 @@
     cluster.until_running(160).await;
     cluster.upgrade(0, 0.1).await;
     cluster.upgrade(1, 0.1).await;
-    // The third is up, but the switch is not made yet; old transactions meet
-    // the new limits.
+    // The last controller is upgraded, but the switch is refused for a while: transactions of the
+    // first layout meet the lower limits.
     cluster
         .net
         .rule(Rule::all("", STATE, Action::Refuse).path("/multi").body("\"set\":\"dc/format\"").times(15));
     cluster.upgrade(2, 0.1).await;
     cluster.state.limit(Limits { value: 700, ..SMALL_LIMITS });
     cluster.submit("run-2", "free", 4, 2.0, "normal").await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.state.limit(SMALL_LIMITS);
     cluster.until_stage("run-2", "done").await;
     cluster.until_stage("run-1", "done").await;
@@ -179,7 +182,8 @@
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
 }
 
-/// The fewer segments, the fewer changes: those that have become light join.
+/// Segments that have become small are merged, since fewer segments need fewer changes. Controllers
+/// are restarted meanwhile.
 #[tokio::test(start_paused = true)]
 async fn small_segments_are_merged_without_losing_tasks() {
     for downtime_s in [0.0, 0.7, 2.0] {
@@ -191,7 +195,7 @@
         };
         let options = Options { shard_machines: Some(60), ..Options::default() };
         let cluster = Cluster::custom(40, adjust, options, lower_limits(), |_| {}).await;
-        cluster.until("the switch", || cluster.is_switched()).await;
+        cluster.until("the switch to the second layout", || cluster.is_switched()).await;
         cluster.state.limit(SMALL_LIMITS);
         for id in &jobs {
             cluster.submit(id, "free", 4, 2.0, "normal").await;
@@ -214,7 +218,7 @@
         cluster.until_stage("run-3", "done").await;
         assert!(
             max_segments >= 3 && segments() * 2 <= max_segments,
-            "{} of {max_segments} segments",
+            "{} segments are left of at most {max_segments}",
             segments()
         );
         for id in &jobs {
@@ -227,7 +231,8 @@
     }
 }
 
-/// Groups of machines that are too large to be written again.
+/// A machine group's record that exceeds the lower value limit cannot be rewritten; its machines
+/// move to smaller groups.
 #[tokio::test(start_paused = true)]
 async fn oversized_machine_group_records_are_split_without_losing_machines() {
     let adjust = |timing: &mut WorkerTiming| {
@@ -237,7 +242,7 @@
     let cluster = Cluster::mixed(100, adjust, options).await;
     cluster.submit("run-1", "free", 100, 16.0, "normal").await;
     cluster.until_running(100).await;
-    // Not known at first, all of them are taken in as one group.
+    // Replaces all machine group records by a single oversized one while no controller runs.
     let keys = cluster.state.keys("dc/m/");
     let mut merged_group = json!({"block": 0, "type": "m", "zone": "z", "spot": true, "machines": {}});
     for key in &keys {
@@ -263,14 +268,18 @@
         cluster.net.remove_rules(&crate::cluster::host(n), crate::cluster::MARK);
         cluster.start_node(n);
     }
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.state.limit(SMALL_LIMITS);
-    cluster.until("it is gone", || cluster.state.value("dc/m/dc-1-1").is_none()).await;
+    cluster
+        .until("the oversized machine group record is deleted", || {
+            cluster.state.value("dc/m/dc-1-1").is_none()
+        })
+        .await;
     assert_eq!(cluster.cloud.machines().len(), 100);
     let lost: Vec<String> = cluster.cloud.machines().into_iter().take(70).collect();
     lost.iter().for_each(|id| cluster.cloud.take(id));
     cluster.until_stage("run-1", "done").await;
     let restarted_tasks = (0..100).filter(|i| cluster.referee.starts(&format!("run-1/{i}")) > 1).count();
-    assert_eq!(restarted_tasks, 70, "what was on the lost machines, and nothing else");
+    assert_eq!(restarted_tasks, 70, "exactly the tasks of the lost machines must restart");
     cluster.assert_day_ends(&["run-1"]).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/main.rs
+++ b/crates/dapplecroft-controller/tests/stories/main.rs
@@ -1,5 +1,5 @@
-//! Short stories of what goes wrong, against in-memory stand-ins on a stopped
-//! clock. A referee watches over the rules in each.
+//! Scenario tests of failures, against in-memory fakes of the state service, the cloud and the
+//! workers on a paused clock. An invariant checker (`Cluster::referee`) observes every scenario.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/dapplecroft-controller/tests/stories/service_goals.rs
+++ b/crates/dapplecroft-controller/tests/stories/service_goals.rs
@@ -1,4 +1,5 @@
-//! What is checked at the end of a day, after every kind of trouble.
+//! Service goals that must hold after every kind of failure: no job is forgotten, every controller
+//! answers, and no task runs twice without need.
 
 use crate::cluster::{CLOUD, Cluster, STATE, host, job, pause};
 use dapplecroft_controller::Options;
@@ -25,7 +26,8 @@
     cluster.until_running(6).await;
     cluster.submit("run-4", "tight", 40, 8.0, "low").await;
     cluster.withdraw(1, "run-3").await;
-    // Everything fails together, and controllers come back into the failure.
+    // The state service, the cloud and all controllers fail together, and the controllers restart
+    // during the outage.
     cluster.state.outage(true);
     cluster.cloud.outage(true);
     (0..3).for_each(|n| cluster.kill_node(n));
@@ -51,15 +53,15 @@
     cluster.submit("run-1", "free", 2, 16.0, "normal").await;
     cluster.until_running(2).await;
     let unreachable = cluster.referee.on()["run-1/0"].clone();
-    // Its reports arrive; neither answers nor commands reach it.
+    // The worker's heartbeats arrive, but neither answers nor commands reach the worker.
     cluster.net.rule(Rule::all(&unreachable, "", Action::LoseAnswer).path("/hello"));
     cluster.net.rule(Rule::all("", &format!("w:{unreachable}"), Action::Drop));
     cluster.submit("run-2", "free", 6, 8.0, "normal").await;
     cluster.until_stage("run-2", "done").await;
     cluster.until_stage("run-1", "done").await;
-    cluster.until("it is released", || !cluster.cloud.machines().contains(&unreachable)).await;
+    cluster.until("the machine is released", || !cluster.cloud.machines().contains(&unreachable)).await;
     let starts: usize = (0..2).map(|i| cluster.referee.starts(&format!("run-1/{i}"))).sum();
-    assert!(starts <= 3, "only what was on it can have been started again");
+    assert!(starts <= 3, "only the task on the unreachable machine may be restarted");
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
 }
 
@@ -71,11 +73,14 @@
     let unreachable = cluster.referee.on()["run-1/0"].clone();
     cluster.net.rule(Rule::all(&unreachable, "", Action::LoseAnswer).path("/hello"));
     cluster.net.rule(Rule::all("", &format!("w:{unreachable}"), Action::Drop));
-    // Nor can it be released: that its worker's lease has ended is the proof.
+    // The machine cannot be released either, so only the end of the worker's lease proves that the
+    // task has stopped.
     cluster.net.rule(Rule::all("", CLOUD, Action::Refuse).path("/rentals/release"));
     pause(20.0).await;
-    assert_eq!(cluster.referee.starts("run-1/0"), 1, "it may still be running");
-    cluster.until("it runs elsewhere", || cluster.referee.starts("run-1/0") == 2).await;
+    assert_eq!(cluster.referee.starts("run-1/0"), 1, "restarted while the first attempt may still run");
+    cluster
+        .until("the task is restarted on another machine", || cluster.referee.starts("run-1/0") == 2)
+        .await;
     cluster.until_stage("run-1", "done").await;
     cluster.assert_day_ends(&["run-1"]).await;
 }
@@ -96,8 +101,8 @@
     cluster.until_running(3).await;
     replayed.push(worker.report());
     for round in 0..4 {
-        // To the holder, to a new one before it has heard anything else, and
-        // after longer than a lease.
+        // The copies are sent to the holder, to a new holder before it has received any other
+        // heartbeat, and after more than a lease period.
         for copy in &replayed {
             let body = serde_json::to_value(copy).unwrap();
             for n in 0..3 {
@@ -123,14 +128,14 @@
 #[tokio::test(start_paused = true)]
 async fn repeated_requests_whose_answers_were_lost_change_nothing() {
     let cluster = Cluster::with(3, run_times(&[("run-1", 20)]), Options::default()).await;
-    // The first few answers of everything are lost, so that all is repeated.
+    // The first answers to requests of every kind are lost, so that the requests are repeated.
     for (to, path, times) in [(STATE, "/multi", 6), (CLOUD, "/rentals", 2), (CLOUD, "/rentals/release", 2)] {
         cluster.net.rule(Rule::all("", to, Action::LoseAnswer).path(path).times(times));
     }
     cluster.net.rule(Rule::all("", "", Action::LoseAnswer).path("/do").times(3));
     cluster.submit("run-1", "tight", 2, 8.0, "normal").await;
     cluster.submit("run-2", "free", 2, 8.0, "normal").await;
-    cluster.until("some run", || cluster.referee.on().len() >= 2).await;
+    cluster.until("two tasks run", || cluster.referee.on().len() >= 2).await;
     cluster.withdraw(0, "run-2").await;
     for n in 0..3 {
         let repeated =
@@ -142,7 +147,7 @@
     cluster.until_stage("run-1", "done").await;
     let repeated = cluster.call(1, Method::POST, "/v2/runs/run-1/withdraw", &Value::Null).await;
     assert_eq!((repeated.0, repeated.1["stage"].as_str()), (200, Some("done")));
-    cluster.until("all are returned", || cluster.cloud.machines().is_empty()).await;
+    cluster.until("all machines are released", || cluster.cloud.machines().is_empty()).await;
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
     assert!((0..2).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1));
 }
@@ -156,13 +161,13 @@
     cluster.until_stage("run-0", "done").await;
     cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold).path("/do").body("start"));
     cluster.submit("run-1", "free", 2, 4.0, "normal").await;
-    cluster.until("a start is on its way", || cluster.net.held() > 0).await;
+    cluster.until("a start command is delayed", || cluster.net.held() > 0).await;
     cluster.cloud.worker(&machine).blink();
     cluster.net.clear_rules();
     cluster.until_running(2).await;
     let codes = cluster.net.deliver().await;
     assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
-    // And once more while they run.
+    // The worker restarts once more while the tasks run.
     cluster.cloud.worker(&machine).blink();
     cluster.until_stage("run-1", "done").await;
     cluster.assert_day_ends(&["run-0", "run-1"]).await;
@@ -184,7 +189,7 @@
     assert!(!cluster.referee.on().keys().any(|t| t.starts_with("run-2/")));
     assert!(
         (0..4).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1),
-        "workers moved on, tasks too"
+        "tasks must keep running when their shards change holders"
     );
     cluster.until_stage("run-1", "done").await;
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
@@ -195,7 +200,7 @@
     let cluster =
         Cluster::with(2, |timing| timing.fetch = Duration::from_millis(100), Options::default()).await;
     let mut ids: Vec<String> = Vec::new();
-    // Small jobs come faster than two machines serve them, some of them urgent.
+    // Small jobs, some of them urgent, arrive faster than two machines can run them.
     for n in 0..170 {
         if n == 20 {
             cluster.submit("run-9000", "free", 3, 16.0, "normal").await;
@@ -211,7 +216,7 @@
     }
     pause(100.0).await;
     for id in ["run-9000", "run-9001"] {
-        assert!(cluster.referee.starts(&format!("{id}/0")) > 0, "{id} has not begun");
+        assert!(cluster.referee.starts(&format!("{id}/0")) > 0, "{id} has not started");
     }
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     cluster.assert_day_ends(&ids).await;
@@ -225,8 +230,7 @@
     for gap in [0.05, 0.1, 0.4] {
         let leader = cluster.leader().unwrap();
         cluster.state.end_leases();
-        // The leader and a candidate end while the others stand for election,
-        // twice in a row.
+        // The leader and one candidate crash during the election, twice in a row.
         for _ in 0..2 {
             for n in [leader, (leader + 1) % 3] {
                 cluster.kill_node(n);
--- a/crates/dapplecroft-controller/tests/stories/services.rs
+++ b/crates/dapplecroft-controller/tests/stories/services.rs
@@ -1,4 +1,4 @@
-//! Services: replicas that run until they are withdrawn.
+//! Services: jobs whose replicas run until the job is cancelled.
 
 use crate::cluster::{Cluster, STATE, job, pause, service};
 use dapplecroft_controller::Options;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Replicas of these services run for ever.
+/// Makes replicas of these services run until they are stopped.
 fn run_forever(ids: &[&str]) -> impl FnOnce(&mut WorkerTiming) {
     let ids: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
     move |timing| {
@@ -25,7 +25,7 @@
     cluster
 }
 
-/// No replica is missing for longer than so many seconds from now on.
+/// Asserts for `seconds` that no replica is missing for longer than `longest` seconds.
 async fn assert_keeps_serving(cluster: &Cluster, longest: f64, seconds: u32) {
     cluster.referee.calm();
     for _ in 0..seconds * 2 {
@@ -42,7 +42,7 @@
     assert_eq!((status, &answer["stage"], &answer["running"]), (200, &json!("running"), &json!(3)));
     assert_eq!(answer["done"].as_u64().unwrap_or(0), 0);
     let machines: BTreeSet<String> = cluster.referee.on().into_values().collect();
-    assert_eq!(machines.len(), 1, "there is no second machine to spread over");
+    assert_eq!(machines.len(), 1, "one machine has enough room, so no second one is rented");
     pause(600.0).await;
     assert!((0..3).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1));
     cluster.withdraw(2, "run-1").await;
@@ -50,7 +50,7 @@
     assert!(cluster.referee.on().is_empty());
     assert_eq!(cluster.show(0, "run-1").await.1["stage"], "withdrawn");
     cluster
-        .until("its record is final", || {
+        .until("the cancelled service's record is compacted", || {
             cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
         })
         .await;
@@ -62,9 +62,9 @@
 #[tokio::test(start_paused = true)]
 async fn invalid_services_are_rejected_at_submission() {
     let cluster = Cluster::start(2).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster
-        .until("machine types known", || {
+        .until("the machine types are recorded", || {
             cluster.state.value("dc/catalog").is_some() || cluster.state.value("dc/c/0").is_some()
         })
         .await;
@@ -77,7 +77,7 @@
         ("form", json!("server"), 400),
         ("crew", json!("nobody"), 422),
         ("cpus", json!(17.0), 422),
-        // Five replicas of 4 CPUs are beyond a limit of 16.
+        // Five replicas of 4 CPUs exceed the team's quota limit of 16 CPUs.
         ("shares", json!(5), 422),
     ] {
         let mut body = service("run-9", "tight", 4, 4.0);
@@ -85,7 +85,7 @@
         let (got, answer) = cluster.call(1, Method::POST, "/v2/runs", &body).await;
         assert_eq!(got, status, "{field}: {answer}");
     }
-    // As many tasks of an array run one after the other.
+    // The same number of tasks of a batch job is accepted, since they can run one after the other.
     assert_eq!(cluster.call(1, Method::POST, "/v2/runs", &job("run-8", "tight", 5, 4.0, "low")).await.0, 201);
     assert_eq!(cluster.show(0, "run-9").await.0, 404);
 }
@@ -93,7 +93,7 @@
 #[tokio::test(start_paused = true)]
 async fn service_replicas_are_spread_over_machines_and_restart_when_theirs_is_lost() {
     let cluster = Cluster::with(6, run_forever(&["run-1", "run-2"]), Options::default()).await;
-    // Two machines are in use already, about equally full.
+    // Two machines are already in use, with the same load.
     cluster.submit("run-2", "free", 2, 9.0, "normal").await;
     cluster.until_running(2).await;
     let mut body = service("run-1", "free", 2, 2.0);
@@ -118,7 +118,7 @@
     };
     let cluster = Cluster::with(2, adjust, Options::default()).await;
     cluster.serve("run-1", "free", 2, 2.0).await;
-    // Each of them completes again and again.
+    // Each replica completes every 40 s.
     for _ in 0..20 {
         pause(45.0).await;
         cluster.until_all_serve().await;
@@ -127,7 +127,7 @@
     assert!(cluster.referee.starts("run-1/0") >= 20);
     let sizes: usize =
         cluster.state.keys("dc/q/").iter().map(|k| cluster.state.value(k).unwrap().to_string().len()).sum();
-    assert!(sizes < 400, "{sizes} bytes after so many attempts");
+    assert!(sizes < 400, "segment records grew to {sizes} bytes");
     cluster.assert_rules_kept();
 }
 
@@ -139,9 +139,9 @@
     cluster.until_stage("run-2", "done").await;
     pause(300.0).await;
     let starts: usize = (0..2).map(|i| cluster.referee.starts(&format!("run-1/{i}"))).sum();
-    assert!((6..40).contains(&starts), "{starts} starts in 300 s");
+    assert!((6..40).contains(&starts), "{starts} starts of replicas in 300 s");
     assert_ne!(cluster.show(0, "run-1").await.1["stage"], "done");
-    // Its machine takes other work.
+    // The machines where the replicas failed still run other jobs.
     cluster.submit("run-3", "free", 4, 4.0, "normal").await;
     cluster.until_stage("run-3", "done").await;
     cluster.withdraw(0, "run-1").await;
@@ -156,9 +156,15 @@
     let machine = cluster.referee.on()["run-1/0"].clone();
     cluster.cloud.worker(&machine).notice(12.0);
     pause(8.0).await;
-    assert_eq!(cluster.referee.on()["run-1/0"], machine, "it is not stopped long before");
+    assert_eq!(
+        cluster.referee.on()["run-1/0"],
+        machine,
+        "the replica must not be stopped long before the machine is reclaimed"
+    );
     cluster
-        .until("it serves elsewhere", || cluster.referee.on().get("run-1/0").is_some_and(|m| *m != machine))
+        .until("the replica runs on another machine", || {
+            cluster.referee.on().get("run-1/0").is_some_and(|m| *m != machine)
+        })
         .await;
     cluster.cloud.take(&machine);
     assert_keeps_serving(&cluster, 3.0, 20).await;
@@ -176,15 +182,15 @@
     cluster.referee.job("run-2", "free", 4.0);
     assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
     cluster.until_running(4).await;
-    // It is older than what else may be displaced.
+    // By now run-2 is too old to be preempted by anything but a service.
     pause(100.0).await;
     let started_at = tokio::time::Instant::now();
     cluster.serve("run-1", "free", 2, 2.0).await;
     cluster.until_all_serve().await;
     assert!(started_at.elapsed() < Duration::from_secs(4), "{:?}", started_at.elapsed());
-    assert_eq!(cluster.referee.on().len(), 5, "one task gave way");
+    assert_eq!(cluster.referee.on().len(), 5, "exactly one task must be preempted");
     cluster.withdraw(0, "run-1").await;
-    cluster.until("what gave way runs again", || cluster.referee.on().len() == 4).await;
+    cluster.until("the preempted task runs again", || cluster.referee.on().len() == 4).await;
     cluster.until_stage("run-2", "done").await;
     cluster.assert_rules_kept();
 }
@@ -195,10 +201,13 @@
     cluster.serve("run-1", "tight", 4, 4.0).await;
     cluster.until_all_serve().await;
     let machine = cluster.referee.on()["run-1/0"].clone();
-    // Cut off, it still runs: nothing may start in its place before it is proven gone.
+    // The partitioned machine still runs its replica: a replacement may start only once the replica
+    // is proven to be stopped.
     cluster.net.rule(Rule::all(&machine, "", Action::Hold));
     cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
-    cluster.until("it is released", || !cluster.cloud.machines().contains(&machine)).await;
+    cluster
+        .until("the partitioned machine is released", || !cluster.cloud.machines().contains(&machine))
+        .await;
     cluster.until_all_serve().await;
     cluster.net.clear_rules();
     cluster.net.deliver().await;
@@ -216,7 +225,7 @@
         pause(47.0).await;
         assert!(cluster.referee.on().is_empty());
         cluster
-            .until("its record is final", || {
+            .until("the cancelled service's record is compacted", || {
                 cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
             })
             .await;
--- a/crates/dapplecroft-controller/tests/stories/shards.rs
+++ b/crates/dapplecroft-controller/tests/stories/shards.rs
@@ -1,4 +1,4 @@
-//! Several shards on several controllers: every machine is a shard here.
+//! Several shards on several controllers: each shard has a single machine here.
 
 use crate::cluster::{Cluster, STATE, host, pause};
 use dapplecroft_controller::Options;
@@ -52,9 +52,9 @@
         let moved = cluster
             .holders()
             .iter()
-            .filter(|(b, h)| before.get(*b).is_some_and(|previous| previous != *h))
+            .filter(|(shard, holder)| before.get(*shard).is_some_and(|previous| previous != *holder))
             .count();
-        assert!(moved <= 4, "{moved} blocks moved");
+        assert!(moved <= 4, "{moved} shards moved");
         cluster.assert_day_ends(&["run-1", "run-2"]).await;
     }
 }
@@ -114,7 +114,7 @@
         pause(crate::cluster::CANCEL.as_secs_f64()).await;
         assert!(cluster.referee.on().is_empty());
         cluster
-            .until("its record is final", || {
+            .until("the cancelled job's record is compacted", || {
                 cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
             })
             .await;
@@ -130,11 +130,11 @@
     let old_leader = cluster.leader().unwrap();
     cluster.net.rule(Rule::all(&host(old_leader), STATE, Action::Hold).path("/multi").body("\"to\":{"));
     cluster.submit("run-2", "tight", 4, 8.0, "normal").await;
-    cluster.until("the allocation is held", || cluster.net.held() > 0).await;
+    cluster.until("an allocation is delayed", || cluster.net.held() > 0).await;
     cluster.state.end_leases();
     cluster.net.rule(Rule::all(&host(old_leader), STATE, Action::Drop));
     cluster.until("another leader", || cluster.leader().is_some_and(|n| n != old_leader)).await;
-    cluster.until("it allocates too", || cluster.referee.starts("run-2/0") > 0).await;
+    cluster.until("the new leader has allocated the tasks", || cluster.referee.starts("run-2/0") > 0).await;
     let codes = cluster.net.deliver().await;
     assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
     cluster.net.clear_rules();
@@ -143,18 +143,20 @@
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
 }
 
+/// A holder's placement commits are delayed, so the leader reclaims the tasks and allocates them to
+/// another shard. The delayed commits arrive afterwards and must not start the tasks twice.
 #[tokio::test(start_paused = true)]
 async fn tasks_reclaimed_from_a_stalled_shard_run_only_on_another_shard() {
     let cluster = start_with_single_machine_shards(4, &[("run-1", 40), ("run-2", 40)]).await;
     cluster.submit("run-1", "free", 4, 16.0, "normal").await;
     cluster.until_running(4).await;
-    // A holder's placements don't get through; the leader takes the tasks back
-    // from its shards when another has room.
+    // One holder's placement commits are delayed; the leader reclaims the tasks from its shards
+    // when another shard has free resources.
     let leader = cluster.leader().unwrap();
     let stalled = (0..3).find(|n| *n != leader).unwrap();
     cluster.net.rule(Rule::all(&host(stalled), STATE, Action::Hold).path("/multi").body("dc/q/").times(6));
     cluster.submit("run-2", "free", 8, 8.0, "normal").await;
-    cluster.until("something is held", || cluster.net.held() > 0).await;
+    cluster.until("a placement commit is delayed", || cluster.net.held() > 0).await;
     pause(30.0).await;
     cluster.net.deliver().await;
     cluster.until_stage("run-1", "done").await;
@@ -162,12 +164,14 @@
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
 }
 
+/// The cloud's answer to a rental is lost and the machine registers by its heartbeat. The repeated
+/// request is answered later and must not record the machine a second time.
 #[tokio::test(start_paused = true)]
 async fn a_rental_answered_after_its_machine_reported_adds_the_machine_once() {
     let cluster = start_with_single_machine_shards(3, &[("run-1", 30)]).await;
     let leader = cluster.leader().unwrap();
-    // The answer is lost; the machine is up, reports and is taken in; then the
-    // request is answered when it is repeated.
+    // The cloud's answer is lost; the machine boots, sends a heartbeat and is recorded; the
+    // repeated request is answered only then.
     cluster
         .net
         .rule(Rule::all(&host(leader), crate::cluster::CLOUD, Action::LoseAnswer).path("/rentals").times(4));
@@ -185,6 +189,8 @@
     cluster.assert_day_ends(&["run-1"]).await;
 }
 
+/// A controller whose record replica is outdated becomes the holder of all shards. It must catch up
+/// before it places tasks.
 #[tokio::test(start_paused = true)]
 async fn a_controller_with_a_stale_record_replica_starts_no_task_twice() {
     for behind_s in [2.0, 20.0] {
@@ -193,18 +199,18 @@
         cluster.until_running(6).await;
         let leader = cluster.leader().unwrap();
         let stale = (0..3).find(|n| *n != leader).unwrap();
-        // It hears of no change for a while, reads single keys all the same, and
-        // then comes to hold everything.
+        // This controller receives no watch events for a while but still reads single keys; then it
+        // becomes the holder of all shards.
         cluster.net.rule(Rule::all(&host(stale), STATE, Action::Drop).path("/follow"));
         cluster.submit("run-2", "free", 6, 8.0, "normal").await;
-        cluster.until("more runs", || cluster.referee.on().len() >= 8).await;
+        cluster.until("some tasks of run-2 run", || cluster.referee.on().len() >= 8).await;
         for _ in 0..4 {
             cluster.show(stale, "run-1").await;
             pause(behind_s / 4.0).await;
         }
         cluster.net.clear_rules();
         (0..3).filter(|n| *n != stale).for_each(|n| cluster.kill_node(n));
-        cluster.until("it leads", || cluster.leader() == Some(stale)).await;
+        cluster.until("the stale controller leads", || cluster.leader() == Some(stale)).await;
         cluster.until_stage("run-1", "done").await;
         cluster.until_stage("run-2", "done").await;
         (0..3).filter(|n| *n != stale).for_each(|n| cluster.start_node(n));
@@ -227,6 +233,6 @@
     cluster.until_stage("run-2", "done").await;
     cluster.until_stage("run-1", "done").await;
     let starts: usize = (0..16).map(|i| cluster.referee.starts(&format!("run-1/{i}"))).sum();
-    assert!(starts <= 16 + 3, "{} tasks gave way to two", starts - 16);
+    assert!(starts <= 16 + 3, "{} tasks were preempted for two", starts - 16);
     cluster.assert_day_ends(&["run-1", "run-2"]).await;
 }
--- a/crates/dapplecroft-controller/tests/stories/upgrade.rs
+++ b/crates/dapplecroft-controller/tests/stories/upgrade.rs
@@ -1,4 +1,5 @@
-//! The first version is replaced node by node, and the records with it.
+//! Rolling upgrade from the first version: controllers are replaced one by one, then the records
+//! are migrated to the second layout.
 
 use crate::cluster::{Cluster, MARK, STATE, host, job, pause, service};
 use dapplecroft_controller::Options;
@@ -10,7 +11,7 @@
 
 const SMALL_LIMITS: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
 
-/// What the first version wrote; see `fixtures/README.md`.
+/// Records written by the first version; see `fixtures/README.md`.
 const FIRST_LAYOUT_RECORDS: &str = include_str!("../../fixtures/first-layout.json");
 
 fn set_run_times(timing: &mut WorkerTiming) {
@@ -18,8 +19,8 @@
     timing.runs.insert("run-5".into(), Duration::from_secs(1_000_000));
 }
 
-/// Six machines in shards of two, in use, with all controllers of the first
-/// version.
+/// Starts a cluster whose controllers all run the first version, with six busy machines in shards
+/// of two.
 async fn start_first_version() -> Cluster {
     let options = Options { shard_machines: Some(2), ..Options::default() };
     let cluster = Cluster::mixed(6, set_run_times, options).await;
@@ -29,7 +30,7 @@
 }
 
 async fn assert_migrated_and_jobs_done(cluster: &Cluster, others: &[&str]) {
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.until("no record of the first layout is left", || cluster.state.keys("dc/p/").is_empty()).await;
     cluster.until_stage("run-1", "done").await;
     cluster.submit("run-7", "free", 20, 2.0, "urgent").await;
@@ -52,7 +53,7 @@
                 cluster.submit(&format!("run-2{step}"), "tight", 3, 4.0, "normal").await;
                 pause(4.0).await;
             }
-            cluster.until("the switch", || cluster.is_switched()).await;
+            cluster.until("the switch to the second layout", || cluster.is_switched()).await;
             cluster.state.limit(SMALL_LIMITS);
             for step in 0..3 {
                 cluster.until_stage(&format!("run-2{step}"), "done").await;
@@ -78,6 +79,8 @@
     assert_migrated_and_jobs_done(&cluster, &[]).await;
 }
 
+/// The mark that a controller supports the second layout must outlive its process: controllers that
+/// are down at the moment of the switch still count as upgraded.
 #[tokio::test(start_paused = true)]
 async fn layout_marks_survive_a_crash_of_all_controllers_during_a_rolling_upgrade() {
     let cluster = start_first_version().await;
@@ -87,12 +90,13 @@
     pause(2.0).await;
     (0..3).for_each(|n| cluster.start_node(n));
     pause(5.0).await;
-    // The first is not up when the last has its turn: it was seen all the same.
+    // The first controller is down when the last one is upgraded; its recorded mark counts all the
+    // same.
     cluster.upgrade(1, 1.0).await;
     pause(2.0).await;
     cluster.kill_node(0);
     cluster.upgrade(2, 1.0).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.start_node(0);
     assert_migrated_and_jobs_done(&cluster, &[]).await;
 }
@@ -103,20 +107,24 @@
         let cluster = start_first_version().await;
         cluster.upgrade(0, 1.0).await;
         cluster.upgrade(1, 1.0).await;
-        // The switch is held up, and its leader ends; a second one makes it, and
-        // the first one's arrives late.
+        // The transaction that switches the layout is delayed and its leader crashes. Another
+        // leader makes the switch, and the delayed transaction arrives afterwards.
         cluster
             .net
             .rule(Rule::all("", STATE, Action::Hold).path("/multi").body("\"set\":\"dc/format\"").times(1));
         cluster.upgrade(2, 0.1).await;
-        cluster.until("it is held, or was made", || cluster.net.held() > 0 || cluster.is_switched()).await;
+        cluster
+            .until("the switch to the second layout is delayed or made", || {
+                cluster.net.held() > 0 || cluster.is_switched()
+            })
+            .await;
         pause(crash_after_s).await;
         if let Some(leader) = cluster.leader() {
             cluster.kill_node(leader);
             pause(0.3).await;
             cluster.start_node(leader);
         }
-        cluster.until("the switch", || cluster.is_switched()).await;
+        cluster.until("the switch to the second layout", || cluster.is_switched()).await;
         cluster.net.deliver().await;
         assert_migrated_and_jobs_done(&cluster, &[]).await;
     }
@@ -125,15 +133,16 @@
 #[tokio::test(start_paused = true)]
 async fn late_transactions_of_an_old_process_are_rejected_after_the_migration() {
     let cluster = start_first_version().await;
-    // What an old holder and an old leader were about to write when they ended.
+    // Delays transactions of a shard holder and a leader of the first version, which are stopped
+    // meanwhile.
     cluster.net.rule(Rule::all("", STATE, Action::Hold).path("/multi").body("dc/p/").times(4));
     cluster.net.rule(Rule::all("", STATE, Action::Hold).path("/multi").body("\"to\":{").times(2));
     cluster.submit("run-3", "tight", 4, 4.0, "normal").await;
-    cluster.until("something is held", || cluster.net.held() > 1).await;
+    cluster.until("transactions of both kinds are delayed", || cluster.net.held() > 1).await;
     for n in 0..3 {
         cluster.upgrade(n, 0.1).await;
     }
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.until("no record of the first layout is left", || cluster.state.keys("dc/p/").is_empty()).await;
     let codes = cluster.net.deliver().await;
     assert!(codes.iter().all(|code| *code == 409), "{codes:?}");
@@ -149,7 +158,7 @@
         for n in 0..3 {
             cluster.upgrade(n, 0.1).await;
         }
-        cluster.until("the switch", || cluster.is_switched()).await;
+        cluster.until("the switch to the second layout", || cluster.is_switched()).await;
         cluster.state.limit(SMALL_LIMITS);
         for step in 0..4 {
             pause(crash_after_s).await;
@@ -168,14 +177,15 @@
     for n in 0..3 {
         let reply = cluster.node(n).handle(&Method::POST, "/v2/runs", body.to_string().into()).await;
         assert_eq!((reply.status, reply.retry_after.is_some()), (503, true));
-        assert_eq!(cluster.show(n, "run-5").await.0, 404, "it is not stored");
+        assert_eq!(cluster.show(n, "run-5").await.0, 404, "the refused service must not be stored");
         cluster.upgrade(n, 0.5).await;
         pause(2.0).await;
     }
     assert!(cluster.state.value("dc/j/run-5").is_none_or(|v| v.get("stage").is_none()));
     cluster.serve("run-5", "free", 3, 1.0).await;
     cluster.until_all_serve().await;
-    // The first version could not read it as anything that it knows.
+    // The first version must not mistake the service for a job of its own: the record lacks the
+    // field `stage` of the first layout.
     assert!(cluster.state.value("dc/j/run-5").unwrap().get("stage").is_none());
     cluster.kill_node(0);
     pause(5.0).await;
@@ -196,7 +206,7 @@
     let lost = cluster.referee.on()["run-1/0"].clone();
     cluster.cloud.take(&lost);
     cluster.upgrade(2, 1.0).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     pause(47.0).await;
     assert!(!cluster.referee.on().keys().any(|t| t.starts_with("run-4/")));
     cluster.until("no record of the first layout is left", || cluster.state.keys("dc/p/").is_empty()).await;
@@ -207,7 +217,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_fresh_installation_switches_to_the_second_layout() {
     let cluster = Cluster::start(2).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     assert_eq!(cluster.state.value("dc/format"), Some(json!({"layout": 2})));
     assert_eq!(cluster.state.keys("dc/v/").len(), 3);
     let live = cluster.state.value(&format!("dc/n/{}", host(0))).unwrap();
@@ -217,16 +227,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_controller_that_finds_a_newer_layout_shuts_down_with_a_reason() {
     let cluster = Cluster::start(2).await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     let node = cluster.node(1);
     cluster.state.put("dc/format", json!({"layout": 3}));
-    cluster.until("it ends", || node.shutdown_reason().is_some()).await;
+    cluster.until("the controller shuts down", || node.shutdown_reason().is_some()).await;
     let why = node.shutdown_reason().unwrap();
     assert!(why.contains("layout 3") && !why.contains('\n'), "{why}");
 }
 
-/// The state service as production left it: its machines are gone, its jobs are
-/// not.
+/// Starts on records that a production cluster of the first version left behind: the jobs are still
+/// open, but the machines no longer exist.
 #[tokio::test(start_paused = true)]
 async fn records_written_by_the_first_version_are_migrated_and_served() {
     let written: BTreeMap<String, Value> = serde_json::from_str(FIRST_LAYOUT_RECORDS).unwrap();
@@ -234,7 +244,7 @@
     let adjust = |timing: &mut WorkerTiming| timing.fails.push("run-3".into());
     let cluster = Cluster::custom(6, adjust, Options::default(), lower_limits, |cluster| {
         for (key, value) in &written {
-            // Of a process only its lease is left, and that ends.
+            // The old processes are gone, so the keys bound to their leases have expired.
             if !key.starts_with("dc/n/") && key != "dc/leader" {
                 cluster.state.put(key, value.clone());
             }
@@ -244,7 +254,7 @@
         }
     })
     .await;
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.state.limit(SMALL_LIMITS);
     assert_eq!(cluster.show(0, "run-5").await.1["stage"], "done");
     assert_eq!(cluster.show(0, "run-7").await.1["stage"], "withdrawn");
@@ -256,8 +266,9 @@
     cluster.assert_rules_kept();
 }
 
-/// An old leader and holder that writes and commands by the frozen layout, with
-/// requests as production made them, then ends.
+/// A leader and shard holder of the first version places and starts a task, played here with the
+/// literal requests that the first version sends. Then it ends, and new controllers migrate its
+/// records.
 #[tokio::test(start_paused = true)]
 async fn a_shard_passes_from_an_old_holder_to_a_new_one_with_its_running_tasks() {
     let cluster = Cluster::mixed(2, set_run_times, Options::default()).await;
@@ -280,7 +291,7 @@
             (answer.status, serde_json::from_slice::<Value>(&answer.body).unwrap())
         }
     };
-    // It leads, leases itself shard 0, and places a third task there.
+    // The old process leads, leases shard 0 and places a third task there.
     let lease = send(Method::POST, "/grants", json!({"life_ms": 4000})).await.1["tenancy"].clone();
     let set = |key: &str, data: Value| json!({"set": key, "data": data});
     let controller_record = json!({"host": "crofter-0", "identity": "old", "lease": lease});
@@ -315,15 +326,15 @@
     };
     cluster.net.port("crofter-old").send(late_command.clone()).await.unwrap();
     cluster.until_running(3).await;
-    // It ends; new ones take its place, and move what it wrote.
+    // The old process has ended; upgraded controllers start and migrate its records.
     for n in 0..3 {
         cluster.net.remove_rules(&host(n), MARK);
         cluster.start_node(n);
     }
-    cluster.until("the switch", || cluster.is_switched()).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
     cluster.until("no record of the first layout is left", || cluster.state.keys("dc/p/").is_empty()).await;
     assert_eq!(cluster.referee.on().len(), 3);
-    // A late copy of its command is void.
+    // A late copy of the start command carries an outdated fencing token and is rejected.
     cluster.until("the worker has a newer token", || cluster.cloud.worker(&machine).token() > token).await;
     assert_eq!(cluster.net.port("crofter-old").send(late_command).await.unwrap().status, 409);
     cluster.until_stage("run-8", "done").await;
--- a/crates/dapplecroft-controller/tests/stories/users.rs
+++ b/crates/dapplecroft-controller/tests/stories/users.rs
@@ -1,4 +1,4 @@
-//! What users see.
+//! Answers that users get from the HTTP interface.
 
 use crate::cluster::{CLOUD, Cluster, STATE, host, job, pause};
 use dapplecroft_controller::Options;
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Whether the records of what runs have nothing on any machine.
+/// Whether there are segment records and none of them lists a task on a machine.
 fn no_placements_are_recorded(cluster: &Cluster) -> bool {
     let keys = cluster.state.keys("dc/q/");
     !keys.is_empty() && keys.iter().all(|k| cluster.state.value(k).is_none_or(|v| v.get("m").is_none()))
@@ -24,7 +24,7 @@
         assert_eq!((status, &answer["stage"], &answer["done"]), (200, &json!("done"), &json!(20)));
     }
     assert!((0..20).all(|i| cluster.referee.starts(&format!("run-1/{i}")) == 1));
-    // What is kept of it is small, and its placements are gone.
+    // The job's record is compacted and its placements are removed.
     assert!(cluster.state.value("dc/j/run-1").unwrap().get("spec").is_none());
     assert!(no_placements_are_recorded(&cluster));
     assert!(cluster.state.largest() <= 12);
@@ -45,10 +45,10 @@
     cluster.submit("run-2", "free", 1200, 0.25, "normal").await;
     cluster.until_stage("run-2", "done").await;
     cluster.submit("run-3", "free", 1200, 0.1, "normal").await;
-    cluster.until("most of it runs", || cluster.referee.on().len() > 1000).await;
+    cluster.until("most tasks of run-3 run", || cluster.referee.on().len() > 1000).await;
     cluster.withdraw(1, "run-3").await;
     cluster
-        .until("its record is compact", || {
+        .until("the cancelled job's record is compacted", || {
             cluster.state.value("dc/j/run-3").is_some_and(|v| v.get("spec").is_none())
         })
         .await;
@@ -60,7 +60,7 @@
 #[tokio::test(start_paused = true)]
 async fn invalid_submissions_are_rejected_with_a_status_and_an_error_text() {
     let cluster = Cluster::start(1).await;
-    cluster.until("machine types known", || cluster.state.value("dc/catalog").is_some()).await;
+    cluster.until("the machine types are recorded", || cluster.state.value("dc/catalog").is_some()).await;
     pause(1.0).await;
     let submit = |body: Value| {
         let cluster = &cluster;
@@ -95,14 +95,14 @@
     assert_eq!(cluster.show(2, "nonsense").await.0, 404);
     assert_eq!(submit(good.clone()).await.0, 201);
     assert_eq!(cluster.show(2, "run-5").await.0, 200);
-    // Known jobs keep their answer even if the settings would now refuse them.
+    // Accepted jobs are answered with 200 even if the settings would reject them now.
     assert_eq!(submit(good).await.0, 200);
 }
 
 #[tokio::test(start_paused = true)]
 async fn machine_types_survive_a_restart_during_an_outage_of_the_cloud() {
     let cluster = Cluster::start(2).await;
-    cluster.until("machine types known", || cluster.state.value("dc/catalog").is_some()).await;
+    cluster.until("the machine types are recorded", || cluster.state.value("dc/catalog").is_some()).await;
     cluster.cloud.outage(true);
     (0..3).for_each(|n| cluster.kill_node(n));
     (0..3).for_each(|n| cluster.start_node(n));
@@ -117,7 +117,7 @@
 async fn submissions_get_503_with_retry_after_while_machine_types_are_unknown() {
     let cluster = Cluster::start(2).await;
     cluster.net.rule(Rule::all("", CLOUD, Action::Refuse));
-    // The first look at the types may have been answered before the rule.
+    // The first request for machine types may have been answered before the rule was added.
     if cluster.state.value("dc/catalog").is_none() {
         let reply = cluster
             .node(0)
@@ -137,12 +137,12 @@
     cluster.until_running(2).await;
     cluster.state.outage(true);
     pause(14.0).await;
-    assert!(cluster.referee.on().is_empty(), "running tasks go on, and end");
+    assert!(cluster.referee.on().is_empty(), "running tasks must complete during the outage");
     for n in 0..3 {
-        // Nothing that is not final is told without being confirmed.
+        // A stage that is not final is answered only after confirmation by the state service.
         assert_eq!(cluster.show(n, "run-8").await.0, 503);
         assert_eq!(cluster.show(n, "run-404").await.0, 503);
-        // In an outage that all share, nodes stay in service.
+        // An outage that affects all controllers does not take them out of service.
         assert_eq!(cluster.call(n, Method::GET, "/up", &Value::Null).await.0, 200);
     }
     let (status, _) = cluster.call(0, Method::POST, "/v2/runs", &job("run-9", "free", 1, 1.0, "low")).await;
@@ -187,7 +187,7 @@
     }
     cluster.state.outage(false);
     cluster.until_stage("run-1", "done").await;
-    // One that has not read the records while others have is of no use.
+    // A controller that has not loaded the records while others have is out of service.
     cluster.net.rule(Rule::all(&host(2), STATE, Action::Drop));
     cluster.kill_node(2);
     cluster.start_node(2);
@@ -215,14 +215,14 @@
     assert_eq!(codes, [200, 200, 503, 503, 503, 503]);
 }
 
-// Withdrawn is as final as done, but while tasks were still on machines it was
-// confirmed with the state service each time, and refused in an outage.
+// The stage withdrawn is final, so it can be answered without the state service. While the job's
+// tasks were still running, it used to be confirmed there each time, which gave a 503 in an outage.
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_job_whose_tasks_still_run_is_answered_during_an_outage() {
-    let runs = |timing: &mut dapplecroft_fakes::WorkerTiming| {
+    let adjust = |timing: &mut dapplecroft_fakes::WorkerTiming| {
         timing.runs.insert("run-1".into(), Duration::from_secs(200));
     };
-    let cluster = Cluster::with(1, runs, Options::default()).await;
+    let cluster = Cluster::with(1, adjust, Options::default()).await;
     cluster.submit("run-1", "free", 2, 4.0, "normal").await;
     cluster.until_running(2).await;
     let machine = cluster.cloud.machines()[0].clone();
@@ -240,9 +240,9 @@
             cluster.call(n, Method::POST, "/v2/runs", &job("run-1", "free", 2, 4.0, "normal")).await;
         assert_eq!((resubmission.0, &resubmission.1["stage"]), (200, &json!("withdrawn")));
     }
-    assert_eq!(cluster.referee.on().len(), 2, "they are not gone");
+    assert_eq!(cluster.referee.on().len(), 2, "the tasks of the cancelled job must still run");
     cluster.state.outage(false);
     cluster.net.clear_rules();
-    cluster.until("they are gone", || cluster.referee.on().is_empty()).await;
+    cluster.until("the tasks of the cancelled job have stopped", || cluster.referee.on().is_empty()).await;
     cluster.assert_rules_kept();
 }
