--- a/crates/dapplecroft-controller/tests/stories/large_fleet.rs
+++ b/crates/dapplecroft-controller/tests/stories/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of 4,000 machines: no limit of the program may stand below it.
+//! A fleet of 4,000 machines, which no built-in limit of the controller may prevent.
 
 use crate::cluster::{Cluster, host, pause};
 use dapplecroft_controller::Options;
@@ -9,108 +9,114 @@
 use tokio::time::Instant;
 
 const MACHINES: usize = 4000;
-/// Tasks of the job that takes every machine.
+/// Number of tasks of a job that fills every machine with one task.
 const TASKS: u32 = MACHINES as u32;
 
-async fn running() -> Cluster {
-    let adjust = |t: &mut WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(300));
+async fn start_with_all_machines_busy() -> Cluster {
+    let adjust = |timing: &mut WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(300));
     };
-    let c = Cluster::with_options(MACHINES, adjust, Options::default()).await;
-    c.submit("run-1", "free", TASKS, 16.0, "normal").await;
-    c.until_running(MACHINES).await;
-    c
+    let cluster = Cluster::with_options(MACHINES, adjust, Options::default()).await;
+    cluster.submit("run-1", "free", TASKS, 16.0, "normal").await;
+    cluster.until_running(MACHINES).await;
+    cluster
 }
 
-/// Every machine is in exactly one live controller's shards and takes work there.
-fn all_machines_are_open(c: &Cluster) -> bool {
+/// Whether the schedulable machines of all running controllers add up to the whole fleet, so that
+/// every machine is in a running controller's shard.
+fn all_machines_are_schedulable(cluster: &Cluster) -> bool {
     let now = Instant::now().into_std();
-    let open = |n: usize| c.node(n).with(|core| core.summary(now).schedulable_machines);
-    (0..c.nodes).filter(|n| c.is_up(*n)).map(open).sum::<usize>() == MACHINES
+    let schedulable = |n: usize| cluster.node(n).with(|core| core.summary(now).schedulable_machines);
+    (0..cluster.nodes).filter(|n| cluster.is_up(*n)).map(schedulable).sum::<usize>() == MACHINES
 }
 
-async fn assert_all_done_once(c: &Cluster) {
-    c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.checker.starts(&format!("run-1/{i}")) != 1).count();
-    assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_invariants_hold();
+async fn assert_all_tasks_ran_once(cluster: &Cluster) {
+    cluster.until_stage("run-1", "done").await;
+    let not_run_once = (0..TASKS).filter(|i| cluster.checker.starts(&format!("run-1/{i}")) != 1).count();
+    assert_eq!(not_run_once, 0, "tasks that did not run exactly once");
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_of_4000_machines_are_rented_run_a_job_and_outlive_a_change_of_leader() {
-    let c = running().await;
-    assert!(c.state.largest_value() <= 8 * 1024, "a value of {}", c.state.largest_value());
-    let leader = c.leader().unwrap();
-    let other = (leader + 1) % c.nodes;
-    // A fresh process has to read every record, which takes several pages.
-    c.kill_node(other);
-    c.start_node(other);
-    c.until("the fresh controller knows all", || {
-        c.node(other).with(|core| core.loaded && core.machines.len() == MACHINES)
-    })
-    .await;
-    c.kill_node(leader);
-    let begun = Instant::now();
-    c.until("another leader", || c.leader().is_some_and(|n| n != leader)).await;
-    assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    c.until("all machines are held", || all_machines_are_open(&c)).await;
-    assert!(begun.elapsed() < Duration::from_secs(25), "{:?}", begun.elapsed());
-    c.start_node(leader);
-    assert_all_done_once(&c).await;
+async fn a_job_on_4000_machines_survives_a_controller_restart_and_a_leader_change() {
+    let cluster = start_with_all_machines_busy().await;
+    assert!(
+        cluster.state.largest_value() <= 8 * 1024,
+        "largest value: {} bytes",
+        cluster.state.largest_value()
+    );
+    let leader = cluster.leader().unwrap();
+    let other = (leader + 1) % cluster.nodes;
+    // A restarted process reads all records, which takes several pages.
+    cluster.kill_node(other);
+    cluster.start_node(other);
+    cluster
+        .until("the restarted controller has loaded all machines", || {
+            cluster.node(other).with(|core| core.loaded && core.machines.len() == MACHINES)
+        })
+        .await;
+    cluster.kill_node(leader);
+    let started_at = Instant::now();
+    cluster.until("another leader", || cluster.leader().is_some_and(|n| n != leader)).await;
+    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    cluster.until("all machines are schedulable", || all_machines_are_schedulable(&cluster)).await;
+    assert!(started_at.elapsed() < Duration::from_secs(25), "{:?}", started_at.elapsed());
+    cluster.start_node(leader);
+    assert_all_tasks_ran_once(&cluster).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn one_controller_alone_holds_4000_machines() {
-    let c = running().await;
-    let leader = c.leader().unwrap();
-    for n in (0..c.nodes).filter(|n| *n != leader) {
-        c.kill_node(n);
+    let cluster = start_with_all_machines_busy().await;
+    let leader = cluster.leader().unwrap();
+    for n in (0..cluster.nodes).filter(|n| *n != leader) {
+        cluster.kill_node(n);
     }
-    c.until("all machines are held", || all_machines_are_open(&c)).await;
-    let holders: BTreeSet<String> = c.shard_holders().into_values().collect();
+    cluster.until("all machines are schedulable", || all_machines_are_schedulable(&cluster)).await;
+    let holders: BTreeSet<String> = cluster.shard_holders().into_values().collect();
     assert_eq!(holders, BTreeSet::from([host(leader)]));
-    assert_all_done_once(&c).await;
+    assert_all_tasks_ran_once(&cluster).await;
 }
 
-const SMALL: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
+const SMALL_LIMITS: Limits = Limits { value: 2048, changes: 4, rate: 18.0 };
 
-async fn with_small_limits(jobs: &[&str], tasks: u32) -> Cluster {
-    let adjust = |t: &mut WorkerTiming| {
+async fn start_with_small_limits(jobs: &[&str], tasks: u32) -> Cluster {
+    let adjust = |timing: &mut WorkerTiming| {
         for id in jobs {
-            t.runs.insert(id.to_string(), Duration::from_secs(300));
+            timing.runs.insert(id.to_string(), Duration::from_secs(300));
         }
     };
-    let next = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
-    let c = Cluster::with_overrides(MACHINES, adjust, Options::default(), next, |_| {}).await;
-    c.until("the switch", || c.is_switched()).await;
-    c.state.limit(SMALL);
+    let lower_limits = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0});
+    let cluster = Cluster::with_overrides(MACHINES, adjust, Options::default(), lower_limits, |_| {}).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
+    cluster.state.limit(SMALL_LIMITS);
     for id in jobs {
-        c.submit(id, "free", tasks, 16.0, "normal").await;
+        cluster.submit(id, "free", tasks, 16.0, "normal").await;
     }
-    c
+    cluster
 }
 
 #[tokio::test(start_paused = true)]
 async fn jobs_fill_4000_machines_within_the_smallest_limits_of_the_state_service() {
     let jobs = ["run-1", "run-2", "run-3", "run-4"];
-    let c = with_small_limits(&jobs, TASKS / 4).await;
-    c.until_running(MACHINES).await;
-    let refused = c.state.refused();
+    let cluster = start_with_small_limits(&jobs, TASKS / 4).await;
+    cluster.until_running(MACHINES).await;
+    let refused = cluster.state.refused();
     assert_eq!((refused.values, refused.transactions), (0, 0), "{refused:?}");
-    c.assert_invariants_hold();
+    cluster.assert_invariants_hold();
 }
 
-// A job's record names each shard that runs some of it, so with values of 2 KiB one
-// job does not run on all machines at once. Its tasks are allocated to each shard in
-// one range; by turns, as they came, it ran 2,880 of them.
+// A job's record lists the tasks allocated to each shard, so with values of 2 KiB one job cannot
+// run on all machines at once. Each shard gets one contiguous range of tasks, which keeps the
+// record small: with tasks allocated to the shards in turn, only 2,880 tasks ran.
 #[tokio::test(start_paused = true)]
 async fn one_job_runs_on_most_of_4000_machines_within_the_smallest_limits() {
-    let c = with_small_limits(&["run-1"], TASKS).await;
-    c.until("most of its tasks run", || c.checker.on().len() >= 3300).await;
-    // The others begin when those end.
+    let cluster = start_with_small_limits(&["run-1"], TASKS).await;
+    cluster.until("most tasks of the job run", || cluster.checker.on().len() >= 3300).await;
+    // The remaining tasks start when these complete.
     pause(420.0).await;
-    c.until_stage("run-1", "done").await;
-    let again = (0..TASKS).filter(|i| c.checker.starts(&format!("run-1/{i}")) != 1).count();
-    assert_eq!(again, 0, "tasks that did not run exactly once");
-    c.assert_invariants_hold();
+    cluster.until_stage("run-1", "done").await;
+    let not_run_once = (0..TASKS).filter(|i| cluster.checker.starts(&format!("run-1/{i}")) != 1).count();
+    assert_eq!(not_run_once, 0, "tasks that did not run exactly once");
+    cluster.assert_invariants_hold();
 }
--- a/crates/dapplecroft-controller/tests/stories/services.rs
+++ b/crates/dapplecroft-controller/tests/stories/services.rs
@@ -1,4 +1,4 @@
-//! Services: replicas that run until they are withdrawn.
+//! Services: jobs whose replicas run until the job is cancelled.
 
 use crate::cluster::{Cluster, STATE, job, pause, service};
 use dapplecroft_controller::Options;
@@ -8,62 +8,66 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Replicas of these services run for ever.
-fn for_ever(ids: &[&str]) -> impl FnOnce(&mut WorkerTiming) {
+/// Makes replicas of these services run until they are stopped.
+fn run_forever(ids: &[&str]) -> impl FnOnce(&mut WorkerTiming) {
     let ids: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
-    move |t| {
+    move |timing| {
         for id in ids {
-            t.runs.insert(id, Duration::from_secs(1_000_000));
+            timing.runs.insert(id, Duration::from_secs(1_000_000));
         }
     }
 }
 
-async fn serving(capacity: usize, replicas: u32, cpus: f64) -> Cluster {
-    let c = Cluster::with_options(capacity, for_ever(&["run-1"]), Options::default()).await;
-    c.submit_service("run-1", "free", replicas, cpus).await;
-    c.until_all_replicas_run().await;
-    c
+async fn start_with_service(capacity: usize, replicas: u32, cpus: f64) -> Cluster {
+    let cluster = Cluster::with_options(capacity, run_forever(&["run-1"]), Options::default()).await;
+    cluster.submit_service("run-1", "free", replicas, cpus).await;
+    cluster.until_all_replicas_run().await;
+    cluster
 }
 
-/// No replica is missing for longer than so many seconds from now on.
-async fn assert_serves_on(c: &Cluster, longest: f64, seconds: u32) {
-    c.checker.calm();
+/// Asserts for `seconds` that no replica is missing for longer than `longest` seconds.
+async fn assert_keeps_serving(cluster: &Cluster, longest: f64, seconds: u32) {
+    cluster.checker.calm();
     for _ in 0..seconds * 2 {
         pause(0.5).await;
-        assert_eq!(c.checker.lost(Duration::from_secs_f64(longest)), Vec::<String>::new());
+        assert_eq!(cluster.checker.lost(Duration::from_secs_f64(longest)), Vec::<String>::new());
     }
-    c.assert_invariants_hold();
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_runs_until_it_is_withdrawn_and_is_never_done() {
-    let c = serving(4, 3, 2.0).await;
-    let (status, answer) = c.job_status(1, "run-1").await;
+async fn a_service_runs_until_it_is_cancelled_and_is_never_done() {
+    let cluster = start_with_service(4, 3, 2.0).await;
+    let (status, answer) = cluster.job_status(1, "run-1").await;
     assert_eq!((status, &answer["stage"], &answer["running"]), (200, &json!("running"), &json!(3)));
     assert_eq!(answer["done"].as_u64().unwrap_or(0), 0);
-    let machines: BTreeSet<String> = c.checker.on().into_values().collect();
-    assert_eq!(machines.len(), 1, "there is no second machine to spread over");
+    let machines: BTreeSet<String> = cluster.checker.on().into_values().collect();
+    assert_eq!(machines.len(), 1, "one machine has enough room, so no second one is rented");
     pause(600.0).await;
-    assert!((0..3).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
-    c.cancel(2, "run-1").await;
+    assert!((0..3).all(|i| cluster.checker.starts(&format!("run-1/{i}")) == 1));
+    cluster.cancel(2, "run-1").await;
     pause(10.0).await;
-    assert!(c.checker.on().is_empty());
-    assert_eq!(c.job_status(0, "run-1").await.1["stage"], "withdrawn");
-    c.until("its record is final", || c.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none()))
+    assert!(cluster.checker.on().is_empty());
+    assert_eq!(cluster.job_status(0, "run-1").await.1["stage"], "withdrawn");
+    cluster
+        .until("the cancelled service's record is compacted", || {
+            cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
+        })
         .await;
-    let again = c.call(0, Method::POST, "/v2/runs", &service("run-1", "free", 3, 2.0)).await;
-    assert_eq!((again.0, &again.1["stage"]), (200, &json!("withdrawn")));
-    c.assert_invariants_hold();
+    let resubmission = cluster.call(0, Method::POST, "/v2/runs", &service("run-1", "free", 3, 2.0)).await;
+    assert_eq!((resubmission.0, &resubmission.1["stage"]), (200, &json!("withdrawn")));
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_service_must_not_be_is_told_at_once() {
-    let c = Cluster::start(2).await;
-    c.until("the switch", || c.is_switched()).await;
-    c.until("machine types known", || {
-        c.state.value("dc/catalog").is_some() || c.state.value("dc/c/0").is_some()
-    })
-    .await;
+async fn invalid_services_are_rejected_at_submission() {
+    let cluster = Cluster::start(2).await;
+    cluster.until("the switch to the second layout", || cluster.is_switched()).await;
+    cluster
+        .until("the machine types are recorded", || {
+            cluster.state.value("dc/catalog").is_some() || cluster.state.value("dc/c/0").is_some()
+        })
+        .await;
     pause(1.0).await;
     for (field, value, status) in [
         ("shares", json!(0), 400),
@@ -73,179 +77,192 @@
         ("form", json!("server"), 400),
         ("crew", json!("nobody"), 422),
         ("cpus", json!(17.0), 422),
-        // Five replicas of 4 CPUs are beyond a limit of 16.
+        // Five replicas of 4 CPUs exceed the team's quota limit of 16 CPUs.
         ("shares", json!(5), 422),
     ] {
         let mut body = service("run-9", "tight", 4, 4.0);
         body[field] = value;
-        let (got, answer) = c.call(1, Method::POST, "/v2/runs", &body).await;
+        let (got, answer) = cluster.call(1, Method::POST, "/v2/runs", &body).await;
         assert_eq!(got, status, "{field}: {answer}");
     }
-    // As many tasks of an array run one after the other.
-    assert_eq!(c.call(1, Method::POST, "/v2/runs", &job("run-8", "tight", 5, 4.0, "low")).await.0, 201);
-    assert_eq!(c.job_status(0, "run-9").await.0, 404);
+    // The same number of tasks of a batch job is accepted, since they can run one after the other.
+    assert_eq!(cluster.call(1, Method::POST, "/v2/runs", &job("run-8", "tight", 5, 4.0, "low")).await.0, 201);
+    assert_eq!(cluster.job_status(0, "run-9").await.0, 404);
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_are_spread_over_machines_and_come_back_when_their_machine_is_lost() {
-    let c = Cluster::with_options(6, for_ever(&["run-1", "run-2"]), Options::default()).await;
-    // Two machines are in use already, about equally full.
-    c.submit("run-2", "free", 2, 9.0, "normal").await;
-    c.until_running(2).await;
+async fn service_replicas_are_spread_over_machines_and_restart_when_theirs_is_lost() {
+    let cluster = Cluster::with_options(6, run_forever(&["run-1", "run-2"]), Options::default()).await;
+    // Two machines are already in use, with the same load.
+    cluster.submit("run-2", "free", 2, 9.0, "normal").await;
+    cluster.until_running(2).await;
     let mut body = service("run-1", "free", 2, 2.0);
     body["loaners"] = json!(true);
-    c.checker.service("run-1", "free", 2.0, 2);
-    assert_eq!(c.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
-    c.until_all_replicas_run().await;
-    let on = c.checker.on();
-    assert_ne!(on["run-1/0"], on["run-1/1"]);
-    let begun = tokio::time::Instant::now();
-    c.cloud.take(&on["run-1/0"]);
-    c.until_all_replicas_run().await;
-    assert!(begun.elapsed() < Duration::from_secs(8), "{:?}", begun.elapsed());
-    assert_eq!(c.checker.starts("run-1/1"), 1);
-    assert_serves_on(&c, 5.0, 30).await;
+    cluster.checker.service("run-1", "free", 2.0, 2);
+    assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
+    cluster.until_all_replicas_run().await;
+    let placements = cluster.checker.on();
+    assert_ne!(placements["run-1/0"], placements["run-1/1"]);
+    let started_at = tokio::time::Instant::now();
+    cluster.cloud.take(&placements["run-1/0"]);
+    cluster.until_all_replicas_run().await;
+    assert!(started_at.elapsed() < Duration::from_secs(8), "{:?}", started_at.elapsed());
+    assert_eq!(cluster.checker.starts("run-1/1"), 1);
+    assert_keeps_serving(&cluster, 5.0, 30).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_ends_by_itself_is_wanted_again_whatever_it_ended_by() {
-    let adjust = |t: &mut WorkerTiming| {
-        t.runs.insert("run-1".into(), Duration::from_secs(40));
+async fn a_service_replica_that_completes_is_started_again() {
+    let adjust = |timing: &mut WorkerTiming| {
+        timing.runs.insert("run-1".into(), Duration::from_secs(40));
     };
-    let c = Cluster::with_options(2, adjust, Options::default()).await;
-    c.submit_service("run-1", "free", 2, 2.0).await;
-    // Each of them completes again and again.
+    let cluster = Cluster::with_options(2, adjust, Options::default()).await;
+    cluster.submit_service("run-1", "free", 2, 2.0).await;
+    // Each replica completes every 40 s.
     for _ in 0..20 {
         pause(45.0).await;
-        c.until_all_replicas_run().await;
-        assert_eq!(c.job_status(0, "run-1").await.1["stage"], "running");
+        cluster.until_all_replicas_run().await;
+        assert_eq!(cluster.job_status(0, "run-1").await.1["stage"], "running");
     }
-    assert!(c.checker.starts("run-1/0") >= 20);
+    assert!(cluster.checker.starts("run-1/0") >= 20);
     let sizes: usize =
-        c.state.keys("dc/q/").iter().map(|k| c.state.value(k).unwrap().to_string().len()).sum();
-    assert!(sizes < 400, "{sizes} bytes after so many attempts");
-    c.assert_invariants_hold();
+        cluster.state.keys("dc/q/").iter().map(|k| cluster.state.value(k).unwrap().to_string().len()).sum();
+    assert!(sizes < 400, "segment records grew to {sizes} bytes");
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_that_fails_everywhere_backs_off_and_harms_nothing_else() {
-    let c = Cluster::with_options(4, |t| t.fails.push("run-1".into()), Options::default()).await;
-    c.submit("run-2", "free", 2, 16.0, "normal").await;
-    c.submit_service("run-1", "free", 2, 2.0).await;
-    c.until_stage("run-2", "done").await;
+async fn a_service_that_always_fails_backs_off_and_harms_no_other_job() {
+    let cluster =
+        Cluster::with_options(4, |timing| timing.fails.push("run-1".into()), Options::default()).await;
+    cluster.submit("run-2", "free", 2, 16.0, "normal").await;
+    cluster.submit_service("run-1", "free", 2, 2.0).await;
+    cluster.until_stage("run-2", "done").await;
     pause(300.0).await;
-    let starts: usize = (0..2).map(|i| c.checker.starts(&format!("run-1/{i}"))).sum();
-    assert!((6..40).contains(&starts), "{starts} starts in 300 s");
-    assert_ne!(c.job_status(0, "run-1").await.1["stage"], "done");
-    // Its machine takes other work.
-    c.submit("run-3", "free", 4, 4.0, "normal").await;
-    c.until_stage("run-3", "done").await;
-    c.cancel(0, "run-1").await;
+    let starts: usize = (0..2).map(|i| cluster.checker.starts(&format!("run-1/{i}"))).sum();
+    assert!((6..40).contains(&starts), "{starts} starts of replicas in 300 s");
+    assert_ne!(cluster.job_status(0, "run-1").await.1["stage"], "done");
+    // The machines where the replicas failed still run other jobs.
+    cluster.submit("run-3", "free", 4, 4.0, "normal").await;
+    cluster.until_stage("run-3", "done").await;
+    cluster.cancel(0, "run-1").await;
     pause(70.0).await;
-    assert!(c.checker.on().is_empty());
-    c.assert_invariants_hold();
+    assert!(cluster.checker.on().is_empty());
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_serves_until_its_machine_is_about_to_go() {
-    let c = serving(3, 2, 2.0).await;
-    let machine = c.checker.on()["run-1/0"].clone();
-    c.cloud.worker(&machine).notice(12.0);
+async fn a_service_replica_runs_until_shortly_before_its_machine_is_reclaimed() {
+    let cluster = start_with_service(3, 2, 2.0).await;
+    let machine = cluster.checker.on()["run-1/0"].clone();
+    cluster.cloud.worker(&machine).notice(12.0);
     pause(8.0).await;
-    assert_eq!(c.checker.on()["run-1/0"], machine, "it is not stopped long before");
-    c.until("it serves elsewhere", || c.checker.on().get("run-1/0").is_some_and(|m| *m != machine)).await;
-    c.cloud.take(&machine);
-    assert_serves_on(&c, 3.0, 20).await;
+    assert_eq!(
+        cluster.checker.on()["run-1/0"],
+        machine,
+        "the replica must not be stopped long before the machine is reclaimed"
+    );
+    cluster
+        .until("the replica runs on another machine", || {
+            cluster.checker.on().get("run-1/0").is_some_and(|m| *m != machine)
+        })
+        .await;
+    cluster.cloud.take(&machine);
+    assert_keeps_serving(&cluster, 3.0, 20).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn work_of_lower_rank_gives_way_to_replicas_at_once_and_comes_back() {
-    let adjust = |t: &mut WorkerTiming| {
-        for_ever(&["run-1"])(t);
-        t.runs.insert("run-2".into(), Duration::from_secs(200));
+async fn service_replicas_preempt_a_lower_rank_at_once_and_its_task_restarts_later() {
+    let adjust = |timing: &mut WorkerTiming| {
+        run_forever(&["run-1"])(timing);
+        timing.runs.insert("run-2".into(), Duration::from_secs(200));
     };
-    let c = Cluster::with_options(1, adjust, Options::default()).await;
+    let cluster = Cluster::with_options(1, adjust, Options::default()).await;
     let mut body = job("run-2", "free", 4, 4.0, "urgent");
     body["loaners"] = json!(false);
-    c.checker.job("run-2", "free", 4.0);
-    assert_eq!(c.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
-    c.until_running(4).await;
-    // It is older than what else may be displaced.
+    cluster.checker.job("run-2", "free", 4.0);
+    assert_eq!(cluster.call(0, Method::POST, "/v2/runs", &body).await.0, 201);
+    cluster.until_running(4).await;
+    // By now run-2 is too old to be preempted by anything but a service.
     pause(100.0).await;
-    let begun = tokio::time::Instant::now();
-    c.submit_service("run-1", "free", 2, 2.0).await;
-    c.until_all_replicas_run().await;
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
-    assert_eq!(c.checker.on().len(), 5, "one task gave way");
-    c.cancel(0, "run-1").await;
-    c.until("what gave way runs again", || c.checker.on().len() == 4).await;
-    c.until_stage("run-2", "done").await;
-    c.assert_invariants_hold();
+    let started_at = tokio::time::Instant::now();
+    cluster.submit_service("run-1", "free", 2, 2.0).await;
+    cluster.until_all_replicas_run().await;
+    assert!(started_at.elapsed() < Duration::from_secs(4), "{:?}", started_at.elapsed());
+    assert_eq!(cluster.checker.on().len(), 5, "exactly one task must be preempted");
+    cluster.cancel(0, "run-1").await;
+    cluster.until("the preempted task runs again", || cluster.checker.on().len() == 4).await;
+    cluster.until_stage("run-2", "done").await;
+    cluster.assert_invariants_hold();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_at_its_teams_limit_is_restored_within_it() {
-    let c = Cluster::with_options(4, for_ever(&["run-1"]), Options::default()).await;
-    c.submit_service("run-1", "tight", 4, 4.0).await;
-    c.until_all_replicas_run().await;
-    let machine = c.checker.on()["run-1/0"].clone();
-    // Cut off, it still runs: nothing may start in its place before it is proven gone.
-    c.net.rule(Rule::all(&machine, "", Action::Hold));
-    c.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
-    c.until("it is released", || !c.cloud.machines().contains(&machine)).await;
-    c.until_all_replicas_run().await;
-    c.net.clear_rules();
-    c.net.deliver().await;
-    assert_serves_on(&c, 2.0, 30).await;
+async fn a_service_at_its_teams_quota_limit_recovers_without_exceeding_it() {
+    let cluster = Cluster::with_options(4, run_forever(&["run-1"]), Options::default()).await;
+    cluster.submit_service("run-1", "tight", 4, 4.0).await;
+    cluster.until_all_replicas_run().await;
+    let machine = cluster.checker.on()["run-1/0"].clone();
+    // The partitioned machine still runs its replica: a replacement may start only once the replica
+    // is proven to be stopped.
+    cluster.net.rule(Rule::all(&machine, "", Action::Hold));
+    cluster.net.rule(Rule::all("", &format!("w:{machine}"), Action::Hold));
+    cluster
+        .until("the partitioned machine is released", || !cluster.cloud.machines().contains(&machine))
+        .await;
+    cluster.until_all_replicas_run().await;
+    cluster.net.clear_rules();
+    cluster.net.deliver().await;
+    assert_keeps_serving(&cluster, 2.0, 30).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_withdrawal_in_the_middle_of_a_restart_wins() {
+async fn a_service_cancelled_while_a_replica_restarts_stays_cancelled() {
     for delay in [0.0, 0.5, 2.0, 4.0, 5.0, 5.5, 6.0, 7.0] {
-        let c = serving(3, 2, 2.0).await;
-        let machine = c.checker.on()["run-1/0"].clone();
-        c.cloud.take(&machine);
+        let cluster = start_with_service(3, 2, 2.0).await;
+        let machine = cluster.checker.on()["run-1/0"].clone();
+        cluster.cloud.take(&machine);
         pause(delay).await;
-        c.cancel(0, "run-1").await;
+        cluster.cancel(0, "run-1").await;
         pause(47.0).await;
-        assert!(c.checker.on().is_empty());
-        c.until("its record is final", || {
-            c.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
-        })
-        .await;
-        c.assert_invariants_hold();
+        assert!(cluster.checker.on().is_empty());
+        cluster
+            .until("the cancelled service's record is compacted", || {
+                cluster.state.value("dc/j/run-1").is_some_and(|v| v.get("spec").is_none())
+            })
+            .await;
+        cluster.assert_invariants_hold();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_end_and_every_replica_runs_on() {
+async fn service_replicas_keep_running_while_all_controllers_restart() {
     for back_after in [0.1, 6.0] {
         let options = Options { shard_machines: Some(1), ..Options::default() };
-        let c = Cluster::with_options(6, for_ever(&["run-1"]), options).await;
-        c.submit_service("run-1", "free", 6, 16.0).await;
-        c.until_all_replicas_run().await;
-        (0..3).for_each(|n| c.kill_node(n));
+        let cluster = Cluster::with_options(6, run_forever(&["run-1"]), options).await;
+        cluster.submit_service("run-1", "free", 6, 16.0).await;
+        cluster.until_all_replicas_run().await;
+        (0..3).for_each(|n| cluster.kill_node(n));
         pause(back_after).await;
-        (0..3).for_each(|n| c.start_node(n));
-        c.until("a leader", || c.leader().is_some()).await;
-        assert_serves_on(&c, 0.0, 40).await;
-        assert!((0..6).all(|i| c.checker.starts(&format!("run-1/{i}")) == 1));
+        (0..3).for_each(|n| cluster.start_node(n));
+        cluster.until("a leader", || cluster.leader().is_some()).await;
+        assert_keeps_serving(&cluster, 0.0, 40).await;
+        assert!((0..6).all(|i| cluster.checker.starts(&format!("run-1/{i}")) == 1));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_lost_while_its_holder_ends_and_the_state_service_is_out_comes_back() {
-    let c = serving(4, 2, 9.0).await;
-    let machine = c.checker.on()["run-1/0"].clone();
-    c.net.rule(Rule::all("", STATE, Action::Refuse));
-    c.cloud.take(&machine);
-    c.kill_node(c.leader().unwrap_or(0));
+async fn a_service_replica_lost_during_an_outage_and_a_leader_crash_restarts() {
+    let cluster = start_with_service(4, 2, 9.0).await;
+    let machine = cluster.checker.on()["run-1/0"].clone();
+    cluster.net.rule(Rule::all("", STATE, Action::Refuse));
+    cluster.cloud.take(&machine);
+    cluster.kill_node(cluster.leader().unwrap_or(0));
     pause(5.0).await;
-    c.net.clear_rules();
+    cluster.net.clear_rules();
     (0..3).for_each(|n| {
-        c.kill_node(n);
-        c.start_node(n);
+        cluster.kill_node(n);
+        cluster.start_node(n);
     });
-    c.until_all_replicas_run().await;
-    assert_serves_on(&c, 2.0, 30).await;
+    cluster.until_all_replicas_run().await;
+    assert_keeps_serving(&cluster, 2.0, 30).await;
 }
