--- a/crates/dapplecroft-controller/src/core/credit.rs
+++ b/crates/dapplecroft-controller/src/core/credit.rs
@@ -166,7 +166,7 @@
         self.with_credit(|credit| credit.ledger.remove_job(id));
     }
 
-    /// Tells the ledger up to which revision all records have been applied.
+    /// Informs the ledger up to which revision all records have been applied.
     pub(super) fn set_credit_revision(&mut self, revision: u64) {
         self.with_credit(|credit| credit.ledger.set_applied_revision(revision));
     }
@@ -198,7 +198,7 @@
             .map(|t| ResourceAmounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
             .collect();
         let per_task = ResourceAmounts { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
-        // A service has no end, so it is charged for the whole time over which the policy limits
+        // A service never completes, so it is charged for the whole time over which the policy limits
         // outstanding work.
         let cpus = self.credit.as_ref().map_or(1.0, |credit| credit.admission.cpus_for_limit(limit));
         let horizon_s = limit as f64 / cpus.max(1.0);
@@ -220,10 +220,10 @@
     }
 
     /// Refused work that waits for credit in a bucket, and work recently accepted per second.
-    fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall: f64, now: Instant) -> (u64, f64) {
+    fn bucket_backlog_and_rate(&mut self, bucket: &Bucket, wall_clock_s: f64, now: Instant) -> (u64, f64) {
         let Some(credit) = &mut self.credit else { return (0, 0.0) };
         let waiting = credit.demand.waiting_work(bucket, now);
-        let recent = credit.ledger.recent_work_of(bucket, wall);
+        let recent = credit.ledger.recent_work_of(bucket, wall_clock_s);
         (waiting, recent / dapplecroft_admission::ledger::RECENT_WORK_DECAY.as_secs_f64())
     }
 
--- a/crates/dapplecroft-controller/src/core/fleet.rs
+++ b/crates/dapplecroft-controller/src/core/fleet.rs
@@ -170,7 +170,9 @@
             .machines
             .values()
             .filter(|m| m.group.is_none() && self.role.leased_shards.contains_key(&m.shard))
-            .filter(|m| self.segments_of(m.shard).all(|(_, l)| l.version <= self.applied_revision))
+            .filter(|m| {
+                self.segments_of(m.shard).all(|(_, segment)| segment.version <= self.applied_revision)
+            })
             .map(|m| m.id.clone())
             .collect();
         for id in orphans {
@@ -235,7 +237,7 @@
                 (&*machine.machine_type, &*machine.zone, machine.spot, room.cpus, room.gpus, room.memory);
             *kinds.entry(key).or_default() += 1;
         }
-        let mut rooms: Vec<PendingCapacity> = kinds
+        let mut pending: Vec<PendingCapacity> = kinds
             .into_iter()
             .map(|((machine_type, zone, spot, cpus, gpus, memory), count)| PendingCapacity {
                 machine_type: machine_type.to_string(),
@@ -251,31 +253,36 @@
             .values()
             .map(|(r, _)| (r.machine_type.clone(), r.zone.clone(), r.spot, i64::from(r.count)));
         let uncommitted = self.groups.values().filter(|g| g.version == 0).map(|g| {
-            let r = &g.record;
-            (r.machine_type.clone(), r.zone.clone(), r.spot, r.machines.len() as i64)
+            let record = &g.record;
+            (record.machine_type.clone(), record.zone.clone(), record.spot, record.machines.len() as i64)
         });
         for (machine_type, zone, spot, count) in requested.chain(uncommitted) {
             let room = self.machine_type_capacity(&machine_type).unwrap_or_default();
-            rooms.push(PendingCapacity { machine_type, zone, spot, room, count });
+            pending.push(PendingCapacity { machine_type, zone, spot, room, count });
         }
-        rooms
+        pending
     }
 
-    /// Plans rent requests for the tasks that found no room, and for standby machines. Each
+    /// Plans rent requests for the tasks that fit on no machine, and for standby machines. Each
     /// request is for one shard with space for its machines.
     fn plan_rentals(&mut self, actions: &mut FleetActions, now: Instant) {
-        let Some(leadership) = self.role.leader_key_version else { return };
+        let Some(leader_term) = self.role.leader_key_version else { return };
         let max_requests = (self.settings.params.cloud.rps.ceil() as usize).max(MIN_CONCURRENT_RENT_REQUESTS);
         if (self.unplaced_demand.is_empty() && self.standby_target() == 0)
             || self.fleet.pending_rentals.len() >= max_requests
         {
             return;
         }
-        let thrift = self.options.prefer_cheapest_machines;
+        let prefer_cheapest = self.options.prefer_cheapest_machines;
         let offers = self.rental_offers(now);
         let machines = MAX_MACHINES_PER_RENTAL * (max_requests - self.fleet.pending_rentals.len()) as u32;
-        let mut plan =
-            plan_scale_out(&self.unplaced_demand, self.pending_capacity(), &offers, thrift, machines);
+        let mut plan = plan_scale_out(
+            &self.unplaced_demand,
+            self.pending_capacity(),
+            &offers,
+            prefer_cheapest,
+            machines,
+        );
         if !plan.iter().any(|r| !offers[r.offer].spot) {
             plan.extend(self.standby_scale_out(&offers));
         }
@@ -295,7 +302,7 @@
                 // of the leader's key was committed before and belongs to this
                 // leadership term alone.
                 let request = RentRequest {
-                    request: format!("dc-{leadership}-{}", self.fleet.next_request_number()),
+                    request: format!("dc-{leader_term}-{}", self.fleet.next_request_number()),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
@@ -323,8 +330,9 @@
             zone: request.zone.clone(),
             spot: request.spot,
         };
-        let pausing = self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
-        if machines.len() < request.count as usize && pausing {
+        let already_backing_off =
+            self.fleet.capacity_refusals.get(&kind).is_some_and(|refusal| refusal.retry_at > now);
+        if machines.len() < request.count as usize && already_backing_off {
             // The request was sent before an earlier refusal was known, so this refusal
             // says nothing new. The backoff must not double with each of several
             // requests sent at the same time.
@@ -372,13 +380,13 @@
     }
 
     /// Remembers a machine that sends heartbeats and that no record names.
-    pub(super) fn handle_unrecorded_heartbeat(&mut self, report: &Heartbeat, now: Instant) {
-        let id: Arc<str> = report.machine.as_str().into();
+    pub(super) fn handle_unrecorded_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
+        let id: Arc<str> = heartbeat.machine.as_str().into();
         let mut machine = Machine::new(&id, 0, now);
-        machine.machine_type.clone_from(&report.machine_type);
-        machine.zone.clone_from(&report.zone);
-        machine.spot = report.spot;
-        machine.address = Some(report.address.clone());
+        machine.machine_type.clone_from(&heartbeat.machine_type);
+        machine.zone.clone_from(&heartbeat.zone);
+        machine.spot = heartbeat.spot;
+        machine.address = Some(heartbeat.address.clone());
         self.fleet.unrecorded_machines.insert(id, machine);
         self.wakeups.fleet = true;
     }
@@ -390,7 +398,8 @@
             return;
         }
         let lag = Duration::from_secs_f64(self.settings.params.cloud.list_lag_s);
-        // Until then the list may still show machines that an earlier leader released.
+        // During the first two list lags of its term, the leader may still see machines in the list
+        // that an earlier leader released.
         let settled = self.fleet.started_at.is_some_and(|at| now.saturating_duration_since(at) > lag * 2);
         for listed in list {
             if self.released_machines.contains_key(listed.id.as_str()) {
--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -187,13 +187,14 @@
     pub(super) fn shard_with_room(&self, taken: &BTreeMap<u32, usize>) -> (u32, usize) {
         let max_machines = self.max_shard_machines();
         let sizes = self.shard_sizes();
-        let size = |b: u32| sizes.get(&b).copied().unwrap_or(0) + taken.get(&b).copied().unwrap_or(0);
+        let size =
+            |shard: u32| sizes.get(&shard).copied().unwrap_or(0) + taken.get(&shard).copied().unwrap_or(0);
         let mut numbers = self.shard_numbers();
         numbers.extend(taken.keys());
         numbers.sort_unstable();
         numbers.dedup();
-        let with_room = numbers.iter().copied().filter(|b| size(*b) < max_machines);
-        let shard = with_room.max_by_key(|b| (size(*b), std::cmp::Reverse(*b)));
+        let with_room = numbers.iter().copied().filter(|shard| size(*shard) < max_machines);
+        let shard = with_room.max_by_key(|shard| (size(*shard), std::cmp::Reverse(*shard)));
         // The lowest number that no shard has.
         let unused = (0..).find(|n| !numbers.contains(n)).unwrap_or(0);
         let shard = shard.unwrap_or(unused);
@@ -371,7 +372,7 @@
     }
 
     /// Marks the write of a group's record as finished, whatever its outcome. Changes that
-    /// were not committed are found again by the next [`Core::group_updates`].
+    /// were not committed are found again by the next call of `group_updates`.
     pub fn finish_group_write(&mut self, name: &str) {
         if let Some(group) = self.groups.get_mut(name) {
             group.write_in_flight = false;
@@ -404,7 +405,7 @@
 
     /// Updates the machines of a group from a new version of its record; `None` means
     /// that the record was deleted. Machines that the record no longer has are removed
-    /// by [`Core::remove_departed_machines`].
+    /// by `remove_departed_machines`.
     pub(super) fn apply_group(
         &mut self,
         name: &str,
@@ -484,7 +485,7 @@
         let sizes: BTreeMap<&str, _> = catalog
             .machine_types
             .iter()
-            .map(|h| (h.name.as_str(), dapplecroft_sched::Resources::new(h.cpus, h.gpus, h.memory_gb)))
+            .map(|t| (t.name.as_str(), dapplecroft_sched::Resources::new(t.cpus, t.gpus, t.memory_gb)))
             .collect();
         for machine in self.machines.values_mut() {
             let Some(size) = sizes.get(machine.machine_type.as_str()) else { continue };
--- a/crates/dapplecroft-controller/src/core/roles.rs
+++ b/crates/dapplecroft-controller/src/core/roles.rs
@@ -24,7 +24,8 @@
 
     /// Records a confirmation of this process's role: when the request was sent, and the revision at which
     /// the state service confirmed it. It counts only once the record replica has applied all changes up to
-    /// that revision, so that a shard holder in contact knows of every cancellation committed before.
+    /// that revision, so that the replica of a shard holder in contact contains every cancellation
+    /// committed before.
     pub fn confirm_role(&mut self, sent: Instant, revision: u64) {
         if revision <= self.applied_revision {
             self.role.last_confirmation_sent = self.role.last_confirmation_sent.max(Some(sent));
@@ -130,7 +131,7 @@
     }
 
     /// How long this process may act without a confirmation: the term of its shard leases, or less if
-    /// that is needed to end tasks in time after a cancellation that it has not heard of.
+    /// that is needed to end tasks in time after a cancellation that is not in its replica yet.
     pub fn contact_limit(&self) -> Duration {
         self.settings.contact_limit().min(self.options.shard_lease)
     }
@@ -169,7 +170,7 @@
         let nodes = f64::from(self.settings.params.nodes.max(1));
         let sizes = self.shard_sizes();
         let total: usize = sizes.values().sum();
-        let own: usize = self.role.leased_shards.keys().filter_map(|b| sizes.get(b)).sum();
+        let own: usize = self.role.leased_shards.keys().filter_map(|shard| sizes.get(shard)).sum();
         let machine_share = match total {
             0 => f64::from(u8::from(self.role.leader_key_version.is_some())),
             _ => own as f64 / total as f64,
@@ -178,7 +179,7 @@
         // as much as the number of machines.
         let bytes = |held_only: bool| -> usize {
             let segments = self.segments.iter().filter(|(id, _)| !held_only || self.is_holder(id.shard));
-            segments.map(|(_, l)| l.size_bytes).sum()
+            segments.map(|(_, segment)| segment.size_bytes).sum()
         };
         let placement_share = match bytes(false) {
             0 => machine_share,
--- a/crates/dapplecroft-controller/src/loops/placement.rs
+++ b/crates/dapplecroft-controller/src/loops/placement.rs
@@ -39,7 +39,7 @@
         loop {
             let _ = timeout(MAX_IDLE_INTERVAL, self.wake_place.notified()).await;
             let started_at = now();
-            let wall = self.wall_seconds();
+            let wall_clock_s = self.wall_seconds();
             // While writes are scarce and many decisions wait to be committed, the next round is
             // delayed so that it decides more at once. The delay is limited, because the backlog
             // may be this controller's alone while other shard holders are idle.
@@ -55,7 +55,7 @@
             }
             last_round = started_at;
             let update = self.with(|core| {
-                core.place(wall, writes_scarce, now());
+                core.place(wall_clock_s, writes_scarce, now());
                 core.drain_step(now())
             });
             if let Some(update) = update {
@@ -220,27 +220,27 @@
             to_worker: true,
         };
         let result = self.transport.send(request).await;
-        let report: Option<Heartbeat> = match &result {
+        let heartbeat: Option<Heartbeat> = match &result {
             Ok(response) if response.status == 200 || response.status == 409 => {
                 serde_json::from_slice(&response.body).ok()
             }
             _ => None,
         };
-        if let (Ok(response), None) = (&result, &report) {
+        if let (Ok(response), None) = (&result, &heartbeat) {
             tracing::warn!(
                 machine = id,
                 status = response.status,
                 "a worker's reply to direct commands cannot be parsed"
             );
         }
-        let end = match (&result, &report) {
-            (Ok(_), Some(report)) => CommandOutcome::Answered(report),
+        let outcome = match (&result, &heartbeat) {
+            (Ok(_), Some(heartbeat)) => CommandOutcome::Answered(heartbeat),
             (Err(TransportError::NotSent(_)), _) => CommandOutcome::NotDelivered,
             (Ok(response), None) if response.status == 400 => CommandOutcome::NotDelivered,
             _ => CommandOutcome::Unknown,
         };
-        self.with(|core| core.direct_commands_finished(id, &commands, end, now()));
-        if !matches!(end, CommandOutcome::Answered(_)) {
+        self.with(|core| core.direct_commands_finished(id, &commands, outcome, now()));
+        if !matches!(outcome, CommandOutcome::Answered(_)) {
             // Retries after a pause, unless a heartbeat of the worker arrives first.
             sleep(Duration::from_secs(1)).await;
             self.with(|core| core.wakeups.command.insert(id.into()));
--- a/crates/dapplecroft-controller/src/users.rs
+++ b/crates/dapplecroft-controller/src/users.rs
@@ -103,7 +103,7 @@
         reply
     }
 
-    /// What is committed about a job. The final stages (done and withdrawn) never change, so they are
+    /// What is committed about a job. The final stages (done and cancelled) never change, so they are
     /// answered from memory, even in an outage. Anything else, including that there is no such job, is
     /// first confirmed with the state service.
     async fn look_up_job(self: &Arc<Self>, id: &str) -> JobLookup {
@@ -234,8 +234,8 @@
 
     fn decide_admission(&self, spec: &JobSpec) -> AdmissionDecision {
         let random = lock(&self.rng).random();
-        let wall = self.wall_seconds();
-        self.with(|core| core.decide_admission(spec, random, wall, now()))
+        let wall_clock_s = self.wall_seconds();
+        self.with(|core| core.decide_admission(spec, random, wall_clock_s, now()))
     }
 
     async fn commit_submission(
@@ -333,7 +333,7 @@
                 JobLookup::OtherCell => return other_cell_reply(),
                 JobLookup::Unavailable => return Reply::unavailable("state service out of reach", 1),
             };
-            if matches!(status.stage, Stage::Done | Stage::Withdrawn) {
+            if matches!(status.stage, Stage::Done | Stage::Cancelled) {
                 return Reply::json(200, &status);
             }
             if self.with(|core| core.host_cell_of(id).is_some()) {
