--- a/crates/dapplecroft-controller/src/core/groups.rs
+++ b/crates/dapplecroft-controller/src/core/groups.rs
@@ -17,8 +17,9 @@
 /// the state service.
 const ADDRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Number of machines in a shard per kilobyte of the value size limit. Their tasks take
-/// less than that in the shard's record, with a wide margin for many small tasks.
+/// Maximum number of machines in a shard per kilobyte of the value size limit. The tasks
+/// on so many machines take less than a kilobyte in the shard's record, with a wide
+/// margin for many small tasks.
 const SHARD_MACHINES_PER_RECORD_KB: f64 = 6.0;
 
 /// A write of a group's record that is to be committed.
@@ -103,8 +104,8 @@
     /// a split has begun and some of its machines are in other groups already.
     fn needs_split(&self, name: &str, group: &Group) -> bool {
         let is_elsewhere = |id: &String| {
-            let own = self.machines.get(id.as_str()).and_then(|m| m.group.as_deref());
-            own.is_some_and(|g| g != name)
+            let current_group = self.machines.get(id.as_str()).and_then(|m| m.group.as_deref());
+            current_group.is_some_and(|g| g != name)
         };
         let max_bytes = self.limits().value * 7 / 8;
         !self.uses_legacy_layout()
@@ -147,13 +148,13 @@
     pub(super) fn remove_departed_machines(&mut self, now: Instant) {
         let applied_revision = self.applied_revision;
         let departed = std::mem::take(&mut self.departed_machines);
-        let (known, later): (Vec<DepartedMachine>, Vec<DepartedMachine>) =
+        let (applied, later): (Vec<DepartedMachine>, Vec<DepartedMachine>) =
             departed.into_iter().partition(|departed| departed.revision <= applied_revision);
         self.departed_machines = later;
-        for DepartedMachine { machine: id, group, .. } in known {
-            let named = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
-            let here = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
-            if here && !named {
+        for DepartedMachine { machine: id, group, .. } in applied {
+            let listed_again = self.groups.get(&group).is_some_and(|g| g.record.machines.contains_key(&*id));
+            let still_member = self.machines.get(&id).is_some_and(|m| m.group.as_ref() == Some(&group));
+            if still_member && !listed_again {
                 self.machine_released(&id, now);
                 self.forget_machine(&id);
             }
@@ -175,7 +176,7 @@
 
     /// Maximum number of machines in a shard. Without an option it follows from the value
     /// size limit, between 10 and 200: large shards need fewer records, and so fewer
-    /// changes per transaction, but their tasks were one record in layout 1.
+    /// changes per transaction, but layout 1 stores all tasks of a shard in one record.
     pub(super) fn max_shard_machines(&self) -> usize {
         let by_value = (self.settings.params.state.value_kb * SHARD_MACHINES_PER_RECORD_KB) as usize;
         self.options.shard_machines.unwrap_or(by_value.clamp(10, 200))
@@ -414,10 +415,10 @@
         now: Instant,
     ) {
         let name: Arc<str> = name.into();
-        let old = self.groups.remove(&name);
-        if let Some(old) = &old {
+        let previous = self.groups.remove(&name);
+        if let Some(previous) = &previous {
             let still_member = |id: &str| record.as_ref().is_some_and(|r| r.machines.contains_key(id));
-            let gone = old.record.machines.keys().filter(|id| !still_member(id));
+            let gone = previous.record.machines.keys().filter(|id| !still_member(id));
             let departed = |id: &String| DepartedMachine {
                 revision: version,
                 machine: id.as_str().into(),
@@ -452,11 +453,9 @@
                     _ => {}
                 }
             }
-            let writing = old.is_some_and(|g| g.write_in_flight);
-            self.groups.insert(
-                name.clone(),
-                Group { record, version, write_in_flight: writing, addresses_unrecorded },
-            );
+            let write_in_flight = previous.is_some_and(|g| g.write_in_flight);
+            self.groups
+                .insert(name.clone(), Group { record, version, write_in_flight, addresses_unrecorded });
             self.set_machine_capacities();
         }
         self.remove_departed_machines(now);
--- a/crates/dapplecroft-controller/src/core/mod.rs
+++ b/crates/dapplecroft-controller/src/core/mod.rs
@@ -388,7 +388,7 @@
         let Some(Job::Open(job)) = self.jobs.get_mut(id) else { return };
         job.recompute_task_sets();
         // A cancellation or a revoked allocation can be in the replica before a placement that was
-        // committed earlier. Until the replica has caught up with it, the team's usage is not
+        // committed earlier. Until the replica has applied that placement, the team's usage is not
         // reduced.
         let settled = job.usage_known_at_revision() <= self.applied_revision;
         let counted = match (settled, job.is_open()) {
--- a/crates/dapplecroft-controller/src/core/placing.rs
+++ b/crates/dapplecroft-controller/src/core/placing.rs
@@ -40,8 +40,9 @@
     pub cpus_by_shard: BTreeMap<u32, i64>,
     /// CPUs of the on-demand (not spot) machines that are up, by shard, in thousandths.
     pub on_demand_cpus_by_shard: BTreeMap<u32, i64>,
-    /// Tasks that need at least so many CPUs (in thousandths) fit into no shard's
-    /// backlog any more, so the leader does not try to allocate them in advance.
+    /// Smallest CPU requirement, in thousandths, that was found too large for the
+    /// backlog of every shard. The leader does not try to allocate tasks that need as
+    /// many CPUs or more in advance.
     pub min_cpus_exceeding_backlog: Option<i64>,
     /// Whether few writes to the state service are possible just now.
     pub writes_scarce: bool,
@@ -118,9 +119,9 @@
             let Some(job) = self.open_job(id) else { continue };
             round.max_tasks_of_job =
                 if self.effective_rank(job) < job.priority_rank() { MAX_BOOSTED_TASKS } else { usize::MAX };
-            let own_shards: Vec<u32> =
+            let held_shards: Vec<u32> =
                 job.waiting.keys().copied().filter(|shard| self.is_holder(*shard)).collect();
-            for shard in own_shards {
+            for shard in held_shards {
                 self.place_in_shard(id, shard, &mut round, now);
             }
             if leads {
@@ -334,8 +335,8 @@
         waiting.take(max_tasks).filter(|index| !is_running_unexpectedly(*index)).collect()
     }
 
-    /// Places tasks that a drain moves on the machines that the drain's record names, if
-    /// they still fit there.
+    /// Places the waiting tasks that the shard's drain moves: each on the destination
+    /// that the drain's record names, if the task still fits there.
     fn place_drain_moves(&mut self, id: &Arc<str>, shard: u32, waiting: &mut Vec<u32>, now: Instant) {
         let Some((drain, _)) = self.drains.get(&shard).cloned() else { return };
         for DrainMove { index, destination: to, .. } in
@@ -396,9 +397,9 @@
     }
 
     /// Books a task on a machine and marks the machine's segment for a commit. The
-    /// booking is provisional until the commit succeeds, and is undone if it is refused.
-    /// The caller must rederive the job's state. Returns `false` if the task can't be
-    /// placed, for example because the segment is full.
+    /// booking is provisional until the commit succeeds, and is undone if the commit is
+    /// refused. The caller must call `refresh_job` afterwards. Returns `false` if the
+    /// task can't be placed, for example because the segment is full.
     fn propose_placement(&mut self, task: &TaskId, machine: &Arc<str>, now: Instant) -> bool {
         let Some(session) = self.machines.get(machine).map(|m| m.session) else { return false };
         let Some(attempt) = self.open_job(&task.job).map(|j| j.next_attempt(task.index)) else {
--- a/crates/dapplecroft-controller/src/records.rs
+++ b/crates/dapplecroft-controller/src/records.rs
@@ -412,8 +412,8 @@
 }
 
 impl From<DrainMove> for StoredDrainMove {
-    fn from(stored: DrainMove) -> Self {
-        (stored.job, stored.index, stored.attempt, stored.destination)
+    fn from(task_move: DrainMove) -> Self {
+        (task_move.job, task_move.index, task_move.attempt, task_move.destination)
     }
 }
 
--- a/crates/dapplecroft-controller/src/records/segment.rs
+++ b/crates/dapplecroft-controller/src/records/segment.rs
@@ -244,7 +244,8 @@
     /// Returns the groups of spans on each machine, and the completed tasks that are not
     /// already stored within one of these groups.
     fn group_for_storage(&self) -> (BTreeMap<&String, Vec<SpanGroup<'_>>>, BTreeMap<&String, Ranges>) {
-        let mut left: BTreeMap<&String, Ranges> = self.done.iter().map(|(id, r)| (id, r.clone())).collect();
+        let mut separate_done: BTreeMap<&String, Ranges> =
+            self.done.iter().map(|(id, r)| (id, r.clone())).collect();
         let all_done = |job: u32, first: u32, last: u32| {
             let done = self.jobs.get(job as usize).and_then(|id| self.done.get(id));
             done.is_some_and(|ranges| ranges.contains_all(first, last))
@@ -253,16 +254,18 @@
         for (machine, spans) in &self.machines {
             let groups = group_spans(spans, all_done);
             for pair in groups.iter().flat_map(|g| g.running.windows(2)) {
-                if let Some(left) = self.jobs.get(pair[0].job as usize).and_then(|id| left.get_mut(id)) {
+                if let Some(done) =
+                    self.jobs.get(pair[0].job as usize).and_then(|id| separate_done.get_mut(id))
+                {
                     let between =
                         Ranges::from_bounds(vec![(pair[0].last + 1, pair[1].first.saturating_sub(1))]);
-                    *left = left.difference(&between);
+                    *done = done.difference(&between);
                 }
             }
             machines.insert(machine, groups);
         }
-        left.retain(|_, r| !r.is_empty());
-        (machines, left)
+        separate_done.retain(|_, r| !r.is_empty());
+        (machines, separate_done)
     }
 
     /// Number of tasks, completed ones included, in each group of spans that is stored
@@ -286,16 +289,16 @@
                 jobs.len() as u32 - 1
             })
         };
-        let (groups, left) = self.group_for_storage();
-        let mut written = StoredSegment::default();
+        let (groups, separate_done) = self.group_for_storage();
+        let mut stored = StoredSegment::default();
         let separator = |to: &str| if to.is_empty() { "" } else { " " };
-        for (id, done) in left {
-            let _ = write!(written.done, "{}{}:", separator(&written.done), position(id));
-            done.write_text(&mut written.done);
+        for (id, done) in separate_done {
+            let _ = write!(stored.done, "{}{}:", separator(&stored.done), position(id));
+            done.write_text(&mut stored.done);
         }
         for (id, attempts) in &self.last_attempts {
-            let _ = write!(written.last_attempts, "{}{}:", separator(&written.last_attempts), position(id));
-            write_attempts(&mut written.last_attempts, attempts);
+            let _ = write!(stored.last_attempts, "{}{}:", separator(&stored.last_attempts), position(id));
+            write_attempts(&mut stored.last_attempts, attempts);
         }
         let mut previous = "";
         for (machine, groups) in groups {
@@ -306,34 +309,34 @@
                     machine.bytes().zip(previous.bytes()).take_while(|(a, b)| a == b).count().min(25);
                 let mark = char::from(b'a' + shared as u8);
                 let separator = if previous.is_empty() { "" } else { ";" };
-                let _ = write!(written.machines, "{separator}{mark}{}={text}", &machine[shared..]);
+                let _ = write!(stored.machines, "{separator}{mark}{}={text}", &machine[shared..]);
                 previous = machine;
             } else {
-                written.others.insert(machine.clone(), text);
+                stored.others.insert(machine.clone(), text);
             }
         }
         for id in &jobs {
             let _ = write!(
-                written.jobs,
+                stored.jobs,
                 "{}{}",
-                separator(&written.jobs),
+                separator(&stored.jobs),
                 id.strip_prefix(JOB_ID_PREFIX).unwrap_or(id)
             );
         }
-        written.serialize(serializer)
+        stored.serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for SegmentRecord {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let written = StoredSegment::deserialize(deserializer)?;
-        parse_stored_segment(&written).map_err(D::Error::custom)
+        let stored = StoredSegment::deserialize(deserializer)?;
+        parse_stored_segment(&stored).map_err(D::Error::custom)
     }
 }
 
-fn parse_stored_segment(written: &StoredSegment) -> Result<SegmentRecord, &'static str> {
+fn parse_stored_segment(stored: &StoredSegment) -> Result<SegmentRecord, &'static str> {
     let jobs: Vec<String> =
-        written.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{JOB_ID_PREFIX}{w}")).collect();
+        stored.jobs.split(' ').filter(|w| !w.is_empty()).map(|w| format!("{JOB_ID_PREFIX}{w}")).collect();
     let job_id = |n: &str| n.parse::<usize>().ok().and_then(|n| jobs.get(n)).cloned();
     let parse_entry = |text: &str| {
         let (position, rest) = text.split_once(':')?;
@@ -341,17 +344,17 @@
     };
     let mut record = SegmentRecord::default();
     for (id, text) in
-        parse_list(&written.done, ' ', parse_entry).ok_or("completed tasks of an unlisted job")?
+        parse_list(&stored.done, ' ', parse_entry).ok_or("completed tasks of an unlisted job")?
     {
         record.done.insert(id, text.parse()?);
     }
     for (id, text) in
-        parse_list(&written.last_attempts, ' ', parse_entry).ok_or("last attempts of an unlisted job")?
+        parse_list(&stored.last_attempts, ' ', parse_entry).ok_or("last attempts of an unlisted job")?
     {
         record.last_attempts.insert(id, parse_attempts(&text).ok_or("malformed last attempts")?);
     }
     let mut machines: Vec<(String, &str)> = Vec::new();
-    for entry in written.machines.split(';').filter(|e| !e.is_empty()) {
+    for entry in stored.machines.split(';').filter(|e| !e.is_empty()) {
         let (name, text) = entry.split_once('=').ok_or("machine entry without '='")?;
         let mark = name
             .bytes()
@@ -364,7 +367,7 @@
             .ok_or("shared prefix is longer than the previous machine's name")?;
         machines.push((format!("{shared}{}", &name[1..]), text));
     }
-    machines.extend(written.others.iter().map(|(m, text)| (m.clone(), text.as_str())));
+    machines.extend(stored.others.iter().map(|(m, text)| (m.clone(), text.as_str())));
     for (machine, text) in machines {
         let mut spans = Vec::new();
         for (running, done) in
@@ -374,8 +377,8 @@
                 running.first().map(|s| s.job as usize).ok_or("group of spans without a running task")?;
             let id = jobs.get(job).ok_or("task of an unlisted job")?;
             if !done.is_empty() {
-                let all = record.done.entry(id.clone()).or_default();
-                *all = all.union(&Ranges::from_ascending(done));
+                let job_done = record.done.entry(id.clone()).or_default();
+                *job_done = job_done.union(&Ranges::from_ascending(done));
             }
             spans.extend(running);
         }
