--- a/crates/dapplecroft-controller/tests/stories/admission.rs
+++ b/crates/dapplecroft-controller/tests/stories/admission.rs
@@ -129,7 +129,7 @@
 }
 
 // A submission is delayed on its way to the state service and arrives after its controller was
-// killed. It must be charged, or fail because the credit's epoch has ended.
+// killed. The submission must be charged, or fail because the credit's epoch has ended.
 #[tokio::test(start_paused = true)]
 async fn submissions_committed_after_their_controller_ended_are_charged_or_rejected() {
     let test = OverloadTest::start(3, 4, options_with_limit(LIMIT_CPU_S)).await;
--- a/crates/dapplecroft-controller/tests/stories/answers.rs
+++ b/crates/dapplecroft-controller/tests/stories/answers.rs
@@ -134,11 +134,11 @@
 }
 
 // A cancellation arrives at about the time the last task completes. The job must end as either done
-// or withdrawn, with the same answer at every controller from then on, also after the leader
+// or cancelled, with the same answer at every controller from then on, also after the leader
 // restarts.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_racing_with_completion_has_one_permanent_outcome() {
-    let (mut done, mut withdrawn) = (0, 0);
+    let (mut done, mut cancelled) = (0, 0);
     for step in 0..24 {
         let cluster = Cluster::with_options(2, set_run_times, Options::default()).await;
         let body = job("run-21", "free", 2, 4.0, "normal");
@@ -149,7 +149,7 @@
         for (status, stage) in [a, b] {
             assert_eq!(status, 200);
             done += usize::from(stage == "done");
-            withdrawn += usize::from(stage == "withdrawn");
+            cancelled += usize::from(stage == "withdrawn");
         }
         pause(5.0).await;
         let (leader, stage) = (cluster.leader().unwrap(), cluster.reported_stage("run-21"));
@@ -163,7 +163,7 @@
         );
         cluster.assert_invariants_hold();
     }
-    assert!(done >= 4 && withdrawn >= 4, "each outcome must occur: {done} done, {withdrawn} withdrawn");
+    assert!(done >= 4 && cancelled >= 4, "each outcome must occur: {done} done, {cancelled} withdrawn");
 }
 
 #[test]
--- a/crates/dapplecroft-controller/tests/stories/main.rs
+++ b/crates/dapplecroft-controller/tests/stories/main.rs
@@ -1,5 +1,5 @@
 //! Scenario tests of failures, against in-memory fakes of the state service, the cloud and the
-//! workers on a paused clock. An invariant checker (`Cluster::referee`) observes every scenario.
+//! workers on a paused clock. An invariant checker (`Cluster::checker`) observes every scenario.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/dapplecroft-controller/tests/stories/users.rs
+++ b/crates/dapplecroft-controller/tests/stories/users.rs
@@ -215,8 +215,9 @@
     assert_eq!(codes, [200, 200, 503, 503, 503, 503]);
 }
 
-// The stage withdrawn is final, so it can be answered without the state service. While the job's
-// tasks were still running, it used to be confirmed there each time, which gave a 503 in an outage.
+// The stage of a cancelled job is final, so it can be answered without the state service. While the
+// job's tasks were still running, the stage used to be confirmed there each time, which gave a 503 in
+// an outage.
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_job_whose_tasks_still_run_is_answered_during_an_outage() {
     let adjust = |timing: &mut dapplecroft_fakes::WorkerTiming| {
